--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::ask::Ask;
-use crate::coordinator::LEAST_REFUSED_WAIT_MS;
+use crate::coordinator::MIN_REFUSED_WAIT_MS;
 use crate::path_time::path_time;
-use crate::wait_model::PathPlan;
+use crate::wait_model::PathEstimate;
 use crate::{Gateway, Refusal, RefusalReason};
 
 /// When a caller should come back after queues were too long: spread, so that those who were refused
@@ -15,11 +15,11 @@
 
 /// Refuses a request before its first stage where the queues on its way leave it no chance to meet
 /// its objective. Work for what comes too late would be missing elsewhere.
-pub(crate) fn admit(gateway: &Gateway, ask: &Ask) -> Result<PathPlan, Refusal> {
+pub(crate) fn admit(gateway: &Gateway, ask: &Ask) -> Result<PathEstimate, Refusal> {
     let plan = path_time(gateway, ask).plan;
     let left_ms = ask.objective_left().as_secs_f64() * 1_000.0;
     let expected_ms = gateway.waits.borrow().expected_ms(ask.rank, &plan);
-    if plan.waits_ms < LEAST_REFUSED_WAIT_MS || expected_ms <= left_ms {
+    if plan.waits_ms < MIN_REFUSED_WAIT_MS || expected_ms <= left_ms {
         return Ok(plan);
     }
     let detail = format!(
--- a/crates/gateway/src/home_halls/tests.rs
+++ b/crates/gateway/src/allowed_halls/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn route_and_account_both_bind() {
+fn route_and_account_both_restrict_the_halls() {
     let cases: [(&[&str], &[&str], &[&str]); 5] = [
         (&[], &[], &["a1", "a2", "b1", "c1", "unknown"]),
         (&["a"], &[], &["a1", "a2"]),
@@ -20,17 +20,17 @@
         (&["a"], &["b"], &[]),
     ];
     for (route, account, allowed) in cases {
-        let homes = HomeHalls::new(&halls(), &texts(route), &texts(account));
+        let homes = AllowedHalls::new(&halls(), &texts(route), &texts(account));
         for hall in ["a1", "a2", "b1", "c1", "unknown"] {
             let wanted = allowed.contains(&hall);
-            assert_eq!(homes.allow(hall), wanted, "{route:?} {account:?} {hall}");
+            assert_eq!(homes.allows(hall), wanted, "{route:?} {account:?} {hall}");
         }
     }
 }
 
 #[test]
 fn a_region_without_halls_allows_nothing() {
-    let homes = HomeHalls::new(&halls(), &texts(&["nowhere"]), &[]);
-    assert!(halls().keys().all(|hall| !homes.allow(hall)));
-    assert_eq!(HomeHalls::told(homes.to_told()), homes);
+    let homes = AllowedHalls::new(&halls(), &texts(&["nowhere"]), &[]);
+    assert!(halls().keys().all(|hall| !homes.allows(hall)));
+    assert_eq!(AllowedHalls::from_names(homes.to_names()), homes);
 }
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -12,8 +12,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::allowed_halls::AllowedHalls;
 use crate::dialect::HeaderNames;
-use crate::home_halls::HomeHalls;
 use crate::open_request::OpenRequest;
 use crate::rendezvous::ScoreKey;
 use crate::{Refusal, RefusalReason};
@@ -31,7 +31,7 @@
     pub(crate) route: Route,
     pub(crate) account: Option<String>,
     /// The halls in which it may run.
-    pub(crate) homes: HomeHalls,
+    pub(crate) homes: AllowedHalls,
     pub(crate) rank: Rank,
     pub(crate) config_version: u64,
     pub(crate) arrived: Instant,
@@ -171,7 +171,7 @@
                 .unwrap_or(route.priority),
             second: route.priority,
         },
-        homes: HomeHalls::new(
+        homes: AllowedHalls::new(
             halls,
             &route.regions,
             account.map_or(&[], |account| &account.regions),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -15,13 +15,13 @@
 use crate::Gateway;
 use crate::answer::{Addition, belongs_to, request_for};
 use crate::ask::Ask;
-use crate::closed_service::rate_patience;
 use crate::events::EventSplitter;
 use crate::graph::RequestResults;
 use crate::in_flight::InFlight;
 use crate::notice::read_notice;
 use crate::rate_permit::SendPermit;
 use crate::send_gate::SendKind;
+use crate::service_availability::max_permit_wait;
 use crate::stage_client::Placement;
 use crate::target::Chosen;
 use crate::upstream::{Lease, SendError, is_break};
@@ -137,7 +137,7 @@
 /// Takes leave for a sending by the rate of its target; nothing where there is none soon enough.
 async fn take_leave(gateway: &Gateway, ask: &Ask, attempt: &Attempt<'_>) -> Option<SendPermit> {
     let target = &attempt.chosen.id;
-    let within = rate_patience(gateway, attempt.service, ask, target);
+    let within = max_permit_wait(gateway, attempt.service, ask, target);
     let permit = gateway.notices.rates.take_permit(target, within).await;
     if permit.is_none() {
         gateway.notices.count_withheld(target);
@@ -357,7 +357,10 @@
                 }
                 if let Some(prompt) = &ask.prompt {
                     let unshared = prompt.own_tokens();
-                    gateway.engines.borrow_mut().learn(unshared, sent.elapsed());
+                    gateway
+                        .engines
+                        .borrow_mut()
+                        .learn_prefill_speed(unshared, sent.elapsed());
                 }
                 return Ok((head.status, head.headers, first, body, splitter, lease));
             }
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -6,10 +6,12 @@
 
 use crate::Gateway;
 use crate::ask::Ask;
-use crate::closed_service::{await_open, has_unrated, next_opening, used_up};
-use crate::coordinator::HALL_BYTES;
-use crate::engine::PlaceAsk;
+use crate::coordinator::LARGE_RESULT_BYTES;
+use crate::engine::PlacementRequest;
 use crate::graph::RequestResults;
+use crate::service_availability::{
+    has_unlimited_target, next_availability, rates_used_up, wait_until_available,
+};
 use crate::stage_client::Placement;
 use crate::target::{Chosen, Target, TargetBook};
 use crate::{Refusal, RefusalReason};
@@ -66,10 +68,11 @@
         if let Some(chosen) = choose(gateway, service, ask, passed, results).await {
             return Ok(chosen);
         }
-        let opening = next_opening(gateway, service, ask, passed.tried).ok_or_else(no_target)?;
-        await_open(gateway, service, ask, opening).await?;
+        let opening =
+            next_availability(gateway, service, ask, passed.tried).ok_or_else(no_target)?;
+        wait_until_available(gateway, service, ask, opening).await?;
     }
-    Err(used_up(gateway, service, ask).unwrap_or_else(no_target))
+    Err(rates_used_up(gateway, service, ask).unwrap_or_else(no_target))
 }
 
 pub(crate) fn no_target() -> Refusal {
@@ -101,7 +104,7 @@
         .iter()
         .filter(|target| !passed.tried.contains(&target.id) && !closed.contains(&target.id))
         .filter(|target| !closed_here.contains(&target.id))
-        .filter(|target| ask.homes.allow(&target.hall));
+        .filter(|target| ask.homes.allows(&target.hall));
     let load = |target: &Target| {
         let other_hall = target.hall != gateway.config.hall;
         target.load(other_hall, now) + DRAWN_LOAD * fastrand::f64()
@@ -125,7 +128,7 @@
 ) -> Vec<String> {
     let mut closed = gateway.suspects.closed_targets(book, service, ask);
     closed.extend(gateway.notices.closed(book.ids_of(service)));
-    if passed.rated && has_unrated(gateway, service, ask) {
+    if passed.rated && has_unlimited_target(gateway, service, ask) {
         let rated = book.ids_of(service).filter(|id| book.rate(id).is_some());
         closed.extend(rated.cloned());
     }
@@ -139,14 +142,14 @@
     ask: &Ask,
     passed: PassedTargets<'_>,
     results: Option<&RequestResults>,
-) -> Option<PlaceAsk> {
+) -> Option<PlacementRequest> {
     let prompt = ask.prompt.as_ref()?;
     let largest = ask
         .route
         .stages
         .iter()
         .max_by_key(|stage| stage.result_bytes);
-    let heavy = largest.filter(|stage| stage.result_bytes >= HALL_BYTES);
+    let heavy = largest.filter(|stage| stage.result_bytes >= LARGE_RESULT_BYTES);
     let book = gateway.targets.borrow();
     let places = results.map(|results| results.places(ask, &book));
     // The host that places may not know yet what this one cannot reach.
@@ -155,15 +158,15 @@
         .tried
         .iter()
         .chain(out_of_reach.map(|target| &target.id));
-    Some(PlaceAsk {
+    Some(PlacementRequest {
         service: service.to_owned(),
         prompt: prompt.clone(),
-        heavy_stage: heavy.map(|stage| stage.service.clone()),
+        large_result_stage: heavy.map(|stage| stage.service.clone()),
         results: places.unwrap_or_default(),
-        avoid: avoid.take(MAX_AVOIDED).cloned().collect(),
+        tried: avoid.take(MAX_AVOIDED).cloned().collect(),
         // That host may use what is only to be avoided where there is no other, but never these.
-        closed: closed_here(gateway, &book, service, ask, passed),
-        homes: ask.homes.to_told(),
-        apart: ask.apart.get(),
+        excluded: closed_here(gateway, &book, service, ask, passed),
+        allowed_halls: ask.homes.to_names(),
+        isolated: ask.apart.get(),
     })
 }
--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -17,10 +17,10 @@
 use std::time::{Duration, Instant};
 
 /// The least time in which sendings are counted.
-const LEAST_SPAN: Duration = Duration::from_secs(1);
+const MIN_WINDOW: Duration = Duration::from_secs(1);
 
 /// Part of the rate that hosts which do not know of each other share.
-const SHARED_PART: f64 = 0.5;
+const SHARED_FRACTION: f64 = 0.5;
 
 /// The rate that a cold target bears.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -36,14 +36,14 @@
 
     /// Returns the span in which sendings are counted, and how many are allowed in it.
     fn window(self) -> (Duration, usize) {
-        let span = LEAST_SPAN.max(Duration::from_secs_f64((1.0 / self.per_s).min(60.0)));
+        let span = MIN_WINDOW.max(Duration::from_secs_f64((1.0 / self.per_s).min(60.0)));
         let most = (self.per_s * span.as_secs_f64() + 1e-9).floor() as usize;
         (span, most.max(1))
     }
 
     /// Returns the time between two sendings of one of so many hosts.
-    fn share_gap(self, hosts: usize) -> Duration {
-        let per_s = self.per_s * SHARED_PART / hosts.max(1) as f64;
+    fn host_interval(self, hosts: usize) -> Duration {
+        let per_s = self.per_s * SHARED_FRACTION / hosts.max(1) as f64;
         Duration::from_secs_f64((1.0 / per_s).min(3_600.0))
     }
 }
@@ -56,14 +56,14 @@
 
 impl SendWindow {
     /// Says whether one more may be sent.
-    pub(crate) fn has_room(&self, rate: ColdRate, now: Instant) -> bool {
+    pub(crate) fn allows_send(&self, rate: ColdRate, now: Instant) -> bool {
         let (span, most) = rate.window();
         let lately = |at: &&Instant| now.saturating_duration_since(**at) < span;
         self.sent.iter().rev().take_while(lately).count() < most
     }
 
     /// Counts one that is sent now.
-    pub(crate) fn note(&mut self, rate: ColdRate, now: Instant) {
+    pub(crate) fn record_send(&mut self, rate: ColdRate, now: Instant) {
         let (span, _) = rate.window();
         let passed = |at: &Instant| now.saturating_duration_since(*at) >= span;
         while self.sent.front().is_some_and(passed) {
@@ -82,20 +82,20 @@
 impl SendShare {
     /// Says whether one may be sent; from the first question on, the host waits for its moment, which
     /// `drawn` (0 to 1) places within the gap between two.
-    pub(crate) fn has_room(
+    pub(crate) fn allows_send(
         &mut self,
         rate: ColdRate,
         hosts: usize,
         drawn: f64,
         now: Instant,
     ) -> bool {
-        let first = || now + rate.share_gap(hosts).mul_f64(drawn);
+        let first = || now + rate.host_interval(hosts).mul_f64(drawn);
         *self.next.get_or_insert_with(first) <= now
     }
 
     /// Counts one that is sent now.
-    pub(crate) fn note(&mut self, rate: ColdRate, hosts: usize, now: Instant) {
-        self.next = Some(now + rate.share_gap(hosts));
+    pub(crate) fn record_send(&mut self, rate: ColdRate, hosts: usize, now: Instant) {
+        self.next = Some(now + rate.host_interval(hosts));
     }
 }
 
--- a/crates/gateway/src/cold/tests.rs
+++ b/crates/gateway/src/cold/tests.rs
@@ -3,14 +3,14 @@
 const PER_S: f64 = 9.1;
 
 /// What the whole fleet may send in a second: 1.5 times the rate and 5.
-const ALLOWED: usize = 18;
+const MAX_PER_SECOND: usize = 18;
 
 fn rate() -> ColdRate {
     ColdRate::new(PER_S).unwrap()
 }
 
 /// The most of some moments that lie within one second.
-fn most_in_a_second(mut sent: Vec<Instant>) -> usize {
+fn max_in_one_second(mut sent: Vec<Instant>) -> usize {
     sent.sort();
     let within = |start: usize| {
         let until = sent[start] + Duration::from_secs(1);
@@ -20,34 +20,34 @@
 }
 
 #[test]
-fn one_host_that_decides_keeps_the_rate_in_every_second() {
+fn a_single_deciding_host_keeps_the_rate_in_every_second() {
     let began = Instant::now();
     let (mut window, mut sent) = (SendWindow::default(), Vec::new());
     for ms in 0..5_000 {
         let now = began + Duration::from_millis(ms);
-        if window.has_room(rate(), now) {
-            window.note(rate(), now);
+        if window.allows_send(rate(), now) {
+            window.record_send(rate(), now);
             sent.push(now);
         }
     }
-    assert_eq!(most_in_a_second(sent.clone()), 9);
+    assert_eq!(max_in_one_second(sent.clone()), 9);
     assert!(sent.len() >= 45, "{}", sent.len());
 }
 
 #[test]
-fn two_hosts_that_decide_at_once_stay_within_what_is_allowed() {
+fn two_deciding_hosts_stay_within_the_allowed_rate() {
     let began = Instant::now();
     let (mut windows, mut sent) = (vec![SendWindow::default(); 2], Vec::new());
     for ms in 0..5_000 {
         let now = began + Duration::from_millis(ms);
         for window in &mut windows {
-            if window.has_room(rate(), now) {
-                window.note(rate(), now);
+            if window.allows_send(rate(), now) {
+                window.record_send(rate(), now);
                 sent.push(now);
             }
         }
     }
-    assert!(most_in_a_second(sent) <= ALLOWED);
+    assert!(max_in_one_second(sent) <= MAX_PER_SECOND);
 }
 
 /// 88 hosts that know nothing of each other ask for a place all the time.
@@ -62,16 +62,16 @@
         for step in 0..200 {
             let now = began + Duration::from_millis(step * 20);
             for share in &mut shares {
-                if share.has_room(rate(), HOSTS, random.f64(), now) {
-                    share.note(rate(), HOSTS, now);
+                if share.allows_send(rate(), HOSTS, random.f64(), now) {
+                    share.record_send(rate(), HOSTS, now);
                     sent.push(now);
                 }
             }
         }
-        most = most.max(most_in_a_second(sent));
+        most = most.max(max_in_one_second(sent));
     }
-    println!("at most {most} in a second, of {ALLOWED} allowed");
-    assert!(most <= ALLOWED, "{most}");
+    println!("at most {most} in a second, of {MAX_PER_SECOND} allowed");
+    assert!(most <= MAX_PER_SECOND, "{most}");
 }
 
 #[test]
@@ -79,9 +79,9 @@
     let slow = ColdRate::new(0.2).unwrap();
     let now = Instant::now();
     let mut window = SendWindow::default();
-    assert!(window.has_room(slow, now));
-    window.note(slow, now);
-    assert!(!window.has_room(slow, now + Duration::from_millis(4_900)));
-    assert!(window.has_room(slow, now + Duration::from_millis(5_100)));
+    assert!(window.allows_send(slow, now));
+    window.record_send(slow, now);
+    assert!(!window.allows_send(slow, now + Duration::from_millis(4_900)));
+    assert!(window.allows_send(slow, now + Duration::from_millis(5_100)));
     assert_eq!(ColdRate::new(0.0), None);
 }
--- a/crates/gateway/src/coordinator.rs
+++ b/crates/gateway/src/coordinator.rs
@@ -6,17 +6,17 @@
 
 mod batch;
 mod call;
+mod delegation;
 mod due_call;
-mod held;
 mod pool;
 mod queue;
-mod sending;
+mod result_memory;
 mod stage_target;
 mod state;
 
 pub(crate) use batch::BatchKey;
+pub(crate) use delegation::{CallDelegate, DelegatedCall};
 pub(crate) use due_call::DueCall;
-pub(crate) use pool::{HALL_BYTES, LEAST_REFUSED_WAIT_MS};
+pub(crate) use pool::{LARGE_RESULT_BYTES, MIN_REFUSED_WAIT_MS};
 pub(crate) use queue::Coordinator;
-pub(crate) use sending::{SendingShare, SharedCall};
-pub(crate) use state::ExpectKey;
+pub(crate) use state::ExpectationKey;
--- a/crates/gateway/src/coordinator/batch.rs
+++ b/crates/gateway/src/coordinator/batch.rs
@@ -16,7 +16,7 @@
 pub(crate) struct PieceKey {
     pub(crate) batch: BatchKey,
     /// The piece of the batch, from 0.
-    pub(crate) place: usize,
+    pub(crate) index: usize,
 }
 
 /// The handle of a piece's result, or why there is none.
@@ -26,11 +26,11 @@
 pub(crate) type BatchReply = Box<dyn FnOnce(Vec<PieceOutcome>)>;
 
 /// What is due after a copy of a piece has ended.
-pub(super) enum CopyEnd {
+pub(super) enum CopyEffect {
     /// Nothing: other copies or other pieces are still missing.
-    Noted,
+    Pending,
     /// The result is not wanted, or no longer.
-    Unclaimed(String),
+    Unneeded(String),
     /// It was the last piece of its batch.
     Complete(BatchReply, Vec<PieceOutcome>),
 }
@@ -49,14 +49,14 @@
 
 /// The batches of one coordinator that are not complete.
 #[derive(Default)]
-pub(super) struct BatchBook {
+pub(super) struct OpenBatches {
     open: HashMap<BatchKey, Batch>,
     last: u64,
 }
 
-impl BatchBook {
+impl OpenBatches {
     /// Begins a batch whose pieces have one copy each.
-    pub(super) fn begin(&mut self, count: usize, reply: BatchReply) -> BatchKey {
+    pub(super) fn add(&mut self, count: usize, reply: BatchReply) -> BatchKey {
         self.last += 1;
         let key = BatchKey(self.last);
         let piece = || Piece {
@@ -74,8 +74,8 @@
     }
 
     /// Returns how many copies of a piece are out; nothing where it has its outcome or is not wanted.
-    pub(super) fn copies_of(&self, key: PieceKey) -> Option<u32> {
-        let piece = self.open.get(&key.batch)?.pieces.get(key.place)?;
+    pub(super) fn pending_copies(&self, key: PieceKey) -> Option<u32> {
+        let piece = self.open.get(&key.batch)?.pieces.get(key.index)?;
         piece.outcome.is_none().then_some(piece.copies)
     }
 
@@ -87,40 +87,40 @@
     }
 
     /// Takes the outcome of one copy.
-    pub(super) fn end_copy(&mut self, key: PieceKey, outcome: PieceOutcome) -> CopyEnd {
+    pub(super) fn record_outcome(&mut self, key: PieceKey, outcome: PieceOutcome) -> CopyEffect {
         let Some(piece) = self.piece_mut(key) else {
-            return unclaimed(outcome);
+            return unneeded(outcome);
         };
         piece.copies = piece.copies.saturating_sub(1);
         if piece.outcome.is_some() {
-            return unclaimed(outcome);
+            return unneeded(outcome);
         }
         if outcome.is_err() && piece.copies > 0 {
-            return CopyEnd::Noted;
+            return CopyEffect::Pending;
         }
         piece.outcome = Some(outcome);
         self.complete(key.batch)
     }
 
     fn piece_mut(&mut self, key: PieceKey) -> Option<&mut Piece> {
-        self.open.get_mut(&key.batch)?.pieces.get_mut(key.place)
+        self.open.get_mut(&key.batch)?.pieces.get_mut(key.index)
     }
 
-    fn complete(&mut self, key: BatchKey) -> CopyEnd {
-        let whole = |batch: &Batch| batch.pieces.iter().all(|piece| piece.outcome.is_some());
-        if !self.open.get(&key).is_some_and(whole) {
-            return CopyEnd::Noted;
+    fn complete(&mut self, key: BatchKey) -> CopyEffect {
+        let is_complete = |batch: &Batch| batch.pieces.iter().all(|piece| piece.outcome.is_some());
+        if !self.open.get(&key).is_some_and(is_complete) {
+            return CopyEffect::Pending;
         }
         let Some(batch) = self.open.remove(&key) else {
-            return CopyEnd::Noted;
+            return CopyEffect::Pending;
         };
         let outcomes = batch.pieces.into_iter().filter_map(|piece| piece.outcome);
-        CopyEnd::Complete(batch.reply, outcomes.collect())
+        CopyEffect::Complete(batch.reply, outcomes.collect())
     }
 }
 
-fn unclaimed(outcome: PieceOutcome) -> CopyEnd {
-    outcome.map_or(CopyEnd::Noted, CopyEnd::Unclaimed)
+fn unneeded(outcome: PieceOutcome) -> CopyEffect {
+    outcome.map_or(CopyEffect::Pending, CopyEffect::Unneeded)
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/coordinator/batch/tests.rs
+++ b/crates/gateway/src/coordinator/batch/tests.rs
@@ -3,17 +3,17 @@
 
 use super::*;
 
-type Replied = Rc<RefCell<Vec<Vec<PieceOutcome>>>>;
+type Replies = Rc<RefCell<Vec<Vec<PieceOutcome>>>>;
 
-fn book(count: usize) -> (BatchBook, BatchKey, Replied) {
-    let mut book = BatchBook::default();
-    let replied: Replied = Rc::default();
-    let sink = replied.clone();
-    let key = book.begin(
+fn book(count: usize) -> (OpenBatches, BatchKey, Replies) {
+    let mut book = OpenBatches::default();
+    let replies: Replies = Rc::default();
+    let sink = replies.clone();
+    let key = book.add(
         count,
         Box::new(move |outcomes| sink.borrow_mut().push(outcomes)),
     );
-    (book, key, replied)
+    (book, key, replies)
 }
 
 fn handle(name: &str) -> PieceOutcome {
@@ -22,15 +22,15 @@
 
 /// Ends a copy and answers where the batch is complete; returns a result that nobody wants.
 fn end(
-    book: &mut BatchBook,
+    book: &mut OpenBatches,
     batch: BatchKey,
-    place: usize,
+    index: usize,
     outcome: PieceOutcome,
 ) -> Option<String> {
-    match book.end_copy(PieceKey { batch, place }, outcome) {
-        CopyEnd::Noted => None,
-        CopyEnd::Unclaimed(handle) => Some(handle),
-        CopyEnd::Complete(reply, outcomes) => {
+    match book.record_outcome(PieceKey { batch, index }, outcome) {
+        CopyEffect::Pending => None,
+        CopyEffect::Unneeded(handle) => Some(handle),
+        CopyEffect::Complete(reply, outcomes) => {
             reply(outcomes);
             None
         }
@@ -39,51 +39,51 @@
 
 #[test]
 fn a_batch_is_answered_once_in_the_order_of_its_pieces() {
-    let (mut book, key, replied) = book(2);
+    let (mut book, key, replies) = book(2);
     assert_eq!(end(&mut book, key, 1, handle("b")), None);
-    assert!(replied.borrow().is_empty());
+    assert!(replies.borrow().is_empty());
     assert_eq!(end(&mut book, key, 0, handle("a")), None);
-    assert_eq!(*replied.borrow(), [[handle("a"), handle("b")]]);
+    assert_eq!(*replies.borrow(), [[handle("a"), handle("b")]]);
 }
 
 #[test]
 fn the_first_result_of_two_copies_counts_and_the_other_is_released() {
-    let (mut book, key, replied) = book(2);
+    let (mut book, key, replies) = book(2);
     book.add_copy(PieceKey {
         batch: key,
-        place: 0,
+        index: 0,
     });
     assert_eq!(end(&mut book, key, 0, handle("quick")), None);
     let slow = end(&mut book, key, 0, handle("slow"));
     assert_eq!(slow.as_deref(), Some("slow"));
     end(&mut book, key, 1, handle("other"));
-    assert_eq!(*replied.borrow(), [[handle("quick"), handle("other")]]);
+    assert_eq!(*replies.borrow(), [[handle("quick"), handle("other")]]);
     let late = end(&mut book, key, 1, handle("late"));
     assert_eq!(late.as_deref(), Some("late"));
 }
 
 #[test]
 fn a_failure_counts_only_where_no_other_copy_is_left() {
-    let (mut book, key, replied) = book(1);
+    let (mut book, key, replies) = book(1);
     let piece = PieceKey {
         batch: key,
-        place: 0,
+        index: 0,
     };
     book.add_copy(piece);
-    assert_eq!(book.copies_of(piece), Some(2));
+    assert_eq!(book.pending_copies(piece), Some(2));
     end(&mut book, key, 0, Err(PieceFault::Failed));
-    assert!(replied.borrow().is_empty());
-    assert_eq!(book.copies_of(piece), Some(1));
+    assert!(replies.borrow().is_empty());
+    assert_eq!(book.pending_copies(piece), Some(1));
     end(&mut book, key, 0, Err(PieceFault::NoRoom));
-    assert_eq!(*replied.borrow(), [[Err(PieceFault::NoRoom)]]);
-    assert_eq!(book.copies_of(piece), None);
+    assert_eq!(*replies.borrow(), [[Err(PieceFault::NoRoom)]]);
+    assert_eq!(book.pending_copies(piece), None);
 }
 
 #[test]
-fn results_of_a_batch_that_was_given_up_are_released() {
-    let (mut book, key, replied) = book(1);
+fn results_of_a_cancelled_batch_are_released() {
+    let (mut book, key, replies) = book(1);
     book.cancel(key);
     let result = end(&mut book, key, 0, handle("a"));
     assert_eq!(result.as_deref(), Some("a"));
-    assert!(replied.borrow().is_empty());
+    assert!(replies.borrow().is_empty());
 }
--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -16,36 +16,39 @@
 use crate::upstream::ProbeOutcome;
 
 /// How much longer than expected a call is waited for in all, as a factor and a span.
-const BOUND_FACTOR: f64 = 5.0;
-const BOUND_SLACK: Duration = Duration::from_millis(150);
+const TIMEOUT_FACTOR: f64 = 5.0;
+const TIMEOUT_SLACK: Duration = Duration::from_millis(150);
 
 /// How old what a target reports may be.
-const REPORT_LAG: Duration = Duration::from_millis(200);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(200);
 
 pub(super) async fn run_call(coordinator: Rc<Coordinator>, call: DueCall) {
     let started = Instant::now();
-    let stage_call = stage_call(&call, started);
-    let shared = coordinator.share(&stage_call, &call.hall);
-    let sender = shared.as_ref().map(|shared| shared.sender);
+    let stage_call = to_stage_call(&call, started);
+    let delegated = coordinator.delegate_call(&stage_call, &call.hall);
+    let sender = delegated.as_ref().map(|delegated| delegated.sender);
     let (end, late) = {
-        let mut sent = pin!(coordinator.carry(&stage_call, shared));
-        match timeout(call.patience, &mut sent).await {
+        let mut sent = pin!(coordinator.send_call(&stage_call, delegated));
+        match timeout(call.late_after, &mut sent).await {
             Ok(end) => (end, false),
-            Err(_) => (wait_on(&coordinator, &call, sent, started).await, true),
+            Err(_) => (
+                await_late_call(&coordinator, &call, sent, started).await,
+                true,
+            ),
         }
     };
-    let end = look_for_end(&coordinator, &call, end).await;
-    note_end(&coordinator, &call, &end, sender, started.elapsed());
-    coordinator.tell_end(&call, &end, started.elapsed());
+    let end = check_for_crash(&coordinator, &call, end).await;
+    record_call_outcome(&coordinator, &call, &end, sender, started.elapsed());
+    coordinator.notify_call_outcome(&call, &end, started.elapsed());
     let pool = call.pool.clone();
-    if let Some(rest) = coordinator.finish_call(call, end, late, sender) {
-        sleep(rest).await;
+    if let Some(cooldown) = coordinator.finish_call(call, end, late, sender) {
+        sleep(cooldown).await;
         coordinator.dispatch(&pool);
     }
 }
 
 /// Finds out whether a target that broke a connection has ended, and tells which requests had pieces there.
-async fn look_for_end(coordinator: &Coordinator, call: &DueCall, end: CallEnd) -> CallEnd {
+async fn check_for_crash(coordinator: &Coordinator, call: &DueCall, end: CallEnd) -> CallEnd {
     let CallEnd::Broke(cause) = end else {
         return end;
     };
@@ -57,7 +60,7 @@
     if probe.await != Ok(ProbeOutcome::Refused) || !coordinator.is_listed(call) {
         return CallEnd::Failed(cause);
     }
-    coordinator.note_target_end(call);
+    coordinator.notify_target_crash(call);
     CallEnd::Ended(cause)
 }
 
@@ -69,31 +72,31 @@
 
 /// Waits on for a call that is late, while its pieces go to other targets as well: a target that is
 /// slow works on it until its end, whoever waits for it.
-async fn wait_on(
+async fn await_late_call(
     coordinator: &Rc<Coordinator>,
     call: &DueCall,
     sent: Pin<&mut impl Future<Output = CallEnd>>,
     started: Instant,
 ) -> CallEnd {
-    let bound = bound_of(call);
-    let until = started + bound;
+    let max_wait = call_timeout(call);
+    let until = started + max_wait;
     let detail = format!(
         "service={} pieces={} patience_ms={} expected_ms={}",
         call.pool.service,
         call.pieces.len(),
-        call.patience.as_millis(),
+        call.late_after.as_millis(),
         call.expected.as_millis()
     );
     let recorder = &coordinator.recorder;
     recorder.record(EventCode::StageCallLate, &call.target, detail);
-    coordinator.note_late(call, until);
+    coordinator.requeue_late_call(call, until);
     match timeout_at(until.into(), sent).await {
         Ok(end) => end,
-        Err(_) => CallEnd::Failed(format!("no answer within {} ms", bound.as_millis())),
+        Err(_) => CallEnd::Failed(format!("no answer within {} ms", max_wait.as_millis())),
     }
 }
 
-fn note_end(
+fn record_call_outcome(
     coordinator: &Coordinator,
     call: &DueCall,
     end: &CallEnd,
@@ -125,7 +128,7 @@
     let mut requests: Vec<&str> = call
         .pieces
         .iter()
-        .map(|waiting| waiting.work.request.as_str())
+        .map(|piece| piece.work.request.as_str())
         .collect();
     // Pieces of one request follow each other.
     requests.dedup();
@@ -143,39 +146,39 @@
 
 /// Puts a call in the form in which it travels; pieces of one batch that follow each other share a
 /// part.
-fn stage_call(call: &DueCall, now: Instant) -> StageCall {
+fn to_stage_call(call: &DueCall, now: Instant) -> StageCall {
     let left = |deadline: Instant| deadline.saturating_duration_since(now).as_millis() as u64;
     let batches = call.pieces.chunk_by(|a, b| Rc::ptr_eq(&a.work, &b.work));
     let parts = batches.map(|pieces| CallPart {
         work: (*pieces[0].work).clone(),
-        numbers: pieces.iter().map(|one| one.piece.place as u32).collect(),
+        numbers: pieces.iter().map(|one| one.key.index as u32).collect(),
         remaining_ms: left(pieces[0].deadline),
     });
     StageCall {
         target: call.target.clone(),
         address: call.address,
         parts: parts.collect(),
-        bound_ms: bound_of(call).as_millis() as u64,
+        bound_ms: call_timeout(call).as_millis() as u64,
     }
 }
 
 /// Returns how long the answer to a call is waited for in all.
-fn bound_of(call: &DueCall) -> Duration {
-    let bound = call.expected.mul_f64(BOUND_FACTOR) + BOUND_SLACK;
-    bound.max(call.patience)
+fn call_timeout(call: &DueCall) -> Duration {
+    let total = call.expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_SLACK;
+    total.max(call.late_after)
 }
 
 /// Asks a target how much memory it has free for results, when its report has caught up with the call
 /// that found no room. Until then the target is taken as full.
-pub(super) async fn learn_free_bytes(
+pub(super) async fn query_free_bytes(
     coordinator: Rc<Coordinator>,
     pool: PoolKey,
     target: String,
     address: SocketAddr,
 ) {
-    sleep(REPORT_LAG).await;
+    sleep(MAX_REPORT_AGE).await;
     let asked = coordinator.caller.ask_free_bytes(&target, address);
     if let Some(free) = asked.await {
-        coordinator.take_free_bytes(&pool, address, free);
+        coordinator.apply_free_bytes(&pool, address, free);
     }
 }
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -11,51 +11,51 @@
 use super::batch::PieceKey;
 use super::due_call::DueCall;
 use super::stage_target::StageTarget;
+use crate::allowed_halls::AllowedHalls;
 use crate::ask::Rank;
-use crate::home_halls::HomeHalls;
 use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUse};
 use crate::pool_key::PoolKey;
 use crate::version_split::{CallSplit, VersionSplit};
 
 /// Results smaller than this may lie in any data hall.
-pub(crate) const HALL_BYTES: u64 = 256 * 1024;
+pub(crate) const LARGE_RESULT_BYTES: u64 = 256 * 1024;
 
 /// Part of its spare time, and the longest time, that a piece waits for a target of its hall.
-const HALL_PATIENCE_PART: f64 = 0.3;
-const HALL_PATIENCE: Duration = Duration::from_millis(200);
+const HALL_WAIT_FRACTION: f64 = 0.3;
+const MAX_HALL_WAIT: Duration = Duration::from_millis(200);
 
 /// A wait shorter than this is no reason to refuse a request, in milliseconds.
-pub(crate) const LEAST_REFUSED_WAIT_MS: f64 = 80.0;
+pub(crate) const MIN_REFUSED_WAIT_MS: f64 = 80.0;
 
 /// Sizes of results are told about; this much room is kept beside them.
-const ROOM_MARGIN: f64 = 1.05;
+const MEMORY_MARGIN: f64 = 1.05;
 
 /// A piece that waits or is in a call.
 #[derive(Clone)]
-pub(crate) struct Waiting {
-    pub(crate) piece: PieceKey,
+pub(crate) struct QueuedPiece {
+    pub(crate) key: PieceKey,
     pub(super) rank: Rank,
     pub(crate) deadline: Instant,
     /// When the piece has to be done for its request to meet its objective.
-    pub(super) wanted: Instant,
+    pub(super) objective_at: Instant,
     pub(super) hall: Option<String>,
-    pub(super) homes: HomeHalls,
+    pub(super) allowed_halls: AllowedHalls,
     pub(super) result_bytes: u64,
     pub(crate) work: Rc<StageWork>,
-    pub(super) tries: u32,
+    pub(super) failures: u32,
     /// By what its request is known when it comes again.
-    pub(crate) key: RequestKey,
+    pub(crate) request_key: RequestKey,
     /// Targets that ended while they worked on it.
-    pub(super) ends: u32,
+    pub(super) target_crashes: u32,
     /// Whether no other's pieces may go with it, since it may have been the cause.
-    pub(super) apart: bool,
+    pub(super) isolated: bool,
 }
 
 pub(super) struct PoolQueue {
     pub(super) spec: StagePool,
     pub(super) targets: BTreeMap<String, StageTarget>,
     /// In the order in which they are served.
-    pub(super) waiting: Vec<Waiting>,
+    pub(super) queue: Vec<QueuedPiece>,
     /// How calls are split while a version is rolled out.
     split: Option<CallSplit>,
 }
@@ -65,7 +65,7 @@
         Self {
             spec,
             targets: BTreeMap::new(),
-            waiting: Vec::new(),
+            queue: Vec::new(),
             split: None,
         }
     }
@@ -80,12 +80,12 @@
 
     /// Says whether a target may get a new call while a version is rolled out: one of the side whose turn it is, or
     /// any where that side has none.
-    fn has_turn(&self, target: &StageTarget) -> bool {
+    fn split_allows(&self, target: &StageTarget) -> bool {
         let Some(split) = &self.split else {
             return true;
         };
-        let mut takers = self.targets.values().filter(|one| one.takes_calls());
-        split.allows(&target.version) || !takers.any(|one| split.allows(&one.version))
+        let mut accepting = self.targets.values().filter(|one| one.accepts_calls());
+        split.allows(&target.version) || !accepting.any(|one| split.allows(&one.version))
     }
 
     /// Takes the targets that `key` holds of those that take work.
@@ -99,7 +99,7 @@
             held.map(|record| (record.id.as_str(), record)).collect();
         // A target that is leaving keeps what it holds until its call has ended.
         self.targets
-            .retain(|id, target| wanted.contains_key(id.as_str()) || target.busy > 0);
+            .retain(|id, target| wanted.contains_key(id.as_str()) || target.running > 0);
         for (id, target) in &mut self.targets {
             target.listed = wanted.contains_key(id.as_str());
         }
@@ -111,7 +111,7 @@
         };
         self.targets.retain(is_same);
         for record in wanted.into_values() {
-            self.list_target(record);
+            self.add_or_update_target(record);
         }
     }
 
@@ -124,7 +124,7 @@
         for record in unlisted {
             // A target that is leaving keeps what it holds until its call has ended.
             match self.targets.get_mut(&record.id) {
-                Some(target) if target.busy > 0 => target.listed = false,
+                Some(target) if target.running > 0 => target.listed = false,
                 _ => {
                     self.targets.remove(&record.id);
                 }
@@ -136,13 +136,13 @@
             if known.is_some_and(|known| known.born != record.born) {
                 self.targets.remove(&record.id);
             }
-            self.list_target(record);
+            self.add_or_update_target(record);
         }
-        let listed = |target: &StageTarget| target.listed || target.busy > 0;
+        let listed = |target: &StageTarget| target.listed || target.running > 0;
         self.targets.retain(|_, target| listed(target));
     }
 
-    fn list_target(&mut self, record: &TargetRecord) {
+    fn add_or_update_target(&mut self, record: &TargetRecord) {
         let targets = self.targets.entry(record.id.clone());
         let target = targets.or_insert_with(|| StageTarget::new(record));
         target.listed = true;
@@ -151,18 +151,18 @@
     }
 
     /// Lets pieces wait, each after those of its rank that came earlier.
-    pub(super) fn wait(&mut self, pieces: Vec<Waiting>) {
+    pub(super) fn enqueue(&mut self, pieces: Vec<QueuedPiece>) {
         if pieces.is_empty() {
             return;
         }
-        self.waiting.extend(pieces);
+        self.queue.extend(pieces);
         // Stable: among equals the earlier batch is first.
-        self.waiting
-            .sort_by_key(|waiting| (waiting.rank, waiting.piece.batch));
+        self.queue
+            .sort_by_key(|piece| (piece.rank, piece.key.batch));
     }
 
     pub(super) fn has_work(&self) -> bool {
-        !self.waiting.is_empty() || self.targets.values().any(|target| target.busy > 0)
+        !self.queue.is_empty() || self.targets.values().any(|target| target.running > 0)
     }
 
     /// Returns what this host uses of the targets.
@@ -175,20 +175,20 @@
     }
 
     /// Takes what another host uses of the targets.
-    pub(super) fn set_uses(&mut self, teller: &str, uses: &[TargetUse], now: Instant) {
+    pub(super) fn set_peer_uses(&mut self, peer: &str, uses: &[TargetUse], now: Instant) {
         for (id, target) in &mut self.targets {
-            let told = uses.iter().find(|one| one.target == *id);
-            target.set_use(teller, told, now);
+            let reported = uses.iter().find(|one| one.target == *id);
+            target.set_peer_use(peer, reported, now);
         }
     }
 
     pub(super) fn load(&self, now: Instant) -> PoolLoad {
         let mut waiting: BTreeMap<Rank, u32> = BTreeMap::new();
-        for one in &self.waiting {
+        for one in &self.queue {
             *waiting.entry(one.rank).or_default() += 1;
         }
         let usable = self.usable(now);
-        let usable = usable.filter(|(_, target)| !target.wants_nothing(now));
+        let usable = usable.filter(|(_, target)| !target.is_backed_off(now));
         let (mut targets, mut free) = (0, 0);
         for (_, target) in usable {
             targets += 1;
@@ -203,33 +203,33 @@
 
     /// Says whether a new batch would be done too late for its request. Later stages are not
     /// refused: what their request has had done already would be wasted.
-    pub(super) fn is_too_late(&self, batch: &PieceBatch, now: Instant) -> bool {
+    pub(super) fn would_miss_objective(&self, batch: &PieceBatch, now: Instant) -> bool {
         if !batch.first {
             return false;
         }
         let count = batch.count.min(self.spec.batch);
         let load = self.load(now);
         let wait = load.wait_ms(&self.spec, batch.rank, batch.count);
-        let closed_ms = self.closed_for(now).as_secs_f64() * 1_000.0;
-        let wait = wait.max(closed_ms);
-        let own = self.spec.call_time_ms(count as usize);
-        wait > LEAST_REFUSED_WAIT_MS && wait + own > batch.wanted_ms as f64
+        let back_off_ms = self.shortest_back_off(now).as_secs_f64() * 1_000.0;
+        let wait = wait.max(back_off_ms);
+        let call_ms = self.spec.call_time_ms(count as usize);
+        wait > MIN_REFUSED_WAIT_MS && wait + call_ms > batch.wanted_ms as f64
     }
 
     /// Returns how long all targets want nothing from this host.
-    fn closed_for(&self, now: Instant) -> Duration {
-        let targets = self.targets.values().filter(|one| one.takes_calls());
-        let left = targets.map(|target| target.back_off_left(now));
+    fn shortest_back_off(&self, now: Instant) -> Duration {
+        let targets = self.targets.values().filter(|one| one.accepts_calls());
+        let left = targets.map(|target| target.remaining_back_off(now));
         left.min().unwrap_or_default()
     }
 
     /// Says whether some target may run pieces in these halls.
-    pub(super) fn has_target_in(&self, homes: &HomeHalls) -> bool {
+    pub(super) fn has_target_in(&self, allowed_halls: &AllowedHalls) -> bool {
         let mut targets = self.targets.values();
-        targets.any(|target| target.takes_calls() && homes.allow(&target.hall))
+        targets.any(|target| target.accepts_calls() && allowed_halls.allows(&target.hall))
     }
 
-    pub(super) fn forget_expired(&mut self, now: Instant) {
+    pub(super) fn expire_results(&mut self, now: Instant) {
         for target in self.targets.values_mut() {
             target.results.expire(now);
         }
@@ -237,31 +237,33 @@
 
     /// Says whether some target answers in time, so that suspect ones need not be relied on. One that wants
     /// nothing now does not.
-    pub(super) fn has_sound_target(&self, now: Instant) -> bool {
+    pub(super) fn has_healthy_target(&self, now: Instant) -> bool {
         let mut targets = self.targets.values();
-        targets.any(|target| target.takes_calls() && !target.suspect && !target.wants_nothing(now))
+        targets
+            .any(|target| target.accepts_calls() && !target.unhealthy && !target.is_backed_off(now))
     }
 
     /// Returns the targets that pieces are given to: the sound ones, or all where none is.
     fn usable(&self, now: Instant) -> impl Iterator<Item = (&String, &StageTarget)> {
-        let any_sound = self.has_sound_target(now);
+        let any_healthy = self.has_healthy_target(now);
         let targets = self.targets.iter();
-        targets.filter(move |(_, target)| target.takes_calls() && !(any_sound && target.suspect))
+        targets
+            .filter(move |(_, target)| target.accepts_calls() && !(any_healthy && target.unhealthy))
     }
 
     /// Says whether a piece waits and a target takes a call.
-    pub(super) fn may_call(&self, now: Instant) -> bool {
+    pub(super) fn can_call(&self, now: Instant) -> bool {
         let mut targets = self.targets.values();
-        !self.waiting.is_empty() && targets.any(|one| one.is_free(&self.spec, now))
+        !self.queue.is_empty() && targets.any(|one| one.is_free(&self.spec, now))
     }
 
     /// Returns every call that is due now: trials of suspect targets, then those of waiting pieces.
     pub(super) fn due_calls(&mut self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
-        if !self.may_call(now) {
+        if !self.can_call(now) {
             return Vec::new();
         }
         let mut due = self.trial_calls(pool, now);
-        due.extend(self.piece_calls(pool, now));
+        due.extend(self.assign_pieces(pool, now));
         for call in &mut due {
             self.begin_call(call, now);
         }
@@ -272,25 +274,25 @@
     /// least; no request depends on it.
     fn trial_calls(&self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
         // One that may end its target is at one target at a time.
-        let harmless = self.waiting.iter().filter(|one| !one.apart);
-        let lightest = harmless.min_by_key(|one| one.result_bytes);
-        let Some(waiting) = lightest.filter(|_| self.has_sound_target(now)) else {
+        let shared = self.queue.iter().filter(|one| !one.isolated);
+        let smallest = shared.min_by_key(|one| one.result_bytes);
+        let Some(piece) = smallest.filter(|_| self.has_healthy_target(now)) else {
             return Vec::new();
         };
-        let suspects = self.targets.iter().filter(|(_, target)| {
-            target.suspect
-                && self.has_turn(target)
-                && waiting.homes.allow(&target.hall)
+        let unhealthy = self.targets.iter().filter(|(_, target)| {
+            target.unhealthy
+                && self.split_allows(target)
+                && piece.allowed_halls.allows(&target.hall)
                 && target.is_free(&self.spec, now)
-                && self.has_room(target, waiting)
+                && self.has_memory_for(target, piece)
         });
         let trial = |(id, target): (&String, &StageTarget)| {
             let mut call = DueCall::new(pool, id, target, now);
             call.trial = true;
-            call.push(waiting.clone());
+            call.push(piece.clone());
             call
         };
-        suspects.map(trial).collect()
+        unhealthy.map(trial).collect()
     }
 
     fn begin_call(&mut self, call: &mut DueCall, now: Instant) {
@@ -299,95 +301,91 @@
         let longest = self.spec.call_time_ms(self.spec.batch as usize);
         let longest = Duration::from_secs_f64(longest / 1_000.0);
         if let Some(target) = self.targets.get_mut(&call.target) {
-            call.patience = target.patience(call.expected, longest, now);
-            call.handover = target.begin_call(call.expected, &self.spec, now);
+            call.late_after = target.late_after(call.expected, longest, now);
+            call.next_call_after = target.begin_call(call.expected, &self.spec, now);
             if call.trial {
-                target.reserved += call.reserved;
+                target.reserved_bytes += call.reserved_bytes;
             }
         }
     }
 
-    fn has_room(&self, target: &StageTarget, waiting: &Waiting) -> bool {
+    fn has_memory_for(&self, target: &StageTarget, piece: &QueuedPiece) -> bool {
         let used = target.used_bytes();
-        let after = (used + waiting.result_bytes) as f64 * ROOM_MARGIN;
+        let after = (used + piece.result_bytes) as f64 * MEMORY_MARGIN;
         used == 0 || after <= self.spec.result_memory_bytes as f64
     }
 
     /// Gives waiting pieces, in their order, to free targets. One call is filled before another is
     /// begun, so that a target stays free for the next request; a piece whose results are large
     /// goes to its data hall where a target is free there.
-    fn piece_calls(&mut self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
+    fn assign_pieces(&mut self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
         let mut open: BTreeMap<String, DueCall> = BTreeMap::new();
-        let mut kept = Vec::new();
-        let mut kept_by_hall: HashMap<String, usize> = HashMap::new();
-        let mut rest = std::mem::take(&mut self.waiting).into_iter();
-        for waiting in rest.by_ref() {
-            let ahead = waiting
+        let mut unassigned = Vec::new();
+        let mut unassigned_by_hall: HashMap<String, usize> = HashMap::new();
+        let mut rest = std::mem::take(&mut self.queue).into_iter();
+        for piece in rest.by_ref() {
+            let queued_before = piece
                 .hall
                 .as_ref()
-                .and_then(|hall| kept_by_hall.get(hall));
-            let ahead = ahead.copied().unwrap_or(0);
-            match self.place(&waiting, &open, ahead, now) {
-                Some(id) => self.add_to_call(pool, id, waiting, &mut open, now),
+                .and_then(|hall| unassigned_by_hall.get(hall));
+            let queued_before = queued_before.copied().unwrap_or(0);
+            match self.choose_target(&piece, &open, queued_before, now) {
+                Some(id) => self.add_to_call(pool, id, piece, &mut open, now),
                 None => {
-                    if let Some(hall) = &waiting.hall {
-                        *kept_by_hall.entry(hall.clone()).or_default() += 1;
+                    if let Some(hall) = &piece.hall {
+                        *unassigned_by_hall.entry(hall.clone()).or_default() += 1;
                     }
-                    kept.push(waiting);
-                    if !self.has_place(&open, now) {
+                    unassigned.push(piece);
+                    if !self.has_open_slot(&open, now) {
                         break;
                     }
                 }
             }
         }
         // No place is left for any of these.
-        kept.extend(rest);
-        self.waiting = kept;
+        unassigned.extend(rest);
+        self.queue = unassigned;
         open.into_values().collect()
     }
 
     /// Says whether a target takes one more piece, whatever room its result needs.
-    fn has_place(&self, open: &BTreeMap<String, DueCall>, now: Instant) -> bool {
+    fn has_open_slot(&self, open: &BTreeMap<String, DueCall>, now: Instant) -> bool {
         self.usable(now).any(|(id, target)| {
             let in_call = open.get(id).map_or(0, |call| call.pieces.len());
             in_call < self.spec.batch as usize
-                && (in_call > 0 || self.has_turn(target))
+                && (in_call > 0 || self.split_allows(target))
                 && target.is_free(&self.spec, now)
         })
     }
 
-    fn place(
+    fn choose_target(
         &self,
-        waiting: &Waiting,
+        piece: &QueuedPiece,
         open: &BTreeMap<String, DueCall>,
-        ahead: usize,
+        queued_before: usize,
         now: Instant,
     ) -> Option<String> {
         let fits = |id: &str, target: &StageTarget| {
             let in_call = open.get(id).map_or(0, |call| call.pieces.len());
             in_call < self.spec.batch as usize
-                && (in_call > 0 || self.has_turn(target))
-                && open.get(id).is_none_or(|call| call.takes(waiting))
-                && waiting.homes.allow(&target.hall)
+                && (in_call > 0 || self.split_allows(target))
+                && open.get(id).is_none_or(|call| call.accepts(piece))
+                && piece.allowed_halls.allows(&target.hall)
                 && target.is_free(&self.spec, now)
-                && self.has_room(target, waiting)
-        };
-        let elsewhere = |target: &StageTarget| {
-            waiting
-                .hall
-                .as_ref()
-                .is_some_and(|hall| *hall != target.hall)
+                && self.has_memory_for(target, piece)
         };
+        let is_other_hall =
+            |target: &StageTarget| piece.hall.as_ref().is_some_and(|hall| *hall != target.hall);
         let candidates = self.usable(now).filter(|(id, target)| fits(id, target));
         let (id, target) = candidates.min_by_key(|(id, target)| {
             (
-                elsewhere(target),
+                is_other_hall(target),
                 !open.contains_key(*id),
-                target.busy > 0,
+                target.running > 0,
                 target.used_bytes(),
             )
         })?;
-        if elsewhere(target) && self.hall_is_soon_free(waiting, ahead, now) {
+        if is_other_hall(target) && self.should_wait_for_hall(piece, queued_before, now) {
             return None;
         }
         Some(id.clone())
@@ -395,37 +393,44 @@
 
     /// Says whether a piece whose results are large should rather wait for a target of its hall:
     /// one is free soon enough, and takes what waits for it `ahead` of the piece as well.
-    fn hall_is_soon_free(&self, waiting: &Waiting, ahead: usize, now: Instant) -> bool {
-        let own = Duration::from_secs_f64(self.spec.call_time_ms(1) / 1_000.0);
-        let spare = waiting.wanted.saturating_duration_since(now + own);
-        let patience = spare.mul_f64(HALL_PATIENCE_PART).min(HALL_PATIENCE);
+    fn should_wait_for_hall(
+        &self,
+        piece: &QueuedPiece,
+        queued_before: usize,
+        now: Instant,
+    ) -> bool {
+        let call_time = Duration::from_secs_f64(self.spec.call_time_ms(1) / 1_000.0);
+        let spare = piece
+            .objective_at
+            .saturating_duration_since(now + call_time);
+        let max_wait = spare.mul_f64(HALL_WAIT_FRACTION).min(MAX_HALL_WAIT);
         let of_hall = self.usable(now).filter(|(_, target)| {
-            waiting.hall.as_ref() == Some(&target.hall)
-                && !target.rests(now)
-                && target.busy_until <= now + patience
+            piece.hall.as_ref() == Some(&target.hall)
+                && !target.is_paused(now)
+                && target.busy_until <= now + max_wait
         });
-        ahead < of_hall.count() * self.spec.batch as usize
+        queued_before < of_hall.count() * self.spec.batch as usize
     }
 
     fn add_to_call(
         &mut self,
         pool: &PoolKey,
         id: String,
-        waiting: Waiting,
+        piece: QueuedPiece,
         open: &mut BTreeMap<String, DueCall>,
         now: Instant,
     ) {
         let Some(target) = self.targets.get_mut(&id) else {
             return;
         };
-        target.reserved += waiting.result_bytes;
+        target.reserved_bytes += piece.result_bytes;
         if let Some(split) = self.split.as_mut().filter(|_| !open.contains_key(&id)) {
             split.note(&target.version);
         }
         let call = open
             .entry(id.clone())
             .or_insert_with(|| DueCall::new(pool, &id, target, now));
-        call.push(waiting);
+        call.push(piece);
     }
 }
 
--- a/crates/gateway/src/coordinator/pool/tests.rs
+++ b/crates/gateway/src/coordinator/pool/tests.rs
@@ -55,26 +55,26 @@
         stage: 0,
         input: PieceInput::Key("key".to_owned()),
     });
-    for place in 0..count {
-        pool.waiting.push(Waiting {
-            piece: PieceKey {
+    for index in 0..count {
+        pool.queue.push(QueuedPiece {
+            key: PieceKey {
                 batch: BatchKey::default(),
-                place,
+                index,
             },
             rank: Rank {
                 first: 0,
                 second: 0,
             },
             deadline: now + Duration::from_secs(8),
-            wanted: now + Duration::from_secs(1),
+            objective_at: now + Duration::from_secs(1),
             hall: hall.map(str::to_owned),
-            homes: HomeHalls::default(),
+            allowed_halls: AllowedHalls::default(),
             result_bytes: RESULT_BYTES,
             work: work.clone(),
-            tries: 0,
-            key: RequestKey::default(),
-            ends: 0,
-            apart: false,
+            failures: 0,
+            request_key: RequestKey::default(),
+            target_crashes: 0,
+            isolated: false,
         });
     }
 }
@@ -85,7 +85,7 @@
     calls.map(|call| (call.target, call.pieces.len())).collect()
 }
 
-fn told(target: &str, bytes: u64, busy_ms: u32) -> TargetUse {
+fn usage(target: &str, bytes: u64, busy_ms: u32) -> TargetUse {
     TargetUse {
         target: target.to_owned(),
         bytes,
@@ -95,47 +95,47 @@
 }
 
 #[test]
-fn room_that_another_host_uses_is_not_given_away_until_it_expires() {
+fn memory_used_by_another_host_is_not_assigned_until_it_expires() {
     let (mut pool, now) = (pool(), Instant::now());
-    pool.set_uses("other", &[told("t-0", 4 * RESULT_BYTES, 0)], now);
+    pool.set_peer_uses("other", &[usage("t-0", 4 * RESULT_BYTES, 0)], now);
     add_pieces(&mut pool, 5, None, now);
     assert_eq!(due(&mut pool, now), [("t-1".to_owned(), 3)]);
-    assert_eq!(pool.waiting.len(), 2);
+    assert_eq!(pool.queue.len(), 2);
     let later = now + Duration::from_millis(2_100);
-    pool.forget_expired(later);
+    pool.expire_results(later);
     assert_eq!(due(&mut pool, later), [("t-0".to_owned(), 2)]);
 }
 
 #[test]
-fn a_target_in_a_call_of_another_host_is_not_called_meanwhile() {
+fn a_target_that_runs_a_call_of_another_host_is_not_called() {
     let (mut pool, now) = (pool(), Instant::now());
-    pool.set_uses("other", &[told("t-0", 0, 200), told("t-1", 0, 200)], now);
+    pool.set_peer_uses("other", &[usage("t-0", 0, 200), usage("t-1", 0, 200)], now);
     add_pieces(&mut pool, 1, None, now);
     assert!(due(&mut pool, now).is_empty());
     assert_eq!(due(&mut pool, now + Duration::from_millis(210)).len(), 1);
 }
 
 #[test]
-fn what_a_host_told_before_is_replaced_and_its_released_results_are_taken_off() {
+fn a_new_report_replaces_the_old_one_and_released_results_are_subtracted() {
     let (mut pool, now) = (pool(), Instant::now());
     let used = |pool: &PoolQueue| pool.targets["t-0"].used_bytes();
-    pool.set_uses("other", &[told("t-0", 9_000_000, 0)], now);
-    pool.set_uses("other", &[told("t-0", 6_000_000, 0)], now);
+    pool.set_peer_uses("other", &[usage("t-0", 9_000_000, 0)], now);
+    pool.set_peer_uses("other", &[usage("t-0", 6_000_000, 0)], now);
     assert_eq!(used(&pool), 6_000_000);
     pool.targets
         .get_mut("t-0")
         .unwrap()
         .results
-        .take_off_told(RESULT_BYTES);
+        .subtract_from_peer(RESULT_BYTES);
     assert_eq!(used(&pool), 3_000_000);
-    pool.set_uses("other", &[], now);
+    pool.set_peer_uses("other", &[], now);
     assert_eq!(used(&pool), 0);
 }
 
 #[test]
-fn a_host_tells_its_own_calls_and_results_and_not_what_it_was_told() {
+fn a_host_reports_its_own_calls_and_results_only() {
     let (mut pool, now) = (pool(), Instant::now());
-    pool.set_uses("other", &[told("t-1", 2 * RESULT_BYTES, 0)], now);
+    pool.set_peer_uses("other", &[usage("t-1", 2 * RESULT_BYTES, 0)], now);
     assert!(pool.uses(now).is_empty());
     add_pieces(&mut pool, 2, Some("hall-0"), now);
     assert_eq!(due(&mut pool, now), [("t-0".to_owned(), 2)]);
@@ -153,7 +153,7 @@
 /// targets with a call at work just then were taken as leaving, and stayed so when they were
 /// listed again.
 #[test]
-fn targets_that_were_out_of_the_list_during_a_call_take_calls_again() {
+fn targets_unlisted_during_a_call_accept_calls_once_listed_again() {
     let (mut pool, now) = (pool(), Instant::now());
     add_pieces(&mut pool, 6, None, now);
     let calls = pool.due_calls(&PoolKey::whole(SERVICE), now);
@@ -162,14 +162,14 @@
     pool.set_targets(&PoolKey::whole(SERVICE), &records());
     for call in calls {
         let target = pool.targets.get_mut(&call.target).unwrap();
-        target.end_call(Some(CallVerdict::InTime), call.reserved, now);
+        target.end_call(Some(CallVerdict::InTime), call.reserved_bytes, now);
     }
     add_pieces(&mut pool, 2, None, now);
     assert!(!due(&mut pool, now).is_empty());
 }
 
 #[test]
-fn a_target_that_is_out_of_the_list_gets_no_call_and_goes_once_its_call_has_ended() {
+fn an_unlisted_target_gets_no_call_and_is_removed_once_its_call_has_ended() {
     let (mut pool, now) = (pool(), Instant::now());
     add_pieces(&mut pool, 6, None, now);
     let calls = pool.due_calls(&PoolKey::whole(SERVICE), now);
@@ -177,7 +177,7 @@
     assert_eq!(pool.targets.len(), 2);
     for call in calls {
         let target = pool.targets.get_mut(&call.target).unwrap();
-        target.end_call(Some(CallVerdict::InTime), call.reserved, now);
+        target.end_call(Some(CallVerdict::InTime), call.reserved_bytes, now);
     }
     add_pieces(&mut pool, 2, None, now);
     assert_eq!(due(&mut pool, now), [("t-1".to_owned(), 2)]);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_target_at_whose_address_another_start_is_gets_no_call_though_it_is_listed() {
+fn a_listed_target_whose_address_has_another_incarnation_gets_no_call() {
     let (mut pool, now) = (pool(), Instant::now());
     let target = pool.targets.get_mut("t-0").unwrap();
     target.end_call(Some(CallVerdict::OtherTarget), 0, now);
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -13,80 +13,80 @@
 
 use super::batch::{BatchKey, PieceOutcome};
 use super::call;
+use super::delegation::{CallDelegate, DelegatedCall, SendRate};
 use super::due_call::DueCall;
-use super::sending::{SendingRate, SendingShare, SharedCall};
-use super::state::{ExpectKey, QueueState};
-use crate::home_halls::HomeHalls;
+use super::state::{ExpectationKey, QueueState};
+use crate::allowed_halls::AllowedHalls;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUse};
 use crate::pool_key::PoolKey;
 use crate::stage_call::{CallEnd, StageCall, StageCaller, StageRelease};
 use crate::version_split::VersionSplit;
 
 /// The load of each pool that has work, as other hosts are told it.
-pub(crate) type ToldLoads = Rc<[(PoolKey, PoolLoad)]>;
+pub(crate) type PoolLoads = Rc<[(PoolKey, PoolLoad)]>;
 
 /// Hears of a call under which a target ended.
-pub(crate) type EndWatch = Box<dyn Fn(&DueCall)>;
+pub(crate) type TargetCrashObserver = Box<dyn Fn(&DueCall)>;
 
 /// Hears of the end of each call, and the time that it took.
-pub(crate) type CallWatch = Box<dyn Fn(&DueCall, &CallEnd, Duration)>;
+pub(crate) type CallObserver = Box<dyn Fn(&DueCall, &CallEnd, Duration)>;
 
 /// Gathers pieces for the services that this host was chosen for.
 pub(crate) struct Coordinator {
     pub(crate) caller: StageCaller,
     pub(crate) recorder: Arc<EventRecorder>,
     state: RefCell<QueueState>,
-    rate: RefCell<SendingRate>,
-    share: OnceCell<SendingShare>,
+    send_rate: RefCell<SendRate>,
+    delegate: OnceCell<CallDelegate>,
     /// Hears of calls under which a target ended.
-    end_watch: OnceCell<EndWatch>,
-    call_watch: OnceCell<CallWatch>,
+    target_crash_observer: OnceCell<TargetCrashObserver>,
+    call_observer: OnceCell<CallObserver>,
     /// What [`Coordinator::loads`] returned last, and when it was worked out.
-    told_loads: RefCell<Option<(ToldLoads, Instant)>>,
+    cached_loads: RefCell<Option<(PoolLoads, Instant)>>,
 }
 
 /// How long a load that is told to other hosts counts. Working it out walks the queue, 4 microseconds with
 /// 1,000 pieces (`measure_the_load_of_a_long_queue`, release build), and a host that gathers for 300
 /// others tells it to each several times a second and after each batch.
-const LOADS_KEPT: Duration = Duration::from_millis(15);
+const LOADS_CACHE_TTL: Duration = Duration::from_millis(15);
 
 impl Coordinator {
     /// Creates a coordinator that sends up to `shared_bytes_per_s` bytes of calls in a second by itself.
     pub(crate) fn new(
         caller: StageCaller,
         recorder: Arc<EventRecorder>,
-        shared_bytes_per_s: f64,
+        max_own_bytes_per_s: f64,
     ) -> Self {
         Self {
             caller,
             recorder,
             state: RefCell::default(),
-            rate: RefCell::new(SendingRate::new(shared_bytes_per_s, Instant::now())),
-            share: OnceCell::new(),
-            end_watch: OnceCell::new(),
-            call_watch: OnceCell::new(),
-            told_loads: RefCell::default(),
+            send_rate: RefCell::new(SendRate::new(max_own_bytes_per_s, Instant::now())),
+            delegate: OnceCell::new(),
+            target_crash_observer: OnceCell::new(),
+            call_observer: OnceCell::new(),
+            cached_loads: RefCell::default(),
         }
     }
 
     /// Takes the way to other hosts, which send calls where this one has too many.
-    pub(crate) fn set_share(&self, share: SendingShare) {
-        let _ = self.share.set(share);
+    pub(crate) fn set_delegate(&self, delegate: CallDelegate) {
+        let _ = self.delegate.set(delegate);
     }
 
     /// Takes who hears of calls under which a target ended.
-    pub(crate) fn set_end_watch(&self, watch: EndWatch) {
-        let _ = self.end_watch.set(watch);
+    pub(crate) fn set_target_crash_observer(&self, observer: TargetCrashObserver) {
+        let _ = self.target_crash_observer.set(observer);
     }
 
     /// Takes who hears of the ends of calls.
-    pub(crate) fn set_call_watch(&self, watch: CallWatch) {
-        let _ = self.call_watch.set(watch);
+    pub(crate) fn set_call_observer(&self, observer: CallObserver) {
+        let _ = self.call_observer.set(observer);
     }
 
-    pub(super) fn tell_end(&self, call: &DueCall, end: &CallEnd, took: Duration) {
-        if let Some(watch) = self.call_watch.get() {
-            watch(call, end, took);
+    pub(super) fn notify_call_outcome(&self, call: &DueCall, end: &CallEnd, took: Duration) {
+        if let Some(observer) = self.call_observer.get() {
+            observer(call, end, took);
         }
     }
 
@@ -108,33 +108,40 @@
         target.is_some_and(|target| target.listed)
     }
 
-    pub(super) fn note_target_end(&self, call: &DueCall) {
-        if let Some(watch) = self.end_watch.get() {
-            watch(call);
+    pub(super) fn notify_target_crash(&self, call: &DueCall) {
+        if let Some(observer) = self.target_crash_observer.get() {
+            observer(call);
         }
     }
 
     /// Sends a call to its target, unless another host does.
-    pub(super) async fn carry(&self, call: &StageCall, shared: Option<SharedCall>) -> CallEnd {
-        match shared {
-            Some(shared) => shared.end.await,
+    pub(super) async fn send_call(
+        &self,
+        call: &StageCall,
+        delegated: Option<DelegatedCall>,
+    ) -> CallEnd {
+        match delegated {
+            Some(delegated) => delegated.end.await,
             None => self.caller.send_call(call).await,
         }
     }
 
     /// Counts a call that is due, and hands it to another host where this one has too many.
-    pub(super) fn share(&self, call: &StageCall, hall: &str) -> Option<SharedCall> {
-        self.note_sending(call);
-        let share = self.share.get()?;
-        let is_shared = self.rate.borrow().is_shared();
-        is_shared.then(|| (share.call)(call, hall)).flatten()
+    pub(super) fn delegate_call(&self, call: &StageCall, hall: &str) -> Option<DelegatedCall> {
+        self.record_call_bytes(call);
+        let delegate = self.delegate.get()?;
+        let is_delegating = self.send_rate.borrow().is_delegating();
+        is_delegating.then(|| (delegate.call)(call, hall)).flatten()
     }
 
     /// Sends a release to its target, or has another host send it.
     fn send_release(self: &Rc<Self>, release: StageRelease, hall: &str) {
-        let share = self.share.get().filter(|_| self.rate.borrow().is_shared());
-        let own = match share {
-            Some(share) => (share.release)(release, hall),
+        let delegate = self
+            .delegate
+            .get()
+            .filter(|_| self.send_rate.borrow().is_delegating());
+        let own = match delegate {
+            Some(delegate) => (delegate.release)(release, hall),
             None => Some(release),
         };
         if let Some(release) = own {
@@ -143,9 +150,9 @@
         }
     }
 
-    fn note_sending(&self, call: &StageCall) {
-        let mut rate = self.rate.borrow_mut();
-        let Some(change) = rate.note(call.body_bytes(), Instant::now()) else {
+    fn record_call_bytes(&self, call: &StageCall) {
+        let mut rate = self.send_rate.borrow_mut();
+        let Some(change) = rate.record(call.body_bytes(), Instant::now()) else {
             return;
         };
         let detail = format!("{change:?} bytes_per_s={:.0}", rate.bytes_per_s());
@@ -187,16 +194,16 @@
     }
 
     /// Returns the load of every pool that has work here, as it is told to other hosts.
-    pub(crate) fn loads(&self) -> ToldLoads {
+    pub(crate) fn loads(&self) -> PoolLoads {
         let now = Instant::now();
-        let mut told = self.told_loads.borrow_mut();
-        match &*told {
-            Some((loads, since)) if now.saturating_duration_since(*since) < LOADS_KEPT => {
+        let mut cached = self.cached_loads.borrow_mut();
+        match &*cached {
+            Some((loads, since)) if now.saturating_duration_since(*since) < LOADS_CACHE_TTL => {
                 loads.clone()
             }
             _ => {
-                let loads: ToldLoads = self.loads_at(now).into();
-                *told = Some((loads.clone(), now));
+                let loads: PoolLoads = self.loads_at(now).into();
+                *cached = Some((loads.clone(), now));
                 loads
             }
         }
@@ -204,19 +211,19 @@
 
     fn loads_at(&self, now: Instant) -> Vec<(PoolKey, PoolLoad)> {
         let state = self.state.borrow();
-        let working = state.pools.iter().filter(|(_, pool)| pool.has_work());
-        working
+        let active = state.pools.iter().filter(|(_, pool)| pool.has_work());
+        active
             .map(|(key, pool)| (key.clone(), state.load(key, pool, now)))
             .collect()
     }
 
     /// Counts pieces that will come.
-    pub(crate) fn expect(&self, expected: ExpectedPieces) -> ExpectKey {
-        self.state.borrow_mut().expect(expected)
+    pub(crate) fn expect_pieces(&self, expected: ExpectedPieces) -> ExpectationKey {
+        self.state.borrow_mut().expect_pieces(expected)
     }
 
     /// Ends what [`Coordinator::expect`] began.
-    pub(crate) fn arrived(&self, key: ExpectKey) {
+    pub(crate) fn end_expected(&self, key: ExpectationKey) {
         self.state.borrow_mut().end_expected(key);
     }
 
@@ -235,13 +242,13 @@
     ) -> Option<BatchKey> {
         let count = batch.count as usize;
         let now = Instant::now();
-        let homes = HomeHalls::told(batch.homes.clone());
+        let allowed_halls = AllowedHalls::from_names(batch.homes.clone());
         let refused = {
             let mut state = self.state.borrow_mut();
             match state.pool_mut(&batch.pool) {
                 None => Some(PieceFault::Lost),
-                Some(pool) if !pool.has_target_in(&homes) => Some(PieceFault::Failed),
-                Some(pool) if pool.is_too_late(&batch, now) => Some(PieceFault::Refused),
+                Some(pool) if !pool.has_target_in(&allowed_halls) => Some(PieceFault::Failed),
+                Some(pool) if pool.would_miss_objective(&batch, now) => Some(PieceFault::Refused),
                 Some(_) => None,
             }
         };
@@ -260,15 +267,20 @@
         let mut state = self.state.borrow_mut();
         state.batches.cancel(key);
         for pool in state.pools.values_mut() {
-            pool.waiting.retain(|waiting| waiting.piece.batch != key);
+            pool.queue.retain(|piece| piece.key.batch != key);
         }
     }
 
     /// Releases results of a service, each of about `bytes`. Those that another host gathered are
     /// released as well, since that host may be gone.
-    pub(crate) fn free(self: &Rc<Self>, service: &str, handles: Vec<String>, bytes: u64) {
+    pub(crate) fn release_results(
+        self: &Rc<Self>,
+        service: &str,
+        handles: Vec<String>,
+        bytes: u64,
+    ) {
         let mut state = self.state.borrow_mut();
-        let releases = state.take_results(service, handles, bytes, Instant::now());
+        let releases = state.remove_results(service, handles, bytes, Instant::now());
         drop(state);
         for (release, hall) in releases {
             self.send_release(release, &hall);
@@ -290,10 +302,10 @@
 
     /// Takes what another host that gathers for a pool uses of its targets. Should that host be
     /// lost, this one begins with what the targets are known to hold.
-    pub(crate) fn set_uses(&self, teller: &str, pool: &PoolKey, uses: &[TargetUse]) {
+    pub(crate) fn set_peer_uses(&self, peer: &str, pool: &PoolKey, uses: &[TargetUse]) {
         let mut state = self.state.borrow_mut();
         if let Some(pool) = state.pool_mut(pool) {
-            pool.set_uses(teller, uses, Instant::now());
+            pool.set_peer_uses(peer, uses, Instant::now());
         }
     }
 
@@ -315,11 +327,11 @@
     pub(crate) fn dispatch(self: &Rc<Self>, pool: &PoolKey) {
         let due = self.state.borrow_mut().due_calls(pool, Instant::now());
         for call in due {
-            if let Some(handover) = call.handover {
+            if let Some(next_call_after) = call.next_call_after {
                 ntex::rt::spawn(call::dispatch_after(
                     self.clone(),
                     call.pool.clone(),
-                    handover,
+                    next_call_after,
                 ));
             }
             ntex::rt::spawn(call::run_call(self.clone(), call));
@@ -327,17 +339,24 @@
     }
 
     /// Takes what a target reported to have free for results.
-    pub(crate) fn take_free_bytes(self: &Rc<Self>, pool: &PoolKey, address: SocketAddr, free: u64) {
-        self.state.borrow_mut().take_free_bytes(pool, address, free);
+    pub(crate) fn apply_free_bytes(
+        self: &Rc<Self>,
+        pool: &PoolKey,
+        address: SocketAddr,
+        free: u64,
+    ) {
+        self.state
+            .borrow_mut()
+            .apply_free_bytes(pool, address, free);
         self.dispatch(pool);
     }
 
     /// Takes that a call is late, so that its pieces go to other targets as well; it is waited for until
     /// `until`.
-    pub(crate) fn note_late(self: &Rc<Self>, call: &DueCall, until: Instant) {
+    pub(crate) fn requeue_late_call(self: &Rc<Self>, call: &DueCall, until: Instant) {
         self.state
             .borrow_mut()
-            .note_late(call, until, Instant::now());
+            .requeue_late_call(call, until, Instant::now());
         self.dispatch(&call.pool);
     }
 
@@ -357,20 +376,20 @@
         if sender.is_none() {
             state.set_standing(&call, self.caller.standing(&call.target), now);
         }
-        let finished = state.finish_call(call, end, late, now);
+        let effects = state.finish_call(call, end, late, now);
         drop(state);
-        for (reply, outcomes) in finished.replies {
+        for (reply, outcomes) in effects.replies {
             reply(outcomes);
         }
-        if let Some((target, address)) = finished.unsure {
-            let learning = call::learn_free_bytes(self.clone(), pool.clone(), target, address);
-            ntex::rt::spawn(learning);
+        if let Some((target, address)) = effects.full_target {
+            let query = call::query_free_bytes(self.clone(), pool.clone(), target, address);
+            ntex::rt::spawn(query);
         }
-        if finished.unclaimed.is_empty() {
+        if effects.unneeded.is_empty() {
             self.dispatch(&pool);
         } else {
-            self.free(&pool.service, finished.unclaimed, 0);
+            self.release_results(&pool.service, effects.unneeded, 0);
         }
-        finished.rest
+        effects.cooldown
     }
 }
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -8,13 +8,13 @@
 use linnet_directory::TargetRecord;
 use linnet_routing::StagePool;
 
-use super::batch::{BatchBook, BatchKey, BatchReply, CopyEnd, PieceKey, PieceOutcome};
+use super::batch::{BatchKey, BatchReply, CopyEffect, OpenBatches, PieceKey, PieceOutcome};
 use super::due_call::DueCall;
-use super::held::HeldKey;
-use super::pool::{PoolQueue, Waiting};
+use super::pool::{PoolQueue, QueuedPiece};
+use super::result_memory::MemoryKey;
 use super::stage_target::{CallVerdict, StageTarget};
+use crate::allowed_halls::AllowedHalls;
 use crate::ask::Rank;
-use crate::home_halls::HomeHalls;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, maker_of};
 use crate::pool_key::PoolKey;
 use crate::stage_call::{CallEnd, StageRelease};
@@ -22,15 +22,15 @@
 use crate::version_split::VersionSplit;
 
 /// How often a piece is given to a target before it counts as failed.
-const MAX_TRIES: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 
 /// Targets that may end while they work on a piece. What comes of it after that is decided for the whole
 /// request, by what all hosts know of it.
-const MAX_ENDS: u32 = 2;
+const MAX_TARGET_CRASHES: u32 = 2;
 
 /// Names pieces that are expected at a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct ExpectKey(u64);
+pub(crate) struct ExpectationKey(u64);
 
 /// Returns what a call that ended so says of its target; nothing where it says nothing.
 fn verdict_of(end: &CallEnd, late: bool) -> Option<CallVerdict> {
@@ -44,7 +44,7 @@
     }
 }
 
-fn says_no_room(end: &CallEnd) -> bool {
+fn reports_no_room(end: &CallEnd) -> bool {
     match end {
         CallEnd::Answered(outcomes, _) => outcomes.contains(&Err(PieceFault::NoRoom)),
         _ => false,
@@ -67,10 +67,10 @@
 pub(super) struct QueueState {
     pub(super) specs: HashMap<String, StagePool>,
     pub(super) pools: HashMap<PoolKey, PoolQueue>,
-    pub(super) batches: BatchBook,
-    expected: BTreeMap<ExpectKey, ExpectedPieces>,
+    pub(super) batches: OpenBatches,
+    expected: BTreeMap<ExpectationKey, ExpectedPieces>,
     /// Sums of what is expected, by pool and rank.
-    expected_sums: HashMap<PoolKey, BTreeMap<Rank, u32>>,
+    expected_by_pool: HashMap<PoolKey, BTreeMap<Rank, u32>>,
     last_expected: u64,
     last_lost: u64,
     /// The targets that take work, by identity.
@@ -81,18 +81,18 @@
 
 /// What is due after a call has ended.
 #[derive(Default)]
-pub(super) struct Finished {
+pub(super) struct CallEffects {
     /// How long its target rests.
-    pub(super) rest: Option<Duration>,
+    pub(super) cooldown: Option<Duration>,
     /// A target whose memory holds more than this host knows.
-    pub(super) unsure: Option<(String, SocketAddr)>,
+    pub(super) full_target: Option<(String, SocketAddr)>,
     /// Results that nobody waits for any more.
-    pub(super) unclaimed: Vec<String>,
+    pub(super) unneeded: Vec<String>,
     /// Batches that are complete.
     pub(super) replies: Vec<(BatchReply, Vec<PieceOutcome>)>,
 }
 
-fn may_pay(outcome: &PieceOutcome) -> bool {
+fn is_retryable(outcome: &PieceOutcome) -> bool {
     matches!(
         outcome,
         Err(PieceFault::Failed
@@ -104,24 +104,24 @@
 
 /// Notes the memory that the results of a call take at its target. A call that failed may have run all
 /// the same: its results take their memory until they expire, and nobody knows their handles.
-fn note_results(
+fn record_results(
     target: &mut StageTarget,
     call: &DueCall,
     end: &CallEnd,
-    lost: HeldKey,
+    lost: MemoryKey,
     until: Instant,
 ) {
     match end {
         CallEnd::Answered(outcomes, _) => {
-            for (waiting, outcome) in call.pieces.iter().zip(outcomes) {
+            for (piece, outcome) in call.pieces.iter().zip(outcomes) {
                 if let Ok(handle) = outcome {
-                    let key = HeldKey::Result(handle.clone());
-                    target.results.insert(key, waiting.result_bytes, until);
+                    let key = MemoryKey::Result(handle.clone());
+                    target.results.insert(key, piece.result_bytes, until);
                 }
             }
         }
         CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::SenderLost => {
-            target.results.insert(lost, call.reserved, until);
+            target.results.insert(lost, call.reserved_bytes, until);
         }
         CallEnd::Busy | CallEnd::OtherTarget | CallEnd::Ended(_) => {}
     }
@@ -129,21 +129,24 @@
 
 impl QueueState {
     /// Counts pieces that will come.
-    pub(super) fn expect(&mut self, expected: ExpectedPieces) -> ExpectKey {
+    pub(super) fn expect_pieces(&mut self, expected: ExpectedPieces) -> ExpectationKey {
         self.last_expected += 1;
-        let key = ExpectKey(self.last_expected);
-        let ranks = self.expected_sums.entry(expected.pool.clone()).or_default();
+        let key = ExpectationKey(self.last_expected);
+        let ranks = self
+            .expected_by_pool
+            .entry(expected.pool.clone())
+            .or_default();
         *ranks.entry(expected.rank).or_default() += expected.pieces;
         self.expected.insert(key, expected);
         key
     }
 
     /// Ends what [`QueueState::expect`] began.
-    pub(super) fn end_expected(&mut self, key: ExpectKey) {
+    pub(super) fn end_expected(&mut self, key: ExpectationKey) {
         let Some(expected) = self.expected.remove(&key) else {
             return;
         };
-        let ranks = self.expected_sums.get_mut(&expected.pool);
+        let ranks = self.expected_by_pool.get_mut(&expected.pool);
         if let Some(sum) = ranks.and_then(|ranks| ranks.get_mut(&expected.rank)) {
             *sum -= expected.pieces;
         }
@@ -153,8 +156,8 @@
     pub(super) fn load(&self, key: &PoolKey, pool: &PoolQueue, now: Instant) -> PoolLoad {
         let mut load = pool.load(now);
         let mut waiting: BTreeMap<Rank, u32> = load.waiting.iter().copied().collect();
-        let coming = self.expected_sums.get(key).into_iter().flatten();
-        for (rank, pieces) in coming.filter(|(_, pieces)| **pieces > 0) {
+        let expected = self.expected_by_pool.get(key).into_iter().flatten();
+        for (rank, pieces) in expected.filter(|(_, pieces)| **pieces > 0) {
             *waiting.entry(*rank).or_default() += pieces;
         }
         load.waiting = waiting.into_iter().collect();
@@ -179,11 +182,11 @@
             self.records.insert(record.id.clone(), record.clone());
         }
         for (key, pool) in &mut self.pools {
-            let concerns = |record: &&TargetRecord| key.holds(record);
+            let belongs = |record: &&TargetRecord| key.holds(record);
             let mut changed = listed.iter().chain(unlisted);
             if changed.any(|record| key.holds(record)) {
-                let gone = unlisted.iter().filter(concerns);
-                pool.update_targets(listed.iter().filter(concerns), gone);
+                let removed = unlisted.iter().filter(belongs);
+                pool.update_targets(listed.iter().filter(belongs), removed);
             }
         }
     }
@@ -206,29 +209,29 @@
         reply: BatchReply,
         now: Instant,
     ) -> BatchKey {
-        let key = self.batches.begin(batch.count as usize, reply);
+        let key = self.batches.add(batch.count as usize, reply);
         let deadline = now + Duration::from_millis(batch.remaining_ms);
-        let wanted = now + Duration::from_millis(batch.wanted_ms);
+        let objective_at = now + Duration::from_millis(batch.wanted_ms);
         let Some(pool) = self.pools.get_mut(&batch.pool) else {
             return key;
         };
         let work = Rc::new(batch.work);
-        let homes = HomeHalls::told(batch.homes);
-        let pieces = (0..batch.count as usize).map(|place| Waiting {
-            piece: PieceKey { batch: key, place },
+        let allowed_halls = AllowedHalls::from_names(batch.homes);
+        let pieces = (0..batch.count as usize).map(|index| QueuedPiece {
+            key: PieceKey { batch: key, index },
             rank: batch.rank,
             deadline,
-            wanted,
+            objective_at,
             hall: batch.hall.clone(),
-            homes: homes.clone(),
+            allowed_halls: allowed_halls.clone(),
             result_bytes: batch.result_bytes,
             work: work.clone(),
-            tries: 0,
-            key: batch.key,
-            ends: 0,
-            apart: batch.apart,
+            failures: 0,
+            request_key: batch.key,
+            target_crashes: 0,
+            isolated: batch.apart,
         });
-        pool.wait(pieces.collect());
+        pool.enqueue(pieces.collect());
         key
     }
 
@@ -237,24 +240,24 @@
             return Vec::new();
         };
         // Most of what asks for calls in a burst finds none free; the queue is not walked then.
-        if !pool.may_call(now) {
+        if !pool.can_call(now) {
             return Vec::new();
         }
-        pool.forget_expired(now);
+        pool.expire_results(now);
         let batches = &mut self.batches;
-        pool.waiting
-            .retain(|waiting| batches.copies_of(waiting.piece).is_some());
+        pool.queue
+            .retain(|piece| batches.pending_copies(piece.key).is_some());
         let due = pool.due_calls(key, now);
         let trials = due.iter().filter(|call| call.trial);
-        for waiting in trials.flat_map(|call| &call.pieces) {
-            batches.add_copy(waiting.piece);
+        for piece in trials.flat_map(|call| &call.pieces) {
+            batches.add_copy(piece.key);
         }
         due
     }
 
     /// Takes results off their targets, and returns what the targets are to be told, each with its
     /// hall.
-    pub(super) fn take_results(
+    pub(super) fn remove_results(
         &mut self,
         service: &str,
         handles: Vec<String>,
@@ -268,19 +271,19 @@
             .flat_map(|(_, pool)| pool.targets.iter_mut())
             .collect();
         for handle in handles {
-            let maker: Option<SocketAddr> = maker_of(&handle).parse().ok();
-            let maker = targets
+            let owner: Option<SocketAddr> = maker_of(&handle).parse().ok();
+            let owner = targets
                 .iter_mut()
-                .find(|(_, one)| Some(one.address) == maker);
-            let Some((id, target)) = maker else {
+                .find(|(_, one)| Some(one.address) == owner);
+            let Some((id, target)) = owner else {
                 continue;
             };
             // It would not be told, so the result keeps its room until it expires.
-            if target.wants_nothing(now) {
+            if target.is_backed_off(now) {
                 continue;
             }
-            if !target.results.remove(&HeldKey::Result(handle.clone())) {
-                target.results.take_off_told(bytes);
+            if !target.results.remove(&MemoryKey::Result(handle.clone())) {
+                target.results.subtract_from_peer(bytes);
             }
             let known = releases
                 .iter_mut()
@@ -302,25 +305,26 @@
     /// Puts the pieces of a call that is late into the queue once more, for other targets, while the call
     /// goes on until `until`. Where no other target answers in time either, that would only add to
     /// what waits.
-    pub(super) fn note_late(&mut self, call: &DueCall, until: Instant, now: Instant) {
+    pub(super) fn requeue_late_call(&mut self, call: &DueCall, until: Instant, now: Instant) {
         let Some(pool) = self.pools.get_mut(&call.pool) else {
             return;
         };
         if let Some(target) = pool.targets.get_mut(&call.target) {
-            target.note_late(until);
+            target.mark_late(until);
         }
-        if !pool.has_sound_target(now) {
+        if !pool.has_healthy_target(now) {
             return;
         }
         // One that may end its target is at one target at a time.
-        let lone =
-            |waiting: &&Waiting| !waiting.apart && self.batches.copies_of(waiting.piece) == Some(1);
-        let copies = call.pieces.iter().filter(lone);
-        let copies: Vec<Waiting> = copies.cloned().collect();
+        let is_single_copy = |piece: &&QueuedPiece| {
+            !piece.isolated && self.batches.pending_copies(piece.key) == Some(1)
+        };
+        let copies = call.pieces.iter().filter(is_single_copy);
+        let copies: Vec<QueuedPiece> = copies.cloned().collect();
         for copy in &copies {
-            self.batches.add_copy(copy.piece);
+            self.batches.add_copy(copy.key);
         }
-        pool.wait(copies);
+        pool.enqueue(copies);
     }
 
     /// Takes what the target of a call has asked of this host.
@@ -338,68 +342,72 @@
         end: CallEnd,
         late: bool,
         now: Instant,
-    ) -> Finished {
-        let mut finished = Finished::default();
+    ) -> CallEffects {
+        let mut effects = CallEffects::default();
         let Some(pool) = self.pools.get_mut(&call.pool) else {
-            return finished;
+            return effects;
         };
-        let full = says_no_room(&end);
+        let no_room = reports_no_room(&end);
         if let Some(target) = pool.targets.get_mut(&call.target) {
-            finished.rest = target.end_call(verdict_of(&end, late), call.reserved, now);
-            let left = target.back_off_left(now);
-            finished.rest = finished.rest.max((!left.is_zero()).then_some(left));
+            effects.cooldown = target.end_call(verdict_of(&end, late), call.reserved_bytes, now);
+            let left = target.remaining_back_off(now);
+            effects.cooldown = effects.cooldown.max((!left.is_zero()).then_some(left));
             let until = now + Duration::from_millis(pool.spec.result_ttl_ms);
             self.last_lost += 1;
             if let CallEnd::Answered(_, load) = &end {
                 // One that was sent ahead waited at its target, which says nothing of its pace.
-                if !call.ahead {
-                    target.learn_pace(call.expected, now.saturating_duration_since(call.began));
+                if !call.overlapping {
+                    target.update_time_ratio(
+                        call.expected,
+                        now.saturating_duration_since(call.started),
+                    );
                 }
-                target.note_load(*load, now);
+                target.record_load(*load, now);
             }
-            note_results(target, &call, &end, HeldKey::Lost(self.last_lost), until);
-            if full {
+            record_results(target, &call, &end, MemoryKey::Lost(self.last_lost), until);
+            if no_room {
                 let room = pool.spec.result_memory_bytes;
-                target.set_others(room.saturating_sub(target.used_bytes()), now);
-                finished.unsure = Some((call.target.clone(), target.address));
+                target.set_unreported(room.saturating_sub(target.used_bytes()), now);
+                effects.full_target = Some((call.target.clone(), target.address));
             }
         }
         let outcomes = outcomes_of(end, call.pieces.len());
-        let mut again = Vec::new();
-        for (mut waiting, outcome) in call.pieces.into_iter().zip(outcomes) {
+        let mut retries = Vec::new();
+        for (mut piece, outcome) in call.pieces.into_iter().zip(outcomes) {
             if outcome == Err(PieceFault::TargetsEnded) {
-                waiting.ends += 1;
-                waiting.apart = true;
+                piece.target_crashes += 1;
+                piece.isolated = true;
             }
-            let alone = self.batches.copies_of(waiting.piece) == Some(1);
-            let tried = waiting.tries + 1 >= MAX_TRIES || waiting.ends >= MAX_ENDS;
-            if alone && may_pay(&outcome) && !tried && waiting.deadline > now {
-                waiting.tries += u32::from(outcome == Err(PieceFault::Failed));
-                again.push(waiting);
+            let is_last_copy = self.batches.pending_copies(piece.key) == Some(1);
+            let exhausted =
+                piece.failures + 1 >= MAX_FAILURES || piece.target_crashes >= MAX_TARGET_CRASHES;
+            if is_last_copy && is_retryable(&outcome) && !exhausted && piece.deadline > now {
+                piece.failures += u32::from(outcome == Err(PieceFault::Failed));
+                retries.push(piece);
                 continue;
             }
-            match self.batches.end_copy(waiting.piece, outcome) {
-                CopyEnd::Noted => {}
-                CopyEnd::Unclaimed(handle) => finished.unclaimed.push(handle),
-                CopyEnd::Complete(reply, outcomes) => finished.replies.push((reply, outcomes)),
+            match self.batches.record_outcome(piece.key, outcome) {
+                CopyEffect::Pending => {}
+                CopyEffect::Unneeded(handle) => effects.unneeded.push(handle),
+                CopyEffect::Complete(reply, outcomes) => effects.replies.push((reply, outcomes)),
             }
         }
-        pool.wait(again);
-        finished
+        pool.enqueue(retries);
+        effects
     }
 
     /// Takes what a target reported to have free; the rest that this host does not know of is held
     /// by results that others had made.
-    pub(super) fn take_free_bytes(&mut self, key: &PoolKey, address: SocketAddr, free: u64) {
+    pub(super) fn apply_free_bytes(&mut self, key: &PoolKey, address: SocketAddr, free: u64) {
         let Some(pool) = self.pools.get_mut(key) else {
             return;
         };
         let room = pool.spec.result_memory_bytes;
         let mut targets = pool.targets.values_mut();
         if let Some(target) = targets.find(|target| target.address == address) {
-            target.results.remove(&HeldKey::Others);
+            target.results.remove(&MemoryKey::Unreported);
             let known = target.used_bytes();
-            target.set_others(room.saturating_sub(free + known), Instant::now());
+            target.set_unreported(room.saturating_sub(free + known), Instant::now());
         }
     }
 }
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -1,6 +1,6 @@
-mod asked;
+mod back_off;
 mod burst;
-mod ended;
+mod target_crash;
 
 use std::cell::RefCell;
 
@@ -8,12 +8,12 @@
 use linnet_quarantine::RequestKey;
 
 use super::*;
-use crate::load::ReportedLoad;
 use crate::piece::{PieceInput, StageWork};
+use crate::reported_load::ReportedLoad;
 
 const SERVICE: &str = "stage";
 
-type Replied = Rc<RefCell<Vec<PieceOutcome>>>;
+type Replies = Rc<RefCell<Vec<PieceOutcome>>>;
 
 fn spec() -> StagePool {
     StagePool {
@@ -79,14 +79,14 @@
 }
 
 /// Lets the pieces of one request wait.
-fn submit(state: &mut QueueState, pieces: u32, now: Instant) -> Replied {
+fn submit(state: &mut QueueState, pieces: u32, now: Instant) -> Replies {
     let batch = batch(pieces);
-    let replied: Replied = Rc::default();
-    let sink = replied.clone();
+    let replies: Replies = Rc::default();
+    let sink = replies.clone();
     let reply: BatchReply = Box::new(move |outcomes| *sink.borrow_mut() = outcomes);
     assert!(state.pool_mut(&key()).is_some());
     state.enqueue(batch, reply, now);
-    replied
+    replies
 }
 
 /// Ends a call as if its target had made every piece; returns results that nobody wants.
@@ -104,7 +104,7 @@
     for (reply, outcomes) in finished.replies {
         reply(outcomes);
     }
-    finished.unclaimed
+    finished.unneeded
 }
 
 fn only_call(state: &mut QueueState, now: Instant) -> DueCall {
@@ -114,67 +114,67 @@
 }
 
 /// Makes the first target suspect: its call is late, and its pieces were made elsewhere meanwhile.
-fn make_suspect(state: &mut QueueState, now: Instant) -> String {
-    let replied = submit(state, 2, now);
+fn make_unhealthy(state: &mut QueueState, now: Instant) -> String {
+    let replies = submit(state, 2, now);
     let slow = only_call(state, now);
-    state.note_late(&slow, now + Duration::from_secs(1), now);
-    let quick = only_call(state, now);
-    assert_ne!(slow.target, quick.target);
-    assert!(answer(state, quick, false).is_empty());
-    assert_eq!(replied.borrow().len(), 2);
-    let suspect = slow.target.clone();
+    state.requeue_late_call(&slow, now + Duration::from_secs(1), now);
+    let fast = only_call(state, now);
+    assert_ne!(slow.target, fast.target);
+    assert!(answer(state, fast, false).is_empty());
+    assert_eq!(replies.borrow().len(), 2);
+    let unhealthy = slow.target.clone();
     assert_eq!(answer(state, slow, true).len(), 2, "results made twice");
-    suspect
+    unhealthy
 }
 
 #[test]
 fn the_pieces_of_a_late_call_go_to_another_target_and_the_first_results_count() {
     let (mut state, now) = (state(2), Instant::now());
-    make_suspect(&mut state, now);
+    make_unhealthy(&mut state, now);
 }
 
 #[test]
-fn a_late_call_that_ends_first_after_all_takes_its_copies_out_of_the_queue() {
+fn copies_of_a_late_call_leave_the_queue_if_it_ends_first() {
     let (mut state, now) = (state(2), Instant::now());
-    let replied = submit(&mut state, 2, now);
+    let replies = submit(&mut state, 2, now);
     let slow = only_call(&mut state, now);
     let busy = submit(&mut state, 1, now);
     let other = only_call(&mut state, now);
-    state.note_late(&slow, now + Duration::from_secs(1), now);
+    state.requeue_late_call(&slow, now + Duration::from_secs(1), now);
     assert!(answer(&mut state, slow, true).is_empty());
-    assert_eq!(replied.borrow().len(), 2);
+    assert_eq!(replies.borrow().len(), 2);
     answer(&mut state, other, false);
     assert_eq!(busy.borrow().len(), 1);
     assert!(state.due_calls(&key(), now).is_empty());
-    assert!(state.pools[&key()].waiting.is_empty());
+    assert!(state.pools[&key()].queue.is_empty());
 }
 
 #[test]
-fn a_suspect_target_gets_only_a_copy_until_it_answers_one_in_time() {
+fn an_unhealthy_target_gets_only_a_copy_until_it_answers_one_in_time() {
     let (mut state, now) = (state(2), Instant::now());
-    let suspect = make_suspect(&mut state, now);
+    let unhealthy = make_unhealthy(&mut state, now);
     let load = state.load(&key(), &state.pools[&key()], now);
     assert_eq!(load.targets, 1, "a suspect target is not counted on");
 
-    let replied = submit(&mut state, 3, now);
-    let sound = only_call(&mut state, now);
-    assert_ne!(sound.target, suspect, "it rests at first");
-    answer(&mut state, sound, false);
-    assert_eq!(replied.borrow().len(), 3);
+    let replies = submit(&mut state, 3, now);
+    let healthy = only_call(&mut state, now);
+    assert_ne!(healthy.target, unhealthy, "it rests at first");
+    answer(&mut state, healthy, false);
+    assert_eq!(replies.borrow().len(), 3);
 
     let rested = now + Duration::from_secs(2);
-    let replied = submit(&mut state, 3, rested);
+    let replies = submit(&mut state, 3, rested);
     let (trials, calls): (Vec<DueCall>, Vec<DueCall>) = {
         let due = state.due_calls(&key(), rested).into_iter();
         due.partition(|call| call.trial)
     };
     assert_eq!((trials.len(), calls.len()), (1, 1));
-    assert_eq!(trials[0].target, suspect);
+    assert_eq!(trials[0].target, unhealthy);
     assert_eq!((trials[0].pieces.len(), calls[0].pieces.len()), (1, 3));
     for call in calls {
         answer(&mut state, call, false);
     }
-    assert_eq!(replied.borrow().len(), 3, "no request waits for the trial");
+    assert_eq!(replies.borrow().len(), 3, "no request waits for the trial");
     for trial in trials {
         assert_eq!(answer(&mut state, trial, false).len(), 1);
     }
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn where_every_target_is_suspect_all_are_used_and_late_pieces_are_not_doubled() {
+fn if_all_targets_are_unhealthy_they_are_used_and_late_pieces_are_not_copied() {
     let (mut state, now) = (state(1), Instant::now());
-    let replied = submit(&mut state, 1, now);
+    let replies = submit(&mut state, 1, now);
     let slow = only_call(&mut state, now);
-    state.note_late(&slow, now + Duration::from_secs(1), now);
-    assert!(state.pools[&key()].waiting.is_empty());
+    state.requeue_late_call(&slow, now + Duration::from_secs(1), now);
+    assert!(state.pools[&key()].queue.is_empty());
     answer(&mut state, slow, true);
-    assert_eq!(replied.borrow().len(), 1);
+    assert_eq!(replies.borrow().len(), 1);
     let rested = now + Duration::from_secs(2);
     submit(&mut state, 2, rested);
     let call = only_call(&mut state, rested);
@@ -198,16 +198,16 @@
 }
 
 #[test]
-fn a_piece_whose_copies_all_fail_is_tried_so_often_and_no_more() {
+fn a_piece_is_given_up_after_the_maximum_number_of_failures() {
     let (mut state, mut now) = (state(1), Instant::now());
-    let replied = submit(&mut state, 1, now);
-    for _ in 0..MAX_TRIES {
-        assert!(replied.borrow().is_empty());
+    let replies = submit(&mut state, 1, now);
+    for _ in 0..MAX_FAILURES {
+        assert!(replies.borrow().is_empty());
         let call = only_call(&mut state, now);
         finish(&mut state, call, CallEnd::Failed("reset".to_owned()), false);
         now += Duration::from_secs(1);
     }
-    assert_eq!(*replied.borrow(), [Err(PieceFault::Failed)]);
+    assert_eq!(*replies.borrow(), [Err(PieceFault::Failed)]);
     assert!(state.due_calls(&key(), now).is_empty());
 }
 
@@ -218,29 +218,32 @@
         submit(&mut state, 1, now);
         only_call(&mut state, now)
     };
-    let patience = first.patience;
+    let late_after = first.late_after;
     state.finish_call(first, CallEnd::Busy, false, Instant::now());
     let pool = state.pools.get_mut(&key()).unwrap();
     let target = pool.targets.get_mut("t-0").unwrap();
     let usual = Duration::from_millis(166);
     for _ in 0..20 {
-        target.learn_pace(usual, usual.mul_f64(1.4));
+        target.update_time_ratio(usual, usual.mul_f64(1.4));
     }
-    let patience_of = |target: &StageTarget| target.patience(usual, usual, now);
-    assert!(patience_of(target) > patience);
-    assert!(patience_of(target) > usual.mul_f64(1.4 * 1.25));
+    let late_after_of = |target: &StageTarget| target.late_after(usual, usual, now);
+    assert!(late_after_of(target) > late_after);
+    assert!(late_after_of(target) > usual.mul_f64(1.4 * 1.25));
     for _ in 0..20 {
-        target.learn_pace(usual, usual * 8);
+        target.update_time_ratio(usual, usual * 8);
     }
-    assert!(patience_of(target) < usual * 3, "a slow spell is not usual");
+    assert!(
+        late_after_of(target) < usual * 3,
+        "a slow spell is not usual"
+    );
 }
 
 #[test]
-fn a_call_that_waits_behind_those_of_another_host_is_not_late_so_soon() {
+fn a_call_queued_behind_those_of_another_host_counts_as_late_later() {
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 1, now);
     let first = only_call(&mut state, now);
-    let alone = first.patience;
+    let alone = first.late_after;
     let made = vec![Ok("127.0.0.1:1000/a".to_owned())];
     let load = Some(ReportedLoad {
         running: 1,
@@ -250,27 +253,27 @@
     submit(&mut state, 1, now);
     let shared = only_call(&mut state, now);
     let full_call = Duration::from_millis(150 + 8 * 16);
-    assert!(shared.patience > alone + full_call.mul_f64(0.9));
+    assert!(shared.late_after > alone + full_call.mul_f64(0.9));
     let later = now + Duration::from_secs(5);
     state.finish_call(shared, CallEnd::Busy, false, Instant::now());
     let pool = &state.pools[&key()];
     let usual = Duration::from_millis(166);
-    let patience = pool.targets["t-0"].patience(usual, full_call, later);
-    assert!(patience < alone.mul_f64(1.1), "what was told long ago");
+    let late_after = pool.targets["t-0"].late_after(usual, full_call, later);
+    assert!(late_after < alone.mul_f64(1.1), "what was told long ago");
 }
 
 #[test]
-fn a_lost_sender_says_nothing_of_the_target_and_its_pieces_are_due_again_at_once() {
+fn a_lost_sender_leaves_the_target_healthy_and_its_pieces_are_sent_again_at_once() {
     let (mut state, now) = (state(1), Instant::now());
-    let replied = submit(&mut state, 2, now);
+    let replies = submit(&mut state, 2, now);
     let call = only_call(&mut state, now);
-    let reserved = call.reserved;
+    let reserved_bytes = call.reserved_bytes;
     finish(&mut state, call, CallEnd::SenderLost, false);
     let target = &state.pools[&key()].targets["t-0"];
     // The target may have made them all the same, and nobody knows their handles.
-    assert_eq!(target.used_bytes(), reserved);
+    assert_eq!(target.used_bytes(), reserved_bytes);
     let again = only_call(&mut state, Instant::now());
     assert_eq!((again.target.as_str(), again.trial), ("t-0", false));
     answer(&mut state, again, false);
-    assert_eq!(replied.borrow().len(), 2);
+    assert_eq!(replies.borrow().len(), 2);
 }
--- a/crates/gateway/src/coordinator/state/tests/asked.rs
+++ b/crates/gateway/src/coordinator/state/tests/back_off.rs
@@ -6,19 +6,19 @@
 const WAIT: Duration = Duration::from_secs(2);
 
 /// Ends a call that its target turned away, asking for a time.
-fn turn_away(state: &mut QueueState, call: DueCall, now: Instant) -> Finished {
+fn refuse_and_back_off(state: &mut QueueState, call: DueCall, now: Instant) -> CallEffects {
     state.set_standing(&call, TargetStanding::BackedOff(WAIT), now);
     state.finish_call(call, CallEnd::Busy, false, now)
 }
 
 #[test]
-fn a_target_that_wants_nothing_gets_no_call_for_as_long_as_it_asked() {
+fn a_backed_off_target_gets_no_call_until_its_back_off_ends() {
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 2, now);
     let call = only_call(&mut state, now);
-    let finished = turn_away(&mut state, call, now);
+    let finished = refuse_and_back_off(&mut state, call, now);
     assert_eq!(
-        finished.rest,
+        finished.cooldown,
         Some(WAIT),
         "when its pieces are looked at again"
     );
@@ -30,25 +30,25 @@
 }
 
 #[test]
-fn its_pieces_go_to_another_target_at_once_and_count_as_no_failure() {
-    let targets = 2 + MAX_TRIES as u16;
+fn pieces_refused_by_a_backed_off_target_go_to_another_one_without_a_failure() {
+    let targets = 2 + MAX_FAILURES as u16;
     let (mut state, now) = (state(targets), Instant::now());
-    let replied = submit(&mut state, 2, now);
+    let replies = submit(&mut state, 2, now);
     for _ in 1..targets {
         let call = only_call(&mut state, now);
-        turn_away(&mut state, call, now);
+        refuse_and_back_off(&mut state, call, now);
     }
     let call = only_call(&mut state, now);
     answer(&mut state, call, false);
-    assert!(replied.borrow().iter().all(Result::is_ok));
+    assert!(replies.borrow().iter().all(Result::is_ok));
 }
 
 #[test]
-fn where_all_want_nothing_a_request_that_has_no_time_is_refused_and_others_wait() {
+fn if_all_targets_are_backed_off_a_request_without_time_is_refused_and_others_wait() {
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
-    turn_away(&mut state, call, now);
+    refuse_and_back_off(&mut state, call, now);
     let pool = &state.pools[&key()];
     let load = pool.load(now);
     assert_eq!(
@@ -62,29 +62,29 @@
         batch.first = first;
         batch
     };
-    assert!(pool.is_too_late(&batch(WAIT, true), now));
-    assert!(!pool.is_too_late(&batch(WAIT * 2, true), now));
+    assert!(pool.would_miss_objective(&batch(WAIT, true), now));
+    assert!(!pool.would_miss_objective(&batch(WAIT * 2, true), now));
     assert!(
-        !pool.is_too_late(&batch(WAIT, false), now),
+        !pool.would_miss_objective(&batch(WAIT, false), now),
         "its stages have run"
     );
 }
 
 /// A suspect target gets copies only, as long as a sound one takes calls.
 #[test]
-fn a_suspect_target_is_relied_on_while_the_sound_one_wants_nothing() {
+fn an_unhealthy_target_is_used_while_the_healthy_one_is_backed_off() {
     let (mut state, now) = (state(2), Instant::now());
-    let suspect = make_suspect(&mut state, now);
+    let unhealthy = make_unhealthy(&mut state, now);
     submit(&mut state, 1, now);
-    let sound = only_call(&mut state, now);
-    assert_ne!(sound.target, suspect);
-    turn_away(&mut state, sound, now);
+    let healthy = only_call(&mut state, now);
+    assert_ne!(healthy.target, unhealthy);
+    refuse_and_back_off(&mut state, healthy, now);
     let call = only_call(&mut state, now + WAIT / 2);
-    assert_eq!((call.target, call.trial), (suspect, false));
+    assert_eq!((call.target, call.trial), (unhealthy, false));
 }
 
 #[test]
-fn a_target_that_leaves_gets_no_call_and_another_start_of_it_does() {
+fn a_leaving_target_gets_no_call_and_its_next_incarnation_does() {
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_result_that_its_maker_is_not_told_of_keeps_its_room() {
+fn a_result_whose_release_is_not_sent_keeps_its_memory() {
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
@@ -108,14 +108,14 @@
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
     let target = call.target.clone();
-    turn_away(&mut state, call, now);
+    refuse_and_back_off(&mut state, call, now);
     let handles = || vec![handle.clone()];
     assert!(
         state
-            .take_results(SERVICE, handles(), 1_000, now)
+            .remove_results(SERVICE, handles(), 1_000, now)
             .is_empty()
     );
     assert!(state.pools[&key()].targets[&target].used_bytes() > 0);
-    let releases = state.take_results(SERVICE, handles(), 1_000, now + WAIT);
+    let releases = state.remove_results(SERVICE, handles(), 1_000, now + WAIT);
     assert_eq!(releases.len(), 1);
 }
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -15,30 +15,30 @@
 
 /// A pool whose calls of 96 pieces take 275 ms at a target, and travel 85 ms beside that: the body of
 /// such a call names the inputs of each piece, 31 KB on a link of 10 Mbit/s.
-const TARGETS: u16 = 19;
-const BATCH: u32 = 96;
+const TARGET_COUNT: u16 = 19;
+const PIECES_PER_CALL: u32 = 96;
 const CALL_MS: f64 = 150.0;
 const PIECE_MS: f64 = 1.3;
-const OUTWARD_MS: f64 = 6.0;
-const OUTWARD_PIECE_MS: f64 = 0.6;
-const RETURN_MS: f64 = 4.0;
-const RETURN_PIECE_MS: f64 = 0.2;
+const REQUEST_TRANSFER_MS: f64 = 6.0;
+const REQUEST_TRANSFER_PIECE_MS: f64 = 0.6;
+const ANSWER_TRANSFER_MS: f64 = 4.0;
+const ANSWER_TRANSFER_PIECE_MS: f64 = 0.2;
 
 /// Pieces of one request.
-const PIECES: u32 = 16;
+const PIECES_PER_REQUEST: u32 = 16;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A request submits its pieces.
-    Submitted,
+    Submit,
     /// A call reaches its target.
-    Reached(usize),
+    ReachTarget(usize),
     /// A target has ended the call at work.
-    Worked(usize),
+    FinishWork(usize),
     /// The answer to a call is back.
     Answered(usize),
     /// The time at which a call said that the next one may be sent.
-    HandOver,
+    NextCallDue,
 }
 
 /// A target: the call at work first, then those that wait.
@@ -63,9 +63,9 @@
     }
 }
 
-struct BurstPlay {
+struct BurstSimulation {
     state: QueueState,
-    began: Instant,
+    started: Instant,
     events: BinaryHeap<Reverse<(u64, Event)>>,
     calls: Vec<Option<DueCall>>,
     sizes: Vec<usize>,
@@ -81,7 +81,7 @@
     StagePool {
         slots: 1,
         queue,
-        batch: BATCH,
+        batch: PIECES_PER_CALL,
         call_ms: CALL_MS,
         piece_ms: PIECE_MS,
         result_memory_bytes: 1_000_000_000,
@@ -90,7 +90,7 @@
     }
 }
 
-impl BurstPlay {
+impl BurstSimulation {
     fn new(queue: u32) -> Self {
         let record = |number: u16| TargetRecord {
             version: String::new(),
@@ -106,16 +106,18 @@
             cold_ms: 0,
         };
         let mut state = QueueState::default();
-        state.set_targets(&(0..TARGETS).map(record).collect::<Vec<_>>());
+        state.set_targets(&(0..TARGET_COUNT).map(record).collect::<Vec<_>>());
         state.specs.insert(SERVICE.to_owned(), spec(queue));
         assert!(state.pool_mut(&PoolKey::whole(SERVICE)).is_some());
         Self {
             state,
-            began: Instant::now(),
+            started: Instant::now(),
             events: BinaryHeap::new(),
             calls: Vec::new(),
             sizes: Vec::new(),
-            targets: (0..TARGETS).map(|_| SimulatedTarget::default()).collect(),
+            targets: (0..TARGET_COUNT)
+                .map(|_| SimulatedTarget::default())
+                .collect(),
             queue: queue as usize,
             times_ms: Rc::default(),
             clock: Rc::default(),
@@ -124,7 +126,7 @@
     }
 
     fn at(&self, micros: u64) -> Instant {
-        self.began + Duration::from_micros(micros)
+        self.started + Duration::from_micros(micros)
     }
 
     fn push(&mut self, micros: u64, after_ms: f64, event: Event) {
@@ -134,14 +136,14 @@
 
     /// Offers `per_s` requests a second for `span_ms`, at even distances, and plays until all have
     /// ended.
-    fn play(mut self, per_s: f64, span_ms: f64) -> BurstReport {
+    fn run(mut self, per_s: f64, span_ms: f64) -> BurstReport {
         let gap_ms = 1_000.0 / per_s;
         let count = (span_ms / gap_ms) as u32;
         for number in 0..count {
-            self.push(0, f64::from(number) * gap_ms, Event::Submitted);
+            self.push(0, f64::from(number) * gap_ms, Event::Submit);
         }
         while let Some(Reverse((now, event))) = self.events.pop() {
-            self.take(now, event);
+            self.handle(now, event);
         }
         let mut times_ms = self.times_ms.take();
         assert_eq!(times_ms.len(), count as usize, "a request has no answer");
@@ -152,13 +154,13 @@
         }
     }
 
-    fn take(&mut self, now: u64, event: Event) {
+    fn handle(&mut self, now: u64, event: Event) {
         match event {
-            Event::Submitted => self.submit(now),
-            Event::Reached(call) => self.reach(now, call),
-            Event::Worked(target) => self.end_work(now, target),
+            Event::Submit => self.submit(now),
+            Event::ReachTarget(call) => self.reach_target(now, call),
+            Event::FinishWork(target) => self.finish_work(now, target),
             Event::Answered(call) => self.answer(now, call),
-            Event::HandOver => {}
+            Event::NextCallDue => {}
         }
         self.dispatch(now);
     }
@@ -184,7 +186,7 @@
                 stage: 2,
                 input: PieceInput::Results(Vec::new()),
             },
-            count: PIECES,
+            count: PIECES_PER_REQUEST,
         };
         let times_ms = self.times_ms.clone();
         let clock = self.clock.clone();
@@ -201,15 +203,19 @@
     fn dispatch(&mut self, now: u64) {
         let at = self.at(now);
         for call in self.state.due_calls(&PoolKey::whole(SERVICE), at) {
-            if let Some(handover) = call.handover {
-                self.push(now, handover.as_secs_f64() * 1_000.0, Event::HandOver);
+            if let Some(next_call_after) = call.next_call_after {
+                self.push(
+                    now,
+                    next_call_after.as_secs_f64() * 1_000.0,
+                    Event::NextCallDue,
+                );
             }
             let number = self.calls.len();
             let pieces = call.pieces.len();
             self.calls.push(Some(call));
             self.sizes.push(pieces);
-            let outward = OUTWARD_MS + OUTWARD_PIECE_MS * pieces as f64;
-            self.push(now, outward, Event::Reached(number));
+            let transfer_ms = REQUEST_TRANSFER_MS + REQUEST_TRANSFER_PIECE_MS * pieces as f64;
+            self.push(now, transfer_ms, Event::ReachTarget(number));
         }
     }
 
@@ -218,7 +224,7 @@
         due.target.parse().expect("a target's number")
     }
 
-    fn reach(&mut self, now: u64, call: usize) {
+    fn reach_target(&mut self, now: u64, call: usize) {
         let target = self.target_of(call);
         if self.targets[target].calls.len() > self.queue {
             self.refused_calls += 1;
@@ -233,15 +239,15 @@
 
     fn begin_work(&mut self, now: u64, target: usize, call: usize) {
         let work = CALL_MS + PIECE_MS * self.sizes[call] as f64;
-        self.push(now, work, Event::Worked(target));
+        self.push(now, work, Event::FinishWork(target));
     }
 
-    fn end_work(&mut self, now: u64, target: usize) {
+    fn finish_work(&mut self, now: u64, target: usize) {
         let call = self.targets[target]
             .calls
             .pop_front()
             .expect("a call at work");
-        let back = RETURN_MS + RETURN_PIECE_MS * self.sizes[call] as f64;
+        let back = ANSWER_TRANSFER_MS + ANSWER_TRANSFER_PIECE_MS * self.sizes[call] as f64;
         self.push(now, back, Event::Answered(call));
         if let Some(next) = self.targets[target].calls.front().copied() {
             self.begin_work(now, target, next);
@@ -271,9 +277,9 @@
 /// idle, and 113% of what they make when each waits for its next call while the answer to the last
 /// one and the call travel.
 #[test]
-fn targets_work_on_while_calls_travel() {
-    let waiting = BurstPlay::new(0).play(365.0, 6_000.0);
-    let ahead = BurstPlay::new(2).play(365.0, 6_000.0);
+fn overlapping_calls_keep_targets_busy_during_transfers() {
+    let waiting = BurstSimulation::new(0).run(365.0, 6_000.0);
+    let ahead = BurstSimulation::new(2).run(365.0, 6_000.0);
     let (before, after) = (waiting.quantile_ms(0.9), ahead.quantile_ms(0.9));
     println!(
         "p90 of the requests: {before:.0} ms without calls sent ahead, {after:.0} ms with them"
@@ -285,9 +291,9 @@
 
 /// At half of that load a call that is sent ahead must not make requests wait longer.
 #[test]
-fn calls_sent_ahead_cost_nothing_where_targets_are_free() {
-    let waiting = BurstPlay::new(0).play(180.0, 6_000.0);
-    let ahead = BurstPlay::new(2).play(180.0, 6_000.0);
+fn overlapping_calls_cost_nothing_if_targets_are_free() {
+    let waiting = BurstSimulation::new(0).run(180.0, 6_000.0);
+    let ahead = BurstSimulation::new(2).run(180.0, 6_000.0);
     let (before, after) = (waiting.quantile_ms(0.5), ahead.quantile_ms(0.5));
     println!(
         "p50 of the requests: {before:.0} ms without calls sent ahead, {after:.0} ms with them"
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,7 +1,7 @@
 //! Choosing a model engine: where the prompt is cached, unless others wait there too long.
 
 mod hall_weights;
-mod place_ask;
+mod placement_request;
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,59 +16,59 @@
 use crate::target::{Chosen, Target, TargetBook};
 
 use hall_weights::HallWeights;
-pub(crate) use place_ask::{PlaceAsk, PlaceFacts};
+pub(crate) use placement_request::{PlacementFacts, PlacementRequest};
 
 /// Prompt tokens that an engine is first taken to read in a millisecond.
-const FIRST_TOKENS_PER_MS: f64 = 40.0;
+const INITIAL_TOKENS_PER_MS: f64 = 40.0;
 
 /// Weight of a new measurement of the reading speed.
 const SPEED_GAIN: f64 = 0.05;
 
 /// What an engine of which all slots are taken costs against an empty one, in milliseconds: as long as a
 /// prompt of some thousand tokens is read. Each request adds its share.
-const FULL_COST_MS: f64 = 100.0;
+const FULL_ENGINE_COST_MS: f64 = 100.0;
 
 /// What reading a shared part again costs beside the time that it takes: it keeps the engine from other
 /// prompts, and takes memory that other parts lose. As a part of that time, and the most of it, so
 /// that a slow or long queue is left all the same.
-const AGAIN_PART: f64 = 4.0;
-const AGAIN_MOST_MS: f64 = 250.0;
+const RECOMPUTE_FACTOR: f64 = 4.0;
+const MAX_RECOMPUTE_COST_MS: f64 = 250.0;
 
 /// Part of the time of reading that counts where no engine is known to hold the part: the one that
 /// every host ranks first for it may hold it all the same, since this host may have begun to place
 /// prompts a moment ago.
-const UNKNOWN_PART: f64 = 0.5;
+const UNKNOWN_CACHE_FACTOR: f64 = 0.5;
 
 /// What a megabyte of results that crosses halls adds to the cost of an engine, in milliseconds.
-const CROSSING_COST_MS: f64 = 14.0;
+const CROSSING_COST_MS_PER_MB: f64 = 14.0;
 
 /// What a request costs beside one that may end the engine, in milliseconds: about the wait that is worth not
 /// being cut off and sent anew.
-const APART_COST_MS: f64 = 300.0;
+const ISOLATED_COST_MS: f64 = 300.0;
 
 const MEGABYTE: f64 = 1_000_000.0;
 
 /// How long a part is taken to stay at an engine after its last use.
-const PART_KEPT: Duration = Duration::from_secs(60);
+const PART_TTL: Duration = Duration::from_secs(60);
 
 /// Parts that are remembered.
 const MAX_PARTS: usize = 50_000;
 
 /// How long it takes until most of a learned slowness is forgotten.
-const SLOWNESS_KEPT: Duration = Duration::from_secs(4);
+const SLOWNESS_TIME_CONSTANT: Duration = Duration::from_secs(4);
 
 /// Weight of a new observation of an engine's slowness, and the most that one says.
 const SLOWNESS_GAIN: f64 = 0.4;
-const MOST_SLOWNESS: f64 = 10.0;
+const MAX_SLOWNESS: f64 = 10.0;
 
 /// Added to expected and real times, so that short ones say little, in milliseconds.
 const SLOWNESS_BASE_MS: f64 = 120.0;
 
 /// How long before it can be sent a prompt is placed on an engine that names a rate.
-const PLACED_AHEAD: Duration = Duration::from_millis(250);
+const MAX_RATE_WAIT: Duration = Duration::from_millis(250);
 
 /// Prompts shorter than this say nothing about the reading speed.
-const MEASURED_TOKENS: u64 = 2_000;
+const MIN_MEASURED_TOKENS: u64 = 2_000;
 
 /// Names one placement at its placer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -78,17 +78,17 @@
 #[derive(Debug, Default)]
 struct EngineLoad {
     /// Prompt tokens that are not known to be read yet.
-    unread: u64,
+    pending_tokens: u64,
     running: u32,
     /// Of these, requests that may end the engine.
-    apart: u32,
+    isolated: u32,
 }
 
-struct Placed {
+struct PlacedPrompt {
     engine: String,
-    apart: bool,
-    unread: u64,
-    at: Instant,
+    isolated: bool,
+    pending_tokens: u64,
+    placed_at: Instant,
     /// How long the engine was to take until it has read the prompt, in milliseconds.
     expected_ms: f64,
 }
@@ -97,15 +97,15 @@
 #[derive(Debug, Clone, Copy)]
 struct Slowness {
     ratio: f64,
-    learned: Instant,
+    updated: Instant,
 }
 
 impl Slowness {
     /// Returns the ratio, which is forgotten over time so that an engine that recovered is used
     /// again.
-    fn now(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.learned).as_secs_f64();
-        1.0 + (self.ratio - 1.0) * (-age / SLOWNESS_KEPT.as_secs_f64()).exp()
+    fn ratio_at(&self, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.updated).as_secs_f64();
+        1.0 + (self.ratio - 1.0) * (-age / SLOWNESS_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
@@ -113,11 +113,11 @@
 struct RankedEngine<'a> {
     target: &'a Target,
     /// Its score for the prompt's last shared part, by which all hosts order the engines alike.
-    rank: f64,
+    score: f64,
     /// Tokens of shared parts that it is not known to hold.
-    missing: u64,
+    missing_tokens: u64,
     /// What it costs to place the prompt there, in milliseconds.
-    cost: f64,
+    cost_ms: f64,
 }
 
 /// The engines that are taken to hold a part.
@@ -128,10 +128,10 @@
 
 /// Returns the tokens of the first of some parts that an engine is taken to hold; a part serves only where
 /// all before it are held as well.
-fn held_tokens(parts: &[PartHolders<'_>], engine: &str) -> u64 {
-    let holds = |part: &&PartHolders<'_>| part.engines.iter().any(|(id, _)| id == engine);
-    let held = parts.iter().take_while(holds);
-    held.map(|part| part.tokens).sum()
+fn cached_tokens(parts: &[PartHolders<'_>], engine: &str) -> u64 {
+    let has_cached = |part: &&PartHolders<'_>| part.engines.iter().any(|(id, _)| id == engine);
+    let cached = parts.iter().take_while(has_cached);
+    cached.map(|part| part.tokens).sum()
 }
 
 /// Places prompts on engines, with what it knows of them from its own placements.
@@ -140,26 +140,26 @@
     loads: HashMap<String, EngineLoad>,
     /// Engines that hold a part, with the time of its last use there.
     holders: HashMap<String, Vec<(String, Instant)>>,
-    placed: HashMap<PlacementKey, Placed>,
+    placed: HashMap<PlacementKey, PlacedPrompt>,
     slowness: HashMap<String, Slowness>,
     /// What was placed lately on engines that are cold.
-    cold_sent: HashMap<String, SendWindow>,
+    cold_windows: HashMap<String, SendWindow>,
     /// When the next prompt may be placed on engines that name rates.
-    paced: HashMap<String, RatePacer>,
-    next: u64,
+    pacers: HashMap<String, RatePacer>,
+    last_placement: u64,
 }
 
 impl Default for EnginePlacer {
     fn default() -> Self {
         Self {
-            tokens_per_ms: FIRST_TOKENS_PER_MS,
+            tokens_per_ms: INITIAL_TOKENS_PER_MS,
             loads: HashMap::new(),
             holders: HashMap::new(),
             placed: HashMap::new(),
             slowness: HashMap::new(),
-            cold_sent: HashMap::new(),
-            paced: HashMap::new(),
-            next: 0,
+            cold_windows: HashMap::new(),
+            pacers: HashMap::new(),
+            last_placement: 0,
         }
     }
 }
@@ -170,117 +170,131 @@
     /// The shared part is taken to lie at the engines where it was used lately; where none is known,
     /// at the engine that every host ranks first for it. On any other it has to be read anew, which
     /// counts like a wait.
-    pub(crate) fn choose(&self, book: &TargetBook, ask: &PlaceAsk, now: Instant) -> Option<Chosen> {
-        let mut usable = book.usable(&ask.service, now);
-        usable.retain(|engine| !ask.closed.contains(&engine.id));
-        if let Some(homes) = &ask.homes {
-            usable.retain(|engine| homes.contains(&engine.hall));
+    pub(crate) fn choose(
+        &self,
+        book: &TargetBook,
+        request: &PlacementRequest,
+        now: Instant,
+    ) -> Option<Chosen> {
+        let mut usable = book.usable(&request.service, now);
+        usable.retain(|engine| !request.excluded.contains(&engine.id));
+        if let Some(halls) = &request.allowed_halls {
+            usable.retain(|engine| halls.contains(&engine.hall));
         }
-        if let Some(rate) = book.cold_rate(&ask.service) {
-            usable.retain(|engine| !engine.is_cold(now) || self.has_cold_room(engine, rate, now));
+        if let Some(rate) = book.cold_rate(&request.service) {
+            usable
+                .retain(|engine| !engine.is_cold(now) || self.cold_rate_allows(engine, rate, now));
         }
-        usable.retain(|engine| self.has_rate_room(book, &engine.id));
-        usable = self.of_part(book, ask, usable);
-        let fresh = usable.iter().filter(|one| !ask.avoid.contains(&one.id));
+        usable.retain(|engine| self.rate_limit_allows(book, &engine.id));
+        usable = self.within_partition(book, request, usable);
+        let fresh = usable.iter().filter(|one| !request.tried.contains(&one.id));
         let mut candidates: Vec<&Target> = fresh.copied().collect();
         if candidates.is_empty() {
             candidates = usable;
         }
-        if ask.apart {
-            return self.emptiest(candidates).map(Chosen::new);
+        if request.isolated {
+            return self.fewest_isolated(candidates).map(Chosen::new);
         }
-        let weights = ask
-            .heavy_stage
+        let weights = request
+            .large_result_stage
             .as_ref()
             .map_or_else(HallWeights::default, |stage| {
-                HallWeights::new(book, &ask.service, stage)
+                HallWeights::new(book, &request.service, stage)
             });
-        let shared = ask.prompt.shared_tokens();
-        let key = ScoreKey::new(ask.prompt.last_shared());
-        let holders = self.holders_of(&ask.prompt.shared);
+        let shared = request.prompt.shared_tokens();
+        let key = ScoreKey::new(request.prompt.last_shared());
+        let holders = self.holders_of(&request.prompt.shared);
         let mut ranked: Vec<RankedEngine<'_>> = candidates
             .into_iter()
             .map(|target| {
                 let weight = weights.of(&target.hall);
                 RankedEngine {
                     target,
-                    rank: key.weighted_score(&target.id, weight),
-                    missing: shared - held_tokens(&holders, &target.id),
-                    cost: 0.0,
+                    score: key.weighted_score(&target.id, weight),
+                    missing_tokens: shared - cached_tokens(&holders, &target.id),
+                    cost_ms: 0.0,
                 }
             })
             .collect();
-        let first = ranked
+        let top_ranked = ranked
             .iter()
-            .max_by(|a, b| a.rank.total_cmp(&b.rank))?
+            .max_by(|a, b| a.score.total_cmp(&b.score))?
             .target;
-        let known = ranked.iter().any(|one| one.missing == 0);
+        let is_cached_somewhere = ranked.iter().any(|one| one.missing_tokens == 0);
         for one in &mut ranked {
-            let reading_ms = self.reading_ms(one.missing);
-            let missing_ms = match known {
-                true => reading_ms + (reading_ms * AGAIN_PART).min(AGAIN_MOST_MS),
-                false if std::ptr::eq(one.target, first) => 0.0,
-                false => reading_ms * UNKNOWN_PART,
+            let prefill_ms = self.prefill_ms(one.missing_tokens);
+            let missing_ms = match is_cached_somewhere {
+                true => prefill_ms + (prefill_ms * RECOMPUTE_FACTOR).min(MAX_RECOMPUTE_COST_MS),
+                false if std::ptr::eq(one.target, top_ranked) => 0.0,
+                false => prefill_ms * UNKNOWN_CACHE_FACTOR,
             };
-            one.cost = self.cost_ms(one.target, ask, missing_ms, now);
+            one.cost_ms = self.cost_ms(one.target, request, missing_ms, now);
         }
         let best = ranked
             .into_iter()
-            .min_by(|a, b| a.cost.total_cmp(&b.cost).then(b.rank.total_cmp(&a.rank)))?
+            .min_by(|a, b| {
+                a.cost_ms
+                    .total_cmp(&b.cost_ms)
+                    .then(b.score.total_cmp(&a.score))
+            })?
             .target;
         Some(Chosen::new(best))
     }
 
     /// Returns those of some engines among which a prompt is placed; all where none of them may be used.
-    fn of_part<'a>(
+    fn within_partition<'a>(
         &self,
         book: &TargetBook,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
         usable: Vec<&'a Target>,
     ) -> Vec<&'a Target> {
-        let part = place_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt);
-        let is_fresh = |one: &&Target| !ask.avoid.contains(&one.id);
-        let held = usable.iter().copied();
-        let held: Vec<&Target> = held
-            .filter(|one| part.holds_target(&one.hall, &one.id))
+        let partition = place_key(
+            &request.service,
+            book.hall_counts(&request.service),
+            &request.prompt,
+        );
+        let is_fresh = |one: &&Target| !request.tried.contains(&one.id);
+        let all = usable.iter().copied();
+        let in_partition: Vec<&Target> = all
+            .filter(|one| partition.holds_target(&one.hall, &one.id))
             .collect();
-        match held.iter().any(is_fresh) {
-            true => held,
+        match in_partition.iter().any(is_fresh) {
+            true => in_partition,
             false => usable,
         }
     }
 
     /// Returns the engine with the fewest requests that may end it, and of these the one with the fewest others.
     /// Two that are tried apart tell more than two together, and the fewer lose their work.
-    fn emptiest<'a>(&self, engines: Vec<&'a Target>) -> Option<&'a Target> {
+    fn fewest_isolated<'a>(&self, engines: Vec<&'a Target>) -> Option<&'a Target> {
         engines.into_iter().min_by_key(|engine| {
             let load = self.loads.get(&engine.id);
-            load.map_or((0, 0), |load| (load.apart, load.running))
+            load.map_or((0, 0), |load| (load.isolated, load.running))
         })
     }
 
-    fn has_cold_room(&self, engine: &Target, rate: ColdRate, now: Instant) -> bool {
-        let sent = self.cold_sent.get(&engine.id);
-        sent.is_none_or(|sent| sent.has_room(rate, now))
+    fn cold_rate_allows(&self, engine: &Target, rate: ColdRate, now: Instant) -> bool {
+        let window = self.cold_windows.get(&engine.id);
+        window.is_none_or(|window| window.allows_send(rate, now))
     }
 
     /// Says whether a prompt that is placed now could be sent soon by the rate of its engine.
-    fn has_rate_room(&self, book: &TargetBook, engine: &str) -> bool {
-        let paced = self
-            .paced
+    fn rate_limit_allows(&self, book: &TargetBook, engine: &str) -> bool {
+        let pacer = self
+            .pacers
             .get(engine)
             .filter(|_| book.rate(engine).is_some());
-        paced.is_none_or(|pacer| pacer.wait(BootInstant::now()) <= PLACED_AHEAD)
+        pacer.is_none_or(|pacer| pacer.wait(BootInstant::now()) <= MAX_RATE_WAIT)
     }
 
     /// Counts a prompt where its engine names a rate.
-    fn note_rate(&mut self, book: &TargetBook, engine: &str) {
+    fn count_against_rate_limit(&mut self, book: &TargetBook, engine: &str) {
         let Some(rate) = book.rate(engine) else {
-            self.paced.remove(engine);
+            self.pacers.remove(engine);
             return;
         };
         let now = BootInstant::now();
-        let pacer = self.paced.entry(engine.to_owned());
+        let pacer = self.pacers.entry(engine.to_owned());
         let pacer = pacer.or_insert_with(|| RatePacer::new(rate, now));
         pacer.set_rate(rate, now);
         // There is room, or the host that asks knows no other engine.
@@ -288,15 +302,21 @@
     }
 
     /// Counts a prompt where its engine is cold.
-    fn note_cold(&mut self, book: &TargetBook, service: &str, engine: &str, now: Instant) {
+    fn count_against_cold_rate(
+        &mut self,
+        book: &TargetBook,
+        service: &str,
+        engine: &str,
+        now: Instant,
+    ) {
         let Some(rate) = book.cold_rate(service) else {
             return;
         };
         if book.is_cold(service, engine, now) {
-            let sent = self.cold_sent.entry(engine.to_owned()).or_default();
-            sent.note(rate, now);
+            let window = self.cold_windows.entry(engine.to_owned()).or_default();
+            window.record_send(rate, now);
         } else {
-            self.cold_sent.remove(engine);
+            self.cold_windows.remove(engine);
         }
     }
 
@@ -313,59 +333,71 @@
 
     fn slowness_of(&self, engine: &str, now: Instant) -> f64 {
         let known = self.slowness.get(engine);
-        known.map_or(1.0, |slowness| slowness.now(now))
+        known.map_or(1.0, |slowness| slowness.ratio_at(now))
     }
 
     /// Learns from the time that an engine took for a prompt.
-    fn learn_slowness(&mut self, engine: &str, expected_ms: f64, took: Duration, now: Instant) {
+    fn update_slowness(&mut self, engine: &str, expected_ms: f64, took: Duration, now: Instant) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         let ratio = ((took_ms + SLOWNESS_BASE_MS) / (expected_ms + SLOWNESS_BASE_MS))
-            .clamp(1.0, MOST_SLOWNESS);
+            .clamp(1.0, MAX_SLOWNESS);
         let known = self.slowness_of(engine, now);
-        let learned = Slowness {
+        let updated = Slowness {
             ratio: known + (ratio - known) * SLOWNESS_GAIN,
-            learned: now,
+            updated: now,
         };
-        self.slowness.insert(engine.to_owned(), learned);
+        self.slowness.insert(engine.to_owned(), updated);
     }
 
-    fn reading_ms(&self, tokens: u64) -> f64 {
+    fn prefill_ms(&self, tokens: u64) -> f64 {
         tokens as f64 / self.tokens_per_ms
     }
 
     /// Returns what it costs to place a prompt on an engine, as a wait; `missing_ms` is what reading
     /// shared parts there counts.
-    fn cost_ms(&self, engine: &Target, ask: &PlaceAsk, missing_ms: f64, now: Instant) -> f64 {
-        let crossing = ask.results.crossing_to(&engine.hall) as f64 / MEGABYTE * CROSSING_COST_MS;
+    fn cost_ms(
+        &self,
+        engine: &Target,
+        request: &PlacementRequest,
+        missing_ms: f64,
+        now: Instant,
+    ) -> f64 {
+        let crossing_ms = request.results.bytes_crossing_to(&engine.hall) as f64 / MEGABYTE
+            * CROSSING_COST_MS_PER_MB;
         let load = self.loads.get(&engine.id);
-        let (unread, running) = load.map_or((0, 0), |load| (load.unread, load.running));
-        let apart = load.map_or(0, |load| load.apart);
+        let (pending_tokens, running) =
+            load.map_or((0, 0), |load| (load.pending_tokens, load.running));
+        let isolated = load.map_or(0, |load| load.isolated);
         // On a slow engine the prompt's own reading is slow as well.
         let slowness = self.slowness_of(&engine.id, now);
-        let own = self.reading_ms(ask.prompt.own_tokens()) + SLOWNESS_BASE_MS;
-        let running = f64::from(running) / f64::from(engine.slots) * FULL_COST_MS;
-        (self.reading_ms(unread) + missing_ms) * slowness
-            + own * (slowness - 1.0)
-            + crossing
-            + running
-            + f64::from(apart) * APART_COST_MS
+        let own_ms = self.prefill_ms(request.prompt.own_tokens()) + SLOWNESS_BASE_MS;
+        let running_ms = f64::from(running) / f64::from(engine.slots) * FULL_ENGINE_COST_MS;
+        (self.prefill_ms(pending_tokens) + missing_ms) * slowness
+            + own_ms * (slowness - 1.0)
+            + crossing_ms
+            + running_ms
+            + f64::from(isolated) * ISOLATED_COST_MS
     }
 
     /// Says where a prompt would be placed now.
     pub(crate) fn plan(
         &self,
         book: &TargetBook,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
         now: Instant,
-    ) -> Option<(Chosen, PlaceFacts)> {
-        let chosen = self.choose(book, ask, now)?;
-        let held = held_tokens(&self.holders_of(&ask.prompt.shared), &chosen.id);
-        let ahead = self.loads.get(&chosen.id).map_or(0, |load| load.unread);
-        let expected_ms =
-            (ahead + ask.prompt.tokens_in.saturating_sub(held)) as f64 / self.tokens_per_ms;
-        let facts = PlaceFacts {
-            held,
-            ahead,
+    ) -> Option<(Chosen, PlacementFacts)> {
+        let chosen = self.choose(book, request, now)?;
+        let cached_tokens = cached_tokens(&self.holders_of(&request.prompt.shared), &chosen.id);
+        let queued_tokens = self
+            .loads
+            .get(&chosen.id)
+            .map_or(0, |load| load.pending_tokens);
+        let expected_ms = (queued_tokens + request.prompt.tokens_in.saturating_sub(cached_tokens))
+            as f64
+            / self.tokens_per_ms;
+        let facts = PlacementFacts {
+            cached_tokens,
+            queued_tokens,
             expected_ms: expected_ms as u32,
         };
         Some((chosen, facts))
@@ -375,40 +407,40 @@
     pub(crate) fn place(
         &mut self,
         book: &TargetBook,
-        ask: &PlaceAsk,
+        request: &PlacementRequest,
         now: Instant,
-    ) -> Option<(PlacementKey, Chosen, PlaceFacts)> {
-        let (chosen, facts) = self.plan(book, ask, now)?;
-        self.note_cold(book, &ask.service, &chosen.id, now);
-        self.note_rate(book, &chosen.id);
-        let unread = ask.prompt.tokens_in.saturating_sub(facts.held);
+    ) -> Option<(PlacementKey, Chosen, PlacementFacts)> {
+        let (chosen, facts) = self.plan(book, request, now)?;
+        self.count_against_cold_rate(book, &request.service, &chosen.id, now);
+        self.count_against_rate_limit(book, &chosen.id);
+        let pending_tokens = request.prompt.tokens_in.saturating_sub(facts.cached_tokens);
         let load = self.loads.entry(chosen.id.clone()).or_default();
-        load.unread += unread;
+        load.pending_tokens += pending_tokens;
         load.running += 1;
-        load.apart += u32::from(ask.apart);
-        for part in &ask.prompt.shared {
-            self.note_holder(&chosen.id, &part.id, now);
+        load.isolated += u32::from(request.isolated);
+        for part in &request.prompt.shared {
+            self.record_holder(&chosen.id, &part.id, now);
         }
-        self.next += 1;
-        let key = PlacementKey(self.next);
-        let placed = Placed {
+        self.last_placement += 1;
+        let key = PlacementKey(self.last_placement);
+        let placed = PlacedPrompt {
             engine: chosen.id.clone(),
-            apart: ask.apart,
-            unread,
-            at: now,
+            isolated: request.isolated,
+            pending_tokens,
+            placed_at: now,
             expected_ms: f64::from(facts.expected_ms),
         };
         self.placed.insert(key, placed);
         Some((key, chosen, facts))
     }
 
-    fn note_holder(&mut self, engine: &str, part: &str, now: Instant) {
+    fn record_holder(&mut self, engine: &str, part: &str, now: Instant) {
         if part.is_empty() {
             return;
         }
         if self.holders.len() >= MAX_PARTS && !self.holders.contains_key(part) {
             self.holders.retain(|_, holders| {
-                holders.retain(|(_, used)| now.saturating_duration_since(*used) < PART_KEPT);
+                holders.retain(|(_, used)| now.saturating_duration_since(*used) < PART_TTL);
                 !holders.is_empty()
             });
         }
@@ -417,40 +449,40 @@
         }
         let holders = self.holders.entry(part.to_owned()).or_default();
         holders
-            .retain(|(id, used)| id != engine && now.saturating_duration_since(*used) < PART_KEPT);
+            .retain(|(id, used)| id != engine && now.saturating_duration_since(*used) < PART_TTL);
         holders.push((engine.to_owned(), now));
     }
 
     /// Notes that an engine has read a prompt.
-    pub(crate) fn note_read(&mut self, key: PlacementKey, now: Instant) {
+    pub(crate) fn record_prefill(&mut self, key: PlacementKey, now: Instant) {
         let Some(placed) = self.placed.get(&key) else {
             return;
         };
-        let took = now.saturating_duration_since(placed.at);
+        let took = now.saturating_duration_since(placed.placed_at);
         let (engine, expected_ms) = (placed.engine.clone(), placed.expected_ms);
-        self.learn_slowness(&engine, expected_ms, took, now);
-        self.take_off(key);
+        self.update_slowness(&engine, expected_ms, took, now);
+        self.clear_pending(key);
     }
 
     /// Takes a prompt off what its engine still has to read.
-    fn take_off(&mut self, key: PlacementKey) {
+    fn clear_pending(&mut self, key: PlacementKey) {
         if let Some(placed) = self.placed.get_mut(&key) {
-            let unread = std::mem::take(&mut placed.unread);
+            let pending_tokens = std::mem::take(&mut placed.pending_tokens);
             if let Some(load) = self.loads.get_mut(&placed.engine) {
-                load.unread = load.unread.saturating_sub(unread);
+                load.pending_tokens = load.pending_tokens.saturating_sub(pending_tokens);
             }
         }
     }
 
     /// Notes that a request has ended, or that its host was lost.
-    pub(crate) fn end(&mut self, key: PlacementKey) {
-        self.take_off(key);
+    pub(crate) fn end_placement(&mut self, key: PlacementKey) {
+        self.clear_pending(key);
         let Some(placed) = self.placed.remove(&key) else {
             return;
         };
         if let Some(load) = self.loads.get_mut(&placed.engine) {
             load.running = load.running.saturating_sub(1);
-            load.apart = load.apart.saturating_sub(u32::from(placed.apart));
+            load.isolated = load.isolated.saturating_sub(u32::from(placed.isolated));
             if load.running == 0 {
                 self.loads.remove(&placed.engine);
             }
@@ -465,14 +497,14 @@
     }
 
     /// Returns about how long an engine reads a prompt of which it holds nothing.
-    pub(crate) fn reading_time(&self, tokens: u64) -> Duration {
+    pub(crate) fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.tokens_per_ms / 1_000.0)
     }
 
     /// Learns from the time that a prompt took until its first event. Waits make engines look
     /// slower, so that a prompt that was fast counts more.
-    pub(crate) fn learn(&mut self, tokens: u64, took: Duration) {
-        if tokens < MEASURED_TOKENS || took.is_zero() {
+    pub(crate) fn learn_prefill_speed(&mut self, tokens: u64, took: Duration) {
+        if tokens < MIN_MEASURED_TOKENS || took.is_zero() {
             return;
         }
         let speed = tokens as f64 / (took.as_secs_f64() * 1_000.0);
--- a/crates/gateway/src/engine/hall_weights.rs
+++ b/crates/gateway/src/engine/hall_weights.rs
@@ -3,7 +3,7 @@
 use crate::target::TargetBook;
 
 /// The least weight of a hall.
-const LEAST_WEIGHT: f64 = 0.02;
+const MIN_WEIGHT: f64 = 0.02;
 
 /// How much work engines of each data hall should get, against those of other halls.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
             let found = stages.iter().find(|(other, _)| other == hall);
             let stages = found.map_or(0.0, |(_, count)| f64::from(*count));
             // A hall without stage targets still serves prompts that need none.
-            let weight = (stages / f64::from(*engines)).max(LEAST_WEIGHT);
+            let weight = (stages / f64::from(*engines)).max(MIN_WEIGHT);
             (hall.as_str(), weight)
         };
         Self {
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -50,25 +50,25 @@
     }
 }
 
-fn ask(part: &str) -> PlaceAsk {
-    PlaceAsk {
+fn ask(part: &str) -> PlacementRequest {
+    PlacementRequest {
         service: "engine".to_owned(),
         prompt: prompt(15_000, vec![shared(part, 13_000)]),
-        heavy_stage: None,
+        large_result_stage: None,
         results: HallBytes::default(),
-        avoid: Vec::new(),
-        closed: Vec::new(),
-        apart: false,
-        homes: None,
+        tried: Vec::new(),
+        excluded: Vec::new(),
+        isolated: false,
+        allowed_halls: None,
     }
 }
 
 #[test]
-fn prompts_with_the_same_part_go_to_the_same_engine_until_it_has_much_to_read() {
+fn prompts_with_the_same_part_go_to_one_engine_until_its_prefill_queue_is_long() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
     let (key, first, _) = placer.place(&book, &ask("a"), now).unwrap();
-    placer.note_read(key, now + Duration::from_millis(200));
+    placer.record_prefill(key, now + Duration::from_millis(200));
     let (_, second, _) = placer.place(&book, &ask("a"), now).unwrap();
     assert_eq!(first, second);
     // The waits of many long prompts outweigh reading the part elsewhere.
@@ -80,25 +80,25 @@
 }
 
 #[test]
-fn a_part_that_was_only_planned_is_not_taken_as_held() {
+fn a_planned_placement_does_not_count_as_cached() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
     let (planned, facts) = placer.plan(&book, &ask("a"), now).unwrap();
-    assert_eq!(facts.held, 0);
+    assert_eq!(facts.cached_tokens, 0);
     let (_, chosen, facts) = placer.place(&book, &ask("a"), now).unwrap();
-    assert_eq!((chosen, facts.held), (planned, 0));
+    assert_eq!((chosen, facts.cached_tokens), (planned, 0));
     // All of the prompt is still to be read there, and the next one finds the part held.
     let (_, facts) = placer.plan(&book, &ask("a"), now).unwrap();
-    assert_eq!((facts.held, facts.ahead), (13_000, 15_000));
+    assert_eq!((facts.cached_tokens, facts.queued_tokens), (13_000, 15_000));
 }
 
 #[test]
-fn a_part_that_nobody_holds_goes_to_an_engine_with_little_to_read() {
+fn an_uncached_part_goes_to_an_engine_with_a_short_prefill_queue() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
     let first = placer.choose(&book, &ask("a"), now).unwrap();
     let mut busy = ask("");
-    busy.avoid = book
+    busy.tried = book
         .of_service("engine")
         .map(|one| one.id.clone())
         .filter(|id| *id != first.id)
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn hosts_that_know_nothing_choose_alike_and_spread_parts_over_engines() {
+fn hosts_without_placements_choose_alike_and_distribute_parts_over_engines() {
     let (book, now) = (book(), Instant::now());
     let (one, other) = (EnginePlacer::default(), EnginePlacer::default());
     let mut engines = std::collections::BTreeSet::new();
@@ -124,13 +124,13 @@
 }
 
 #[test]
-fn halls_get_prompts_in_proportion_to_their_targets_of_the_heavy_stage() {
+fn halls_get_prompts_in_proportion_to_their_targets_of_the_large_result_stage() {
     let (book, now) = (book(), Instant::now());
     let placer = EnginePlacer::default();
     let mut halls: std::collections::BTreeMap<String, u32> = std::collections::BTreeMap::new();
     for number in 0..2_000 {
         let mut ask = ask(&format!("part-{number}"));
-        ask.heavy_stage = Some("stage".to_owned());
+        ask.large_result_stage = Some("stage".to_owned());
         let chosen = placer.choose(&book, &ask, now).unwrap();
         *halls.entry(chosen.hall).or_default() += 1;
     }
@@ -145,30 +145,30 @@
     let mut placer = EnginePlacer::default();
     let (key, first, _) = placer.place(&book, &ask("a"), now).unwrap();
     let mut again = ask("a");
-    again.avoid.push(first.id.clone());
+    again.tried.push(first.id.clone());
     assert_ne!(placer.choose(&book, &again, now).unwrap().id, first.id);
-    placer.end(key);
-    placer.end(key);
+    placer.end_placement(key);
+    placer.end_placement(key);
     assert!(placer.loads.is_empty() && placer.placed.is_empty());
 }
 
 #[test]
-fn parts_that_are_remembered_are_bounded() {
+fn tracked_parts_are_bounded() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
     for number in 0..MAX_PARTS + 100 {
-        placer.note_holder("engine-0", &format!("p{number}"), now);
+        placer.record_holder("engine-0", &format!("p{number}"), now);
     }
     assert_eq!(placer.holders.len(), MAX_PARTS);
     // Those not used for long make room.
-    let later = now + PART_KEPT + Duration::from_secs(1);
-    placer.note_holder("engine-0", "new", later);
+    let later = now + PART_TTL + Duration::from_secs(1);
+    placer.record_holder("engine-0", "new", later);
     assert_eq!(placer.holders.len(), 1);
     assert!(placer.choose(&book, &ask("new"), later).is_some());
 }
 
 #[test]
-fn an_engine_that_turned_slow_is_left_and_tried_again_later() {
+fn an_engine_that_became_slow_is_avoided_and_tried_again_later() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
     let late = now + Duration::from_secs(5);
@@ -178,55 +178,59 @@
         .collect();
     for (key, chosen, _) in placed {
         assert_eq!(chosen, slow);
-        placer.note_read(key, late);
-        placer.end(key);
+        placer.record_prefill(key, late);
+        placer.end_placement(key);
     }
     assert_ne!(placer.choose(&book, &ask("a"), late).unwrap().id, slow.id);
-    let later = late + SLOWNESS_KEPT * 8;
+    let later = late + SLOWNESS_TIME_CONSTANT * 8;
     assert_eq!(placer.choose(&book, &ask("a"), later).unwrap().id, slow.id);
 }
 
 #[test]
-fn a_part_that_follows_on_one_that_is_held_counts_only_what_is_missing() {
+fn only_uncached_parts_of_a_prompt_count_as_missing() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let following = |id: &str| PlaceAsk {
+    let following = |id: &str| PlacementRequest {
         prompt: prompt(9_000, vec![shared("first", 2_500), shared(id, 3_800)]),
         ..ask("")
     };
     let held = |placer: &mut EnginePlacer, id: &str| {
-        placer.place(&book, &following(id), now).unwrap().2.held
+        placer
+            .place(&book, &following(id), now)
+            .unwrap()
+            .2
+            .cached_tokens
     };
     assert_eq!(held(&mut placer, "a"), 0);
     assert_eq!(held(&mut placer, "a"), 6_300);
     // What follows serves only behind the part before it.
-    let alone = PlaceAsk {
+    let alone = PlacementRequest {
         prompt: prompt(9_000, vec![shared("other", 2_500), shared("a", 3_800)]),
         ..ask("")
     };
-    assert_eq!(placer.place(&book, &alone, now).unwrap().2.held, 0);
+    assert_eq!(placer.place(&book, &alone, now).unwrap().2.cached_tokens, 0);
 }
 
 /// A request that may end its engine goes to the one where the fewest others run, whatever that engine has
 /// to read.
 #[test]
-fn a_prompt_that_may_end_its_engine_goes_where_the_fewest_others_run() {
+fn a_prompt_that_may_crash_its_engine_goes_where_the_fewest_others_run() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
     let (_, holder, _) = placer.place(&book, &ask("p"), now).unwrap();
-    let apart = PlaceAsk {
-        apart: true,
+    let isolated = PlacementRequest {
+        isolated: true,
         ..ask("p")
     };
-    let (key, first, _) = placer.place(&book, &apart, now).unwrap();
+    let (key, first, _) = placer.place(&book, &isolated, now).unwrap();
     assert_ne!(first.id, holder.id);
     // The next one goes to another engine, and no other request beside the first.
-    let (other, second, _) = placer.place(&book, &apart, now).unwrap();
+    let (other, second, _) = placer.place(&book, &isolated, now).unwrap();
     assert_ne!(second.id, first.id);
     let (_, beside, _) = placer.place(&book, &ask("q"), now).unwrap();
     assert!(beside.id != first.id && beside.id != second.id);
-    placer.end(key);
-    placer.end(other);
+    placer.end_placement(key);
+    placer.end_placement(other);
     let load = placer.loads.get(&first.id);
-    assert!(load.is_none_or(|load| load.apart == 0));
+    assert!(load.is_none_or(|load| load.isolated == 0));
 }
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -12,7 +12,7 @@
 
 /// Requests a second that a cold engine bears, and what may reach it at most: 1.5 times that and 5.
 const COLD_PER_S: f64 = 9.1;
-const ALLOWED: usize = 18;
+const MAX_PER_SECOND: usize = 18;
 
 /// Prompts a second in a burst of 2.4 times.
 const PROMPTS_PER_S: u64 = 700;
@@ -44,7 +44,11 @@
 /// Places the prompts of some seconds on engines, all with the same shared part or each with its own;
 /// returns what each engine got, in milliseconds. With `placers` above 1 they take turns and know nothing
 /// of each other.
-fn play_burst(same_part: bool, placers: usize, book: &TargetBook) -> BTreeMap<String, Vec<u64>> {
+fn simulate_burst(
+    same_part: bool,
+    placers: usize,
+    book: &TargetBook,
+) -> BTreeMap<String, Vec<u64>> {
     let began = Instant::now();
     let mut all: Vec<EnginePlacer> = (0..placers).map(|_| EnginePlacer::default()).collect();
     let mut sent: BTreeMap<String, Vec<u64>> = BTreeMap::new();
@@ -55,14 +59,14 @@
         let placer = &mut all[number as usize % placers];
         let placed = placer.place(book, &ask(&format!("{part:08x}")), now);
         let (key, engine, _) = placed.expect("warm engines are left");
-        placer.note_read(key, now);
-        placer.end(key);
+        placer.record_prefill(key, now);
+        placer.end_placement(key);
         sent.entry(engine.id).or_default().push(ms);
     }
     sent
 }
 
-fn most_in_a_second(times: &[u64]) -> usize {
+fn max_in_one_second(times: &[u64]) -> usize {
     let within = |start: usize| {
         let later = times[start..].iter();
         later.take_while(|at| **at < times[start] + 1_000).count()
@@ -70,22 +74,26 @@
     (0..times.len()).map(within).max().unwrap_or(0)
 }
 
-fn most_of_cold(sent: &BTreeMap<String, Vec<u64>>, book: &TargetBook, now: Instant) -> usize {
+fn max_per_second_of_cold_engines(
+    sent: &BTreeMap<String, Vec<u64>>,
+    book: &TargetBook,
+    now: Instant,
+) -> usize {
     let cold = sent
         .iter()
         .filter(|(id, _)| book.is_cold("engine", id, now));
-    cold.map(|(_, times)| most_in_a_second(times))
+    cold.map(|(_, times)| max_in_one_second(times))
         .max()
         .unwrap_or(0)
 }
 
 /// Prompts with one part go to its holder, which may be cold: 700 a second without the limit.
 #[test]
-fn a_cold_engine_gets_no_more_than_it_bears() {
+fn a_cold_engine_gets_no_more_than_its_rate() {
     let now = Instant::now();
     let book = cold_book(60_000, now);
     for same_part in [true, false] {
-        let most = most_of_cold(&play_burst(same_part, 1, &book), &book, now);
+        let most = max_per_second_of_cold_engines(&simulate_burst(same_part, 1, &book), &book, now);
         println!("at most {most} in a second at a cold engine");
         assert!(most <= COLD_PER_S as usize, "{most}");
     }
@@ -93,20 +101,20 @@
 
 /// On each side of a cut, or while one host hands over to another, two place prompts.
 #[test]
-fn two_hosts_that_place_stay_within_what_is_allowed() {
+fn two_placing_hosts_stay_within_the_allowed_rate() {
     let now = Instant::now();
     let book = cold_book(60_000, now);
-    let most = most_of_cold(&play_burst(true, 2, &book), &book, now);
-    assert!(most <= ALLOWED, "{most}");
+    let most = max_per_second_of_cold_engines(&simulate_burst(true, 2, &book), &book, now);
+    assert!(most <= MAX_PER_SECOND, "{most}");
 }
 
 #[test]
-fn a_host_that_cannot_ask_the_one_that_places_passes_cold_engines_over() {
+fn a_host_that_cannot_reach_the_placer_skips_cold_engines() {
     let now = Instant::now();
     let book = cold_book(60_000, now);
     let mut alone = ask("a");
-    alone.closed = book.cold_targets("engine", now);
-    assert_eq!(alone.closed.len(), ENGINES.div_ceil(HALLS));
+    alone.excluded = book.cold_targets("engine", now);
+    assert_eq!(alone.excluded.len(), ENGINES.div_ceil(HALLS));
     let mut placer = EnginePlacer::default();
     for _ in 0..1_000 {
         let (_, engine, _) = placer
@@ -117,7 +125,7 @@
 }
 
 #[test]
-fn with_all_engines_at_their_limit_there_is_no_place() {
+fn no_engine_is_chosen_if_all_are_at_their_limit() {
     let now = Instant::now();
     let mut book = TargetBook::default();
     let mut cold = record(0, "engine", 0);
--- a/crates/gateway/src/engine/tests/placing_cost.rs
+++ b/crates/gateway/src/engine/tests/placing_cost.rs
@@ -3,23 +3,23 @@
 use super::*;
 
 /// Engines of a service, in fleets of 75, 295 and 1,000 entry hosts.
-const FLEETS: [usize; 3] = [120, 140, 500];
+const ENGINE_COUNTS: [usize; 3] = [120, 140, 500];
 
 /// Prompts that run at each engine while the cost is measured.
-const RUNNING: usize = 6;
+const PROMPTS_PER_ENGINE: usize = 6;
 
 /// Shared parts that prompts are drawn from.
-const PARTS: usize = 700;
+const PART_COUNT: usize = 700;
 
 const ROUNDS: u32 = 2_000;
 
-fn busy_placer(book: &TargetBook, now: Instant, engines: usize) -> EnginePlacer {
+fn placer_with_load(book: &TargetBook, now: Instant, engines: usize) -> EnginePlacer {
     let mut placer = EnginePlacer::default();
-    for number in 0..engines * RUNNING {
-        let part = format!("{:08x}", number % PARTS);
+    for number in 0..engines * PROMPTS_PER_ENGINE {
+        let part = format!("{:08x}", number % PART_COUNT);
         let (key, ..) = placer.place(book, &ask(&part), now).unwrap();
         if number % 3 > 0 {
-            placer.note_read(key, now + Duration::from_millis(100));
+            placer.record_prefill(key, now + Duration::from_millis(100));
         }
     }
     placer
@@ -30,19 +30,19 @@
 #[test]
 #[ignore = "measures"]
 fn measure_a_placement() {
-    for engines in FLEETS {
+    for engines in ENGINE_COUNTS {
         let records: Vec<TargetRecord> = (0..engines)
             .map(|number| record(number, "engine", number % 3))
             .collect();
         let mut book = TargetBook::default();
         book.replace(&records, Instant::now());
         let now = Instant::now();
-        let mut placer = busy_placer(&book, now, engines);
+        let mut placer = placer_with_load(&book, now, engines);
         let began = Instant::now();
         for round in 0..ROUNDS {
-            let part = format!("{:08x}", round as usize % PARTS);
+            let part = format!("{:08x}", round as usize % PART_COUNT);
             let (key, ..) = placer.place(&book, &ask(&part), now).unwrap();
-            placer.end(key);
+            placer.end_placement(key);
         }
         let micros = began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS);
         println!("a placement among {engines} engines: {micros:.1} us");
--- a/crates/gateway/src/first_form/reply.rs
+++ b/crates/gateway/src/first_form/reply.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::engine::PlaceFacts;
-use crate::load::ReportedLoad;
+use crate::engine::PlacementFacts;
 use crate::piece::{PieceFault, PoolLoad, TargetUse};
 use crate::piece_message::PieceReply;
 use crate::pool_key::PoolKey;
+use crate::reported_load::ReportedLoad;
 use crate::stage_call::CallEnd;
 
 /// A [`PieceFault`].
@@ -107,7 +107,7 @@
     },
     Placed {
         number: u64,
-        engine: Option<(String, PlaceFacts)>,
+        engine: Option<(String, PlacementFacts)>,
     },
     Called {
         number: u64,
--- a/crates/gateway/src/first_form/request.rs
+++ b/crates/gateway/src/first_form/request.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ask::{Prompt, Rank};
-use crate::engine::PlaceAsk;
+use crate::engine::PlacementRequest;
 use crate::hall_bytes::HallBytes;
 use crate::piece::{ExpectedPieces, PieceBatch, StageWork};
 use crate::piece_message::PieceRequest;
@@ -67,7 +67,7 @@
     }
 }
 
-/// A [`PlaceAsk`].
+/// A [`PlacementRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FirstPlaceAsk {
     service: String,
@@ -79,31 +79,31 @@
     homes: Option<Vec<String>>,
 }
 
-impl From<FirstPlaceAsk> for PlaceAsk {
+impl From<FirstPlaceAsk> for PlacementRequest {
     fn from(told: FirstPlaceAsk) -> Self {
         Self {
             service: told.service,
             prompt: told.prompt,
-            heavy_stage: told.heavy_stage,
+            large_result_stage: told.heavy_stage,
             results: told.results,
-            avoid: told.avoid,
-            closed: told.closed,
-            homes: told.homes,
-            apart: false,
+            tried: told.avoid,
+            excluded: told.closed,
+            allowed_halls: told.homes,
+            isolated: false,
         }
     }
 }
 
-impl From<PlaceAsk> for FirstPlaceAsk {
-    fn from(ask: PlaceAsk) -> Self {
+impl From<PlacementRequest> for FirstPlaceAsk {
+    fn from(ask: PlacementRequest) -> Self {
         Self {
             service: ask.service,
             prompt: ask.prompt,
-            heavy_stage: ask.heavy_stage,
+            heavy_stage: ask.large_result_stage,
             results: ask.results,
-            avoid: ask.avoid,
-            closed: ask.closed,
-            homes: ask.homes,
+            avoid: ask.tried,
+            closed: ask.excluded,
+            homes: ask.allowed_halls,
         }
     }
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -14,13 +14,13 @@
 use crate::attempt::{Attempt, AttemptEnd, send_attempt};
 use crate::caller_watch::CallerWatch;
 use crate::choose::{PassedTargets, next_target, no_target, pick_service};
-use crate::closed_service::retry_after;
-use crate::engine::PlaceFacts;
+use crate::engine::PlacementFacts;
 use crate::graph::RequestResults;
 use crate::relay::{Relay, relay_events};
+use crate::service_availability::retry_after;
 use crate::stage_client::Placement;
 use crate::turn::{RunTurn, take_turn};
-use crate::wait_model::PathPlan;
+use crate::wait_model::PathEstimate;
 use crate::{AnswerBody, Gateway, Refusal, RefusalReason};
 
 use stages::{may_run_stages_again, note_stages_again, prepare};
@@ -46,9 +46,9 @@
     /// How often its stages were begun.
     stage_runs: u32,
     /// How long the request was to take by the queues at its admission.
-    plan: PathPlan,
+    plan: PathEstimate,
     /// What decided the engine of the last attempt.
-    engine: Option<PlaceFacts>,
+    engine: Option<PlacementFacts>,
     /// Whether a target may have run it.
     may_have_run: bool,
 }
@@ -96,7 +96,7 @@
             ask.rank.second,
             ask.config_version,
             log.attempts,
-            log.plan.stages_ms + log.plan.waits_ms + log.plan.reading_ms,
+            log.plan.stages_ms + log.plan.waits_ms + log.plan.prefill_ms,
             log.plan.waits_ms,
             log.stages.map_or(0, |stages| stages.as_millis()),
             log.stage_runs,
@@ -146,8 +146,8 @@
         " tokens={} shared={} held={} ahead={} read_ms={}",
         prompt.tokens_in,
         prompt.shared_tokens(),
-        engine.held,
-        engine.ahead,
+        engine.cached_tokens,
+        engine.queued_tokens,
         engine.expected_ms
     )
 }
@@ -163,7 +163,7 @@
     gateway
         .budget
         .borrow_mut()
-        .note_request(&service, Instant::now());
+        .record_request(&service, Instant::now());
     await_first_targets(gateway, &service, ask).await;
     if !has_targets_at_home(gateway, &service, ask) {
         return Err(no_target());
@@ -294,7 +294,7 @@
     let targets = gateway.targets.borrow();
     let at_home = |service: &&str| {
         let mut targets = targets.of_service(service);
-        targets.any(|target| ask.homes.allow(&target.hall))
+        targets.any(|target| ask.homes.allows(&target.hall))
     };
     services_of(service, ask).iter().all(at_home)
 }
@@ -323,5 +323,5 @@
 pub(crate) fn take_repeat(gateway: &Gateway, service: &str) -> bool {
     let hosts = gateway.gateway_count();
     let mut budget = gateway.budget.borrow_mut();
-    budget.take_repeat(service, hosts, Instant::now())
+    budget.try_take_retry(service, hosts, Instant::now())
 }
--- a/crates/gateway/src/forward/stages.rs
+++ b/crates/gateway/src/forward/stages.rs
@@ -9,10 +9,10 @@
 use crate::admission::admit;
 use crate::ask::Ask;
 use crate::choose::{PassedTargets, no_target, place_ask};
-use crate::closed_service::{check_opens, check_rates};
-use crate::coordinator::HALL_BYTES;
+use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::graph::{RequestResults, run_stages};
 use crate::path_time::last_stages;
+use crate::service_availability::{check_availability, check_rate_limits};
 use crate::{Gateway, Refusal};
 
 /// How often the stages of a request are run.
@@ -34,8 +34,8 @@
     if log.stage_runs == 0 {
         log.plan = admit(gateway, ask)?;
         let planned = Duration::from_secs_f64((log.plan.stages_ms + log.plan.waits_ms) / 1_000.0);
-        check_opens(gateway, service, ask, planned)?;
-        check_rates(gateway, service, ask).await?;
+        check_availability(gateway, service, ask, planned)?;
+        check_rate_limits(gateway, service, ask).await?;
     }
     loop {
         log.stage_runs += 1;
@@ -63,7 +63,7 @@
     if !takes_large_results(ask) {
         let targets = gateway.targets.borrow();
         let mut engines = targets.of_service(service);
-        let known = engines.any(|engine| ask.homes.allow(&engine.hall));
+        let known = engines.any(|engine| ask.homes.allows(&engine.hall));
         let own = || gateway.config.hall.clone();
         return known.then(own).ok_or_else(no_target);
     }
@@ -78,18 +78,18 @@
 fn takes_large_results(ask: &Ask) -> bool {
     let taken = last_stages(ask).into_iter();
     let mut sizes = taken.map(|stage| ask.route.stages[stage].result_bytes);
-    sizes.any(|bytes| bytes >= HALL_BYTES)
+    sizes.any(|bytes| bytes >= LARGE_RESULT_BYTES)
 }
 
 fn note_stages(gateway: &Gateway, ask: &Ask, log: &RunLog, took: Duration) {
     let mut waits = gateway.waits.borrow_mut();
-    waits.learn(ask.rank, &log.plan, took);
+    waits.record_wait(ask.rank, &log.plan, took);
     gateway.metrics.stage_time.observe(took.as_secs_f64());
 }
 
 /// Says whether there is time to run the stages of a request once more.
 pub(super) fn may_run_stages_again(ask: &Ask, log: &RunLog) -> bool {
-    let planned_ms = log.plan.stages_ms + log.plan.waits_ms + log.plan.reading_ms;
+    let planned_ms = log.plan.stages_ms + log.plan.waits_ms + log.plan.prefill_ms;
     let left_ms = ask.time_left().as_secs_f64() * 1_000.0;
     log.stage_runs < MAX_STAGE_RUNS && planned_ms <= left_ms * AGAIN_TIME_PART
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -19,13 +19,13 @@
 use tokio::sync::{Notify, watch};
 
 use crate::Dialect;
-use crate::budget::{BudgetRule, RetryBudget};
 use crate::coordinator::Coordinator;
 use crate::engine::EnginePlacer;
 use crate::metrics::GatewayMetrics;
 use crate::notice_book::NoticeBook;
 use crate::open_request::OpenCount;
 use crate::rate_turn::RateTurns;
+use crate::retry_budget::{BudgetRule, RetryBudget};
 use crate::rollouts::RolloutWatch;
 use crate::stage_call::StageCaller;
 use crate::stage_client::StageClient;
@@ -177,15 +177,17 @@
             config,
         });
         let watching = Rc::downgrade(&gateway);
-        gateway.coordinator.set_end_watch(Box::new(move |call| {
-            if let Some(gateway) = watching.upgrade() {
-                gateway.note_call_end(call);
-            }
-        }));
+        gateway
+            .coordinator
+            .set_target_crash_observer(Box::new(move |call| {
+                if let Some(gateway) = watching.upgrade() {
+                    gateway.note_call_end(call);
+                }
+            }));
         let watching = Rc::downgrade(&gateway);
         gateway
             .coordinator
-            .set_call_watch(Box::new(move |call, end, took| {
+            .set_call_observer(Box::new(move |call, end, took| {
                 if let Some(gateway) = watching.upgrade() {
                     gateway.count_call(call, end, took);
                 }
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -7,7 +7,7 @@
 
 use crate::admission::RETRY_LEAST;
 use crate::ask::Ask;
-use crate::coordinator::HALL_BYTES;
+use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::hall_bytes::HallBytes;
 use crate::path_time::{last_stages, pool_of, time_after};
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PieceInput, StageWork, maker_of};
@@ -117,7 +117,7 @@
             if started[number] || !due {
                 continue;
             }
-            if let Some(start) = schedule.start_of(number).filter(|start| *start > now) {
+            if let Some(start) = schedule.start_time(number).filter(|start| *start > now) {
                 next_start = Some(next_start.map_or(start, |next| next.min(start)));
                 continue;
             }
@@ -136,7 +136,7 @@
         if let Some((number, outcome)) = ended {
             results[number] = Some(outcome?);
             done[number] = true;
-            schedule.note_end(number, Instant::now());
+            schedule.record_stage_end(number, Instant::now());
             release_taken(ask, &mut results, &done);
         }
     }
@@ -160,7 +160,7 @@
 ) -> Vec<Option<Expectation>> {
     let stages = ask.route.stages.iter().zip(&ask.piece_counts).enumerate();
     let later = stages.map(|(number, (stage, count))| {
-        let comes = *count > 0 && (!stage.after.is_empty() || schedule.is_deferred(number));
+        let comes = *count > 0 && (!stage.after.is_empty() || schedule.is_delayed(number));
         comes.then(|| {
             gateway.stages.expect(ExpectedPieces {
                 pool: choose_part(gateway, ask, number, None),
@@ -227,11 +227,11 @@
     let stage = &ask.route.stages[number];
     let inputs = bytes_by_hall(ask, results, &stage.after, &gateway.targets.borrow());
     if let Some((hall, bytes)) = inputs.heaviest()
-        && bytes >= HALL_BYTES
+        && bytes >= LARGE_RESULT_BYTES
     {
         return Some(hall.to_owned());
     }
-    let taken = stage.result_bytes >= HALL_BYTES && last_stages(ask).contains(&number);
+    let taken = stage.result_bytes >= LARGE_RESULT_BYTES && last_stages(ask).contains(&number);
     taken.then(|| target_hall.to_owned())
 }
 
@@ -260,7 +260,7 @@
         wanted_ms: wanted.as_millis() as u64,
         remaining_ms: ask.time_left().as_millis() as u64,
         hall,
-        homes: ask.homes.to_told(),
+        homes: ask.homes.to_names(),
         result_bytes: stage.result_bytes,
         key: ask.subject().key,
         apart: ask.apart.get(),
--- a/crates/gateway/src/hall_bytes.rs
+++ b/crates/gateway/src/hall_bytes.rs
@@ -21,7 +21,7 @@
     }
 
     /// Returns the bytes that cross halls when they are fetched from a target in `hall`.
-    pub(crate) fn crossing_to(&self, hall: &str) -> u64 {
+    pub(crate) fn bytes_crossing_to(&self, hall: &str) -> u64 {
         let others = self.0.iter().filter(|(other, _)| *other != hall);
         others.map(|(_, bytes)| bytes).sum()
     }
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -4,7 +4,7 @@
 
 use crate::Gateway;
 use crate::ask::Ask;
-use crate::wait_model::PathPlan;
+use crate::wait_model::PathEstimate;
 
 /// Time that a request takes for its stages, as far as is known.
 pub(crate) struct PathTime {
@@ -13,7 +13,7 @@
     /// How long each stage takes from the submission of its pieces, in milliseconds.
     pub(crate) spans: Vec<f64>,
     /// What admission compares with the time that is left.
-    pub(crate) plan: PathPlan,
+    pub(crate) plan: PathEstimate,
 }
 
 /// Returns how long the stages of a request would take if it began now.
@@ -43,10 +43,10 @@
     PathTime {
         ends: ends.into_iter().map(|(end, _)| end).collect(),
         spans,
-        plan: PathPlan {
+        plan: PathEstimate {
             stages_ms: end - waits,
             waits_ms: waits,
-            reading_ms: reading_ms(gateway, ask),
+            prefill_ms: reading_ms(gateway, ask),
         },
     }
 }
@@ -88,7 +88,7 @@
     ask.prompt.as_ref().map_or(0.0, |prompt| {
         let unshared = prompt.own_tokens();
         let engines = gateway.engines.borrow();
-        engines.reading_time(unshared).as_secs_f64() * 1_000.0
+        engines.prefill_time(unshared).as_secs_f64() * 1_000.0
     })
 }
 
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -4,7 +4,7 @@
 use linnet_wire::MessageForm;
 use serde::{Deserialize, Serialize};
 
-use crate::engine::{PlaceAsk, PlaceFacts};
+use crate::engine::{PlacementFacts, PlacementRequest};
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUse};
 use crate::pool_key::PoolKey;
 use crate::rate_turn::{RateAnswer, RateAsk};
@@ -32,9 +32,9 @@
         bytes: u64,
     },
     /// Say where a prompt would be placed now; changes nothing.
-    Plan { number: u64, ask: PlaceAsk },
+    Plan { number: u64, ask: PlacementRequest },
     /// Place a prompt on an engine.
-    Place { number: u64, ask: PlaceAsk },
+    Place { number: u64, ask: PlacementRequest },
     /// The engine has read a prompt that was placed.
     Read(u64),
     /// A request that was placed has ended.
@@ -82,7 +82,7 @@
     /// The engine for a prompt that was planned or placed; nothing where there is none.
     Placed {
         number: u64,
-        engine: Option<(String, PlaceFacts)>,
+        engine: Option<(String, PlacementFacts)>,
     },
     /// Whether a request may run now.
     Turn { number: u64, answer: TurnAnswer },
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -8,10 +8,10 @@
 use super::*;
 use crate::ask::{Prompt, PromptPart, Rank};
 use crate::hall_bytes::HallBytes;
-use crate::load::ReportedLoad;
 use crate::piece::{PieceInput, StageWork};
 use crate::pool_key::PoolPart;
 use crate::rate_turn::RateSubject;
+use crate::reported_load::ReportedLoad;
 use crate::stage_call::CallPart;
 
 /// Returns the bytes of a message as text.
@@ -62,10 +62,10 @@
     }
 }
 
-fn place_ask() -> PlaceAsk {
+fn place_ask() -> PlacementRequest {
     let mut results = HallBytes::default();
     results.add("hall-1", 70_000);
-    PlaceAsk {
+    PlacementRequest {
         service: "engine".to_owned(),
         prompt: Prompt {
             tokens_in: 1_460,
@@ -75,12 +75,12 @@
                 tokens: 800,
             }],
         },
-        heavy_stage: Some("stage".to_owned()),
+        large_result_stage: Some("stage".to_owned()),
         results,
-        avoid: vec!["i-1".to_owned()],
-        closed: vec!["i-2".to_owned()],
-        homes: Some(vec!["hall-1".to_owned()]),
-        apart: true,
+        tried: vec!["i-1".to_owned()],
+        excluded: vec!["i-2".to_owned()],
+        allowed_halls: Some(vec!["hall-1".to_owned()]),
+        isolated: true,
     }
 }
 
@@ -214,9 +214,9 @@
     let called = ends
         .into_iter()
         .map(|end| PieceReply::Called { number: 304, end });
-    let facts = PlaceFacts {
-        held: 800,
-        ahead: 70_000,
+    let facts = PlacementFacts {
+        cached_tokens: 800,
+        queued_tokens: 70_000,
         expected_ms: 40,
     };
     let answers = [TurnAnswer::Granted, TurnAnswer::Busy, TurnAnswer::Held];
--- a/crates/gateway/src/load/tests.rs
+++ b/crates/gateway/src/reported_load/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn only_three_numbers_are_a_load() {
+fn only_three_numbers_are_a_valid_load() {
     let load = |running, waiting| Some(ReportedLoad { running, waiting });
     assert_eq!(read("3,0,8"), load(3, 0));
     assert_eq!(read(" 1, 2 ,1"), load(1, 2));
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 /// Part of the budget that is used, so that hosts that count differently stay within it together.
-const USED_PART: f64 = 0.7;
+const USABLE_FRACTION: f64 = 0.7;
 
 /// How the budget is reckoned: per service, in any window, at most `ratio` of the requests plus
 /// `slack`, over all hosts.
@@ -18,7 +18,7 @@
 #[derive(Default)]
 struct ServiceCount {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 /// Counts requests and repeats of each service over the window.
@@ -36,30 +36,30 @@
     }
 
     /// Counts a request for a service.
-    pub(crate) fn note_request(&mut self, service: &str, now: Instant) {
+    pub(crate) fn record_request(&mut self, service: &str, now: Instant) {
         let window = self.rule.window;
         let count = self.services.entry(service.to_owned()).or_default();
-        forget_before(&mut count.requests, now, window);
+        remove_expired(&mut count.requests, now, window);
         count.requests.push_back(now);
     }
 
     /// Takes one repeat out of the budget, as one of `hosts` hosts; false where none is left.
-    pub(crate) fn take_repeat(&mut self, service: &str, hosts: usize, now: Instant) -> bool {
+    pub(crate) fn try_take_retry(&mut self, service: &str, hosts: usize, now: Instant) -> bool {
         let rule = self.rule;
         let count = self.services.entry(service.to_owned()).or_default();
-        forget_before(&mut count.requests, now, rule.window);
-        forget_before(&mut count.repeats, now, rule.window);
+        remove_expired(&mut count.requests, now, rule.window);
+        remove_expired(&mut count.retries, now, rule.window);
         let share = rule.slack / hosts.max(1) as f64;
-        let most = (rule.ratio * count.requests.len() as f64 + share) * USED_PART;
-        if (count.repeats.len() + 1) as f64 > most {
+        let max_retries = (rule.ratio * count.requests.len() as f64 + share) * USABLE_FRACTION;
+        if (count.retries.len() + 1) as f64 > max_retries {
             return false;
         }
-        count.repeats.push_back(now);
+        count.retries.push_back(now);
         true
     }
 }
 
-fn forget_before(times: &mut VecDeque<Instant>, now: Instant, window: Duration) {
+fn remove_expired(times: &mut VecDeque<Instant>, now: Instant, window: Duration) {
     while times
         .front()
         .is_some_and(|time| now.saturating_duration_since(*time) > window)
--- a/crates/gateway/src/budget/tests.rs
+++ b/crates/gateway/src/retry_budget/tests.rs
@@ -7,17 +7,17 @@
 };
 
 /// Sends requests evenly over half a minute, and as many repeats as the budget gives.
-fn repeats_in_the_worst_window(hosts: usize, requests_per_s: u64) -> (usize, f64) {
+fn retries_in_the_worst_window(hosts: usize, requests_per_s: u64) -> (usize, f64) {
     let start = Instant::now();
     let mut budgets: Vec<_> = (0..hosts).map(|_| RetryBudget::new(RULE)).collect();
-    let (mut sent, mut repeats) = (Vec::new(), Vec::new());
+    let (mut sent, mut retries) = (Vec::new(), Vec::new());
     for step in 0..30 * requests_per_s {
         let now = start + Duration::from_micros(step * 1_000_000 / requests_per_s);
         let budget = &mut budgets[step as usize % hosts];
-        budget.note_request("desk", now);
+        budget.record_request("desk", now);
         sent.push(now);
-        while budget.take_repeat("desk", hosts, now) {
-            repeats.push(now);
+        while budget.try_take_retry("desk", hosts, now) {
+            retries.push(now);
         }
     }
     let within = |times: &[Instant], at: Instant| {
@@ -29,7 +29,7 @@
     };
     let worst = sent
         .iter()
-        .map(|at| within(&repeats, *at))
+        .map(|at| within(&retries, *at))
         .max()
         .unwrap_or(0);
     let requests = within(&sent, start + Duration::from_secs(20));
@@ -40,7 +40,7 @@
 fn all_hosts_together_stay_within_the_budget_in_every_window() {
     for hosts in [1, 3, 9] {
         for requests_per_s in [1, 5, 50] {
-            let (worst, most) = repeats_in_the_worst_window(hosts, requests_per_s);
+            let (worst, most) = retries_in_the_worst_window(hosts, requests_per_s);
             assert!(
                 (worst as f64) <= most,
                 "{hosts} {requests_per_s}: {worst} of {most}"
@@ -54,6 +54,6 @@
 fn services_have_budgets_of_their_own() {
     let mut budget = RetryBudget::new(RULE);
     let now = Instant::now();
-    while budget.take_repeat("desk", 1, now) {}
-    assert!(budget.take_repeat("ledger", 1, now));
+    while budget.try_take_retry("desk", 1, now) {}
+    assert!(budget.try_take_retry("ledger", 1, now));
 }
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -13,7 +13,7 @@
 use crate::ask::Ask;
 use crate::attempt::AttemptEnd;
 use crate::coordinator::DueCall;
-use crate::engine::PlaceFacts;
+use crate::engine::PlacementFacts;
 use crate::piece::PieceFault;
 use crate::stage_call::CallEnd;
 use crate::target::Chosen;
@@ -62,7 +62,7 @@
                 Some(Self::Failed)
             }
             // One that was sent ahead waited for another one.
-            CallEnd::Answered(..) if call.is_ahead() => Some(Self::Good),
+            CallEnd::Answered(..) if call.is_overlapping() => Some(Self::Good),
             CallEnd::Answered(..) => Some(Self::of_ratio(
                 took.as_secs_f64() * 1_000.0,
                 call.expected.as_secs_f64() * 1_000.0,
@@ -74,7 +74,7 @@
         ask: &Ask,
         end: &AttemptEnd,
         took: Duration,
-        facts: Option<PlaceFacts>,
+        facts: Option<PlacementFacts>,
     ) -> Option<Self> {
         let took_ms = took.as_secs_f64() * 1_000.0;
         match end {
@@ -149,7 +149,7 @@
         (service, chosen): (&str, &Chosen),
         end: &AttemptEnd,
         took: Duration,
-        facts: Option<PlaceFacts>,
+        facts: Option<PlacementFacts>,
     ) {
         if let Some(quality) = AnswerQuality::of_end(ask, end, took, facts) {
             self.count_answer(service, &chosen.id, &ask.route.name, quality);
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -9,17 +9,17 @@
 
 use crate::Gateway;
 use crate::ask::Ask;
-use crate::coordinator::HALL_BYTES;
+use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::path_time::{last_stages, path_time};
 
 /// Part of its own time by which a deferred stage starts earlier than planned, since calls to its
 /// targets do not begin at once, and a span beside it.
-const LEAD_PART: f64 = 0.5;
-const LEAD: Duration = Duration::from_millis(40);
+const LEAD_FACTOR: f64 = 0.5;
+const LEAD_SLACK: Duration = Duration::from_millis(40);
 
 /// A stage that starts later than it could.
 #[derive(Debug, Clone, Copy)]
-struct DeferredStage {
+struct DelayedStage {
     number: usize,
     /// Time before the end of the other stages at which it starts.
     lead: Duration,
@@ -27,7 +27,7 @@
 
 /// When each stage of one request starts.
 pub(crate) struct StageSchedule {
-    deferred: Vec<DeferredStage>,
+    delayed: Vec<DelayedStage>,
     /// When each stage ends by the queues at the start, in milliseconds; 0 for one that is deferred.
     planned_ends: Vec<f64>,
     /// When the last of the other stages is expected to end.
@@ -40,55 +40,57 @@
         let path = path_time(gateway, ask);
         let last = last_stages(ask);
         let stages = ask.route.stages.iter().enumerate();
-        let deferrable: Vec<usize> = stages
+        let delayable: Vec<usize> = stages
             .filter(|(number, stage)| {
-                stage.result_bytes >= HALL_BYTES && stage.after.is_empty() && last.contains(number)
+                stage.result_bytes >= LARGE_RESULT_BYTES
+                    && stage.after.is_empty()
+                    && last.contains(number)
             })
             .map(|(number, _)| number)
             .collect();
-        Self::plan(&deferrable, path.ends, &path.spans, Instant::now())
+        Self::plan(&delayable, path.ends, &path.spans, Instant::now())
     }
 
     /// Plans stages that end after `ends` and take `spans`, in milliseconds, of which some may be
     /// deferred.
-    fn plan(deferrable: &[usize], mut ends: Vec<f64>, spans: &[f64], now: Instant) -> Self {
-        for number in deferrable {
+    fn plan(delayable: &[usize], mut ends: Vec<f64>, spans: &[f64], now: Instant) -> Self {
+        for number in delayable {
             ends[*number] = 0.0;
         }
         let others = ends.iter().copied().fold(0.0, f64::max);
-        let deferred = deferrable.iter().map(|number| DeferredStage {
+        let delayed = delayable.iter().map(|number| DelayedStage {
             number: *number,
-            lead: milliseconds(spans[*number] * (1.0 + LEAD_PART)) + LEAD,
+            lead: duration_from_ms(spans[*number] * (1.0 + LEAD_FACTOR)) + LEAD_SLACK,
         });
         Self {
-            deferred: deferred.collect(),
+            delayed: delayed.collect(),
             planned_ends: ends,
-            others_end: now + milliseconds(others),
+            others_end: now + duration_from_ms(others),
         }
     }
 
     /// Says whether a stage may start later than it could.
-    pub(crate) fn is_deferred(&self, number: usize) -> bool {
-        self.deferred.iter().any(|stage| stage.number == number)
+    pub(crate) fn is_delayed(&self, number: usize) -> bool {
+        self.delayed.iter().any(|stage| stage.number == number)
     }
 
     /// Returns when a stage starts whose inputs are there; nothing where it does so at once.
-    pub(crate) fn start_of(&self, number: usize) -> Option<Instant> {
-        let stage = self.deferred.iter().find(|stage| stage.number == number)?;
+    pub(crate) fn start_time(&self, number: usize) -> Option<Instant> {
+        let stage = self.delayed.iter().find(|stage| stage.number == number)?;
         self.others_end.checked_sub(stage.lead)
     }
 
     /// Notes that a stage has ended, sooner or later than was planned.
-    pub(crate) fn note_end(&mut self, number: usize, now: Instant) {
-        if self.is_deferred(number) {
+    pub(crate) fn record_stage_end(&mut self, number: usize, now: Instant) {
+        if self.is_delayed(number) {
             return;
         }
         let others = self.planned_ends.iter().copied().fold(0.0, f64::max);
-        self.others_end = now + milliseconds((others - self.planned_ends[number]).max(0.0));
+        self.others_end = now + duration_from_ms((others - self.planned_ends[number]).max(0.0));
     }
 }
 
-fn milliseconds(span: f64) -> Duration {
+fn duration_from_ms(span: f64) -> Duration {
     Duration::from_secs_f64(span.max(0.0) / 1_000.0)
 }
 
--- a/crates/gateway/src/schedule/tests.rs
+++ b/crates/gateway/src/schedule/tests.rs
@@ -18,9 +18,12 @@
     ];
     for (large, first, second, start_ms) in cases {
         let schedule = schedule(large, first, second, now);
-        let start = schedule.start_of(0).unwrap().saturating_duration_since(now);
+        let start = schedule
+            .start_time(0)
+            .unwrap()
+            .saturating_duration_since(now);
         assert_eq!(start.as_millis(), start_ms, "{large} {first} {second}");
-        assert_eq!(schedule.start_of(1), None);
+        assert_eq!(schedule.start_time(1), None);
     }
 }
 
@@ -28,24 +31,24 @@
 fn the_start_follows_the_others_when_they_are_later_or_sooner_than_planned() {
     let now = Instant::now();
     let mut schedule = schedule(200.0, 300.0, 500.0, now);
-    schedule.note_end(1, now + Duration::from_millis(700));
+    schedule.record_stage_end(1, now + Duration::from_millis(700));
     assert_eq!(
-        schedule.start_of(0).unwrap() - now,
+        schedule.start_time(0).unwrap() - now,
         Duration::from_millis(860)
     );
-    schedule.note_end(1, now + Duration::from_millis(100));
+    schedule.record_stage_end(1, now + Duration::from_millis(100));
     assert_eq!(
-        schedule.start_of(0).unwrap() - now,
+        schedule.start_time(0).unwrap() - now,
         Duration::from_millis(260)
     );
-    schedule.note_end(2, now + Duration::from_millis(600));
-    assert!(schedule.start_of(0).unwrap() < now + Duration::from_millis(600));
+    schedule.record_stage_end(2, now + Duration::from_millis(600));
+    assert!(schedule.start_time(0).unwrap() < now + Duration::from_millis(600));
 }
 
 #[test]
 fn a_request_whose_only_stage_is_large_starts_it_at_once() {
     let now = Instant::now();
     let schedule = StageSchedule::plan(&[0], vec![250.0], &[250.0], now);
-    assert!(schedule.is_deferred(0));
-    assert!(schedule.start_of(0).unwrap() <= now);
+    assert!(schedule.is_delayed(0));
+    assert!(schedule.start_time(0).unwrap() <= now);
 }
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -12,10 +12,10 @@
 use tokio::time::{sleep, timeout};
 
 use crate::Gateway;
-use crate::coordinator::{BatchKey, ExpectKey};
-use crate::engine::{PlaceAsk, PlacementKey};
+use crate::coordinator::{BatchKey, ExpectationKey};
+use crate::engine::{PlacementKey, PlacementRequest};
 use crate::first_form::{FirstRequest, queue_reply};
-use crate::peer_queue::send_waiting;
+use crate::peer_queue::write_queued;
 use crate::piece::PieceBatch;
 use crate::piece_message::{PieceReply, PieceRequest};
 use crate::pool_key::PoolKey;
@@ -105,7 +105,7 @@
     work: Rc<SessionWork>,
     placements: HashMap<u64, PlacementKey>,
     /// Pieces that it said will come.
-    expectations: HashMap<u64, ExpectKey>,
+    expectations: HashMap<u64, ExpectationKey>,
     /// Requests that may end their targets and run there now.
     turns: HashMap<u64, RequestKey>,
 }
@@ -136,9 +136,12 @@
                 service,
                 handles,
                 bytes,
-            } => self.gateway.coordinator.free(&service, handles, bytes),
+            } => self
+                .gateway
+                .coordinator
+                .release_results(&service, handles, bytes),
             PieceRequest::Expect { number, expected } => {
-                let key = self.gateway.coordinator.expect(expected);
+                let key = self.gateway.coordinator.expect_pieces(expected);
                 self.expectations.insert(number, key);
             }
             PieceRequest::Arrived(number) => self.end_expectation(number),
@@ -189,11 +192,11 @@
 
     fn end_expectation(&mut self, number: u64) {
         if let Some(key) = self.expectations.remove(&number) {
-            self.gateway.coordinator.arrived(key);
+            self.gateway.coordinator.end_expected(key);
         }
     }
 
-    fn plan(&self, number: u64, ask: &PlaceAsk) {
+    fn plan(&self, number: u64, ask: &PlacementRequest) {
         let book = self.gateway.targets.borrow();
         let engines = self.gateway.engines.borrow();
         let planned = engines.plan(&book, ask, Instant::now());
@@ -201,7 +204,7 @@
         let _ = self.replies.send(PieceReply::Placed { number, engine });
     }
 
-    fn place(&mut self, number: u64, ask: &PlaceAsk) {
+    fn place(&mut self, number: u64, ask: &PlacementRequest) {
         let placed = {
             let book = self.gateway.targets.borrow();
             let mut engines = self.gateway.engines.borrow_mut();
@@ -217,13 +220,13 @@
     fn note_read(&self, number: u64) {
         if let Some(key) = self.placements.get(&number) {
             let mut engines = self.gateway.engines.borrow_mut();
-            engines.note_read(*key, Instant::now());
+            engines.record_prefill(*key, Instant::now());
         }
     }
 
     fn end_placement(&mut self, number: u64) {
         if let Some(key) = self.placements.remove(&number) {
-            self.gateway.engines.borrow_mut().end(key);
+            self.gateway.engines.borrow_mut().end_placement(key);
         }
     }
 
@@ -262,13 +265,15 @@
 impl Drop for PieceSession {
     fn drop(&mut self) {
         let mut engines = self.gateway.engines.borrow_mut();
-        self.placements.values().for_each(|key| engines.end(*key));
+        self.placements
+            .values()
+            .for_each(|key| engines.end_placement(*key));
         drop(engines);
         let turns = self.turns.values();
         turns.for_each(|key| self.gateway.suspects.end_turn(*key));
         let coordinator = &self.gateway.coordinator;
         let expected = self.expectations.values();
-        expected.for_each(|key| coordinator.arrived(*key));
+        expected.for_each(|key| coordinator.end_expected(*key));
         // Taken out first: what a cancelled batch wakes looks at the others.
         let batches: Vec<BatchKey> = self
             .work
@@ -342,7 +347,7 @@
                 loads: gateway.coordinator.loads().to_vec(),
             },
         };
-        send_waiting(&reply, &mut queue, &mut writer, put).await?;
+        write_queued(&reply, &mut queue, &mut writer, put).await?;
     }
 }
 
--- a/crates/gateway/src/serve_pieces/tests/fleet.rs
+++ b/crates/gateway/src/serve_pieces/tests/fleet.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 use crate::ask::{Prompt, PromptPart, Rank};
-use crate::engine::PlaceAsk;
+use crate::engine::PlacementRequest;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceInput, StageWork};
 use crate::piece_message::{PieceReply, PieceRequest};
 use crate::pool_key::PoolKey;
@@ -212,8 +212,8 @@
     ]
 }
 
-fn place_ask(part: u32) -> PlaceAsk {
-    PlaceAsk {
+fn place_ask(part: u32) -> PlacementRequest {
+    PlacementRequest {
         service: ENGINES.to_owned(),
         prompt: Prompt {
             tokens_in: 15_000,
@@ -223,12 +223,12 @@
                 tokens: 13_000,
             }],
         },
-        heavy_stage: None,
+        large_result_stage: None,
         results: Default::default(),
-        avoid: Vec::new(),
-        closed: Vec::new(),
-        apart: false,
-        homes: None,
+        tried: Vec::new(),
+        excluded: Vec::new(),
+        isolated: false,
+        allowed_halls: None,
     }
 }
 
