--- a/crates/gateway/src/closed_service.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -15,100 +15,105 @@
 
 /// Part of the time until its objective is missed that a request waits for a target; the rest is for its work.
 /// One that would wait longer is refused at once and told when to come back, while its caller has time for it.
-const WAIT_PART: f64 = 0.5;
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
 /// Requests that wait at the same time, at most. Each keeps its body.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING_REQUESTS: usize = 256;
 
 /// The longest time after which callers are told to come back for a rate.
-const MOST_TOLD: Duration = Duration::from_secs(30);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// By how much callers, and requests that wait, come later than the first target takes requests again, drawn
 /// anew for each: as a part of the time until then, and its bounds.
-const SPREAD_PART: f64 = 0.25;
-const SPREAD_LEAST: Duration = Duration::from_millis(20);
-const SPREAD_MOST: Duration = Duration::from_secs(1);
+const JITTER_FRACTION: f64 = 0.25;
+const MIN_JITTER: Duration = Duration::from_millis(20);
+const MAX_JITTER: Duration = Duration::from_secs(1);
 
 /// The most urgent requests wait as long for leave as their objective bears; each level less urgent waits less by this
 /// part, so that leave goes to the more urgent ones first.
-const RANK_PART: f64 = 0.1;
+const RANK_WAIT_STEP: f64 = 0.1;
 
 /// When a target takes requests of this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct NextOpening {
+pub(crate) struct NextAvailability {
     /// In how long.
-    pub(crate) left: Duration,
+    pub(crate) wait: Duration,
     /// Whether it is for a rate that it takes none before.
-    pub(crate) paced: bool,
+    pub(crate) rate_limited: bool,
 }
 
 /// Returns when the first target that may run a request, and has not been tried, takes requests of this host;
 /// nothing where none will.
-pub(crate) fn next_opening(
+pub(crate) fn next_availability(
     gateway: &Gateway,
     service: &str,
     ask: &Ask,
     tried: &[String],
-) -> Option<NextOpening> {
+) -> Option<NextAvailability> {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let confined = gateway.suspects.closed_targets(&book, service, ask);
     let targets = book.of_service(service).filter(|target| {
-        ask.homes.allow(&target.hall)
+        ask.homes.allows(&target.hall)
             && !confined.contains(&target.id)
             && !tried.contains(&target.id)
     });
-    let opens = targets.filter_map(|target| {
-        let (left, paced) = match gateway.notices.standing(&target.id, now) {
+    let availabilities = targets.filter_map(|target| {
+        let (wait, rate_limited) = match gateway.notices.standing(&target.id, now) {
             TargetStanding::Open => (Duration::ZERO, false),
             TargetStanding::BackedOff(left) => (left, false),
             TargetStanding::Paced(left) => (left, true),
             TargetStanding::Leaving => return None,
         };
-        Some(NextOpening { left, paced })
+        Some(NextAvailability { wait, rate_limited })
     });
-    opens.min()
+    availabilities.min()
 }
 
 /// Returns how long a request waits for leave to go to a target that names a rate: not at all where another target is
 /// open that names none.
-pub(crate) fn rate_patience(gateway: &Gateway, service: &str, ask: &Ask, target: &str) -> Duration {
+pub(crate) fn max_permit_wait(
+    gateway: &Gateway,
+    service: &str,
+    ask: &Ask,
+    target: &str,
+) -> Duration {
     if gateway.notices.rates.rate(target).is_none() {
         return Duration::ZERO;
     }
-    match has_unrated(gateway, service, ask) {
+    match has_unlimited_target(gateway, service, ask) {
         true => Duration::ZERO,
-        false => ranked_patience(ask),
+        false => ranked_permit_wait(ask),
     }
 }
 
 /// Says whether a target that may run a request is open and takes any rate.
-pub(crate) fn has_unrated(gateway: &Gateway, service: &str, ask: &Ask) -> bool {
+pub(crate) fn has_unlimited_target(gateway: &Gateway, service: &str, ask: &Ask) -> bool {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let mut usable = book.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
-        ask.homes.allow(&one.hall)
+        ask.homes.allows(&one.hall)
             && book.rate(&one.id).is_none()
             && gateway.notices.standing(&one.id, now) == TargetStanding::Open
     })
 }
 
 /// Returns how long a request waits for leave where no target takes any rate.
-fn ranked_patience(ask: &Ask) -> Duration {
+fn ranked_permit_wait(ask: &Ask) -> Duration {
     let level = f64::from(ask.rank.engine_level());
     ask.objective_left()
-        .mul_f64(WAIT_PART * (1.0 - level * RANK_PART))
+        .mul_f64(MAX_WAIT_FRACTION * (1.0 - level * RANK_WAIT_STEP))
 }
 
 /// Returns the sum of the rates of the targets that may run a request; nothing where one of them takes any.
-fn rate_sum(gateway: &Gateway, service: &str, ask: &Ask) -> Option<NamedRate> {
+fn total_rate_limit(gateway: &Gateway, service: &str, ask: &Ask) -> Option<NamedRate> {
     if gateway.notices.rates.is_empty() {
         return None;
     }
     let book = gateway.targets.borrow();
     let usable = book.usable(service, Instant::now()).into_iter();
-    let usable = usable.filter(|target| ask.homes.allow(&target.hall));
+    let usable = usable.filter(|target| ask.homes.allows(&target.hall));
     let rates = usable.map(|target| book.rate(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
@@ -118,17 +123,17 @@
 /// # Errors
 ///
 /// [`RefusalReason::Overloaded`], with the time to come back.
-pub(crate) async fn check_rates(
+pub(crate) async fn check_rate_limits(
     gateway: &Gateway,
     service: &str,
     ask: &Ask,
 ) -> Result<(), Refusal> {
-    let Some(sum) = rate_sum(gateway, service, ask) else {
+    let Some(sum) = total_rate_limit(gateway, service, ask) else {
         return Ok(());
     };
     let rates = &gateway.notices.rates;
-    let taken = rates.take_turn(service, sum, ranked_patience(ask)).await;
-    taken.map_err(|left| paced(gateway, service, ask, left))
+    let turn = rates.take_turn(service, sum, ranked_permit_wait(ask)).await;
+    turn.map_err(|left| rate_refusal(gateway, service, ask, left))
 }
 
 /// Refuses a request before its stages begin where its own service opens too late for it. The stages are
@@ -137,19 +142,19 @@
 /// # Errors
 ///
 /// [`RefusalReason::Overloaded`], with the time to come back.
-pub(crate) fn check_opens(
+pub(crate) fn check_availability(
     gateway: &Gateway,
     service: &str,
     ask: &Ask,
     planned: Duration,
 ) -> Result<(), Refusal> {
-    let Some(opening) = next_opening(gateway, service, ask, &[]) else {
+    let Some(availability) = next_availability(gateway, service, ask, &[]) else {
         return Ok(());
     };
-    let wait = opening.left.saturating_sub(planned);
+    let wait = availability.wait.saturating_sub(planned);
     let spare = ask.objective_left().saturating_sub(planned);
-    if wait > spare.mul_f64(WAIT_PART) {
-        return Err(refusal_until(gateway, service, ask, opening));
+    if wait > spare.mul_f64(MAX_WAIT_FRACTION) {
+        return Err(refusal_until(gateway, service, ask, availability));
     }
     Ok(())
 }
@@ -160,63 +165,68 @@
 /// # Errors
 ///
 /// [`RefusalReason::Overloaded`], with the time to come back, where it is not.
-pub(crate) async fn await_open(
+pub(crate) async fn wait_until_available(
     gateway: &Gateway,
     service: &str,
     ask: &Ask,
-    opening: NextOpening,
+    availability: NextAvailability,
 ) -> Result<(), Refusal> {
-    let in_time = opening.left <= ask.objective_left().mul_f64(WAIT_PART);
-    if opening.paced || !in_time || gateway.waiting.get() >= MOST_WAITING {
-        return Err(refusal_until(gateway, service, ask, opening));
+    let in_time = availability.wait <= ask.objective_left().mul_f64(MAX_WAIT_FRACTION);
+    if availability.rate_limited || !in_time || gateway.waiting.get() >= MAX_WAITING_REQUESTS {
+        return Err(refusal_until(gateway, service, ask, availability));
     }
     let _waits = OpenRequest::new(&gateway.waiting);
-    sleep(spread(opening.left)).await;
+    sleep(with_jitter(availability.wait)).await;
     Ok(())
 }
 
 /// Returns when a caller should come back: not before a target takes requests of this host again.
 pub(crate) fn retry_after(gateway: &Gateway, service: &str, ask: &Ask) -> Duration {
-    let opening = next_opening(gateway, service, ask, &[]);
-    spread(opening.map_or(Duration::ZERO, |opening| opening.left))
+    let availability = next_availability(gateway, service, ask, &[]);
+    with_jitter(availability.map_or(Duration::ZERO, |availability| availability.wait))
 }
 
 /// Returns the refusal of a request for which no target was found, where all name rates.
-pub(crate) fn used_up(gateway: &Gateway, service: &str, ask: &Ask) -> Option<Refusal> {
-    rate_sum(gateway, service, ask)?;
-    Some(paced(gateway, service, ask, Duration::ZERO))
+pub(crate) fn rates_used_up(gateway: &Gateway, service: &str, ask: &Ask) -> Option<Refusal> {
+    total_rate_limit(gateway, service, ask)?;
+    Some(rate_refusal(gateway, service, ask, Duration::ZERO))
 }
 
-fn refusal_until(gateway: &Gateway, service: &str, ask: &Ask, opening: NextOpening) -> Refusal {
-    match opening.paced {
-        true => paced(gateway, service, ask, opening.left),
-        false => closed(service, opening.left),
+fn refusal_until(
+    gateway: &Gateway,
+    service: &str,
+    ask: &Ask,
+    availability: NextAvailability,
+) -> Refusal {
+    match availability.rate_limited {
+        true => rate_refusal(gateway, service, ask, availability.wait),
+        false => back_off_refusal(service, availability.wait),
     }
 }
 
 /// Returns the refusal of a request for whose service there is no leave for a time. Callers that are refused are told
 /// to come back one after the other, by the sum of the rates.
-fn paced(gateway: &Gateway, service: &str, ask: &Ask, left: Duration) -> Refusal {
+fn rate_refusal(gateway: &Gateway, service: &str, ask: &Ask, wait: Duration) -> Refusal {
     let detail = format!(
         "every target of {service} names a rate that is used up, the first one for {} ms",
-        left.as_millis()
+        wait.as_millis()
     );
-    let sum = rate_sum(gateway, service, ask);
+    let sum = total_rate_limit(gateway, service, ask);
     let turn = sum.map(|sum| gateway.notices.rates.return_turn(service, sum));
-    let back = left.max(turn.unwrap_or_default()).min(MOST_TOLD);
-    Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(spread(back))
+    let wait = wait.max(turn.unwrap_or_default()).min(MAX_RETRY_AFTER);
+    Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(with_jitter(wait))
 }
 
-fn closed(service: &str, left: Duration) -> Refusal {
+fn back_off_refusal(service: &str, wait: Duration) -> Refusal {
     let detail = format!(
         "every target of {service} wants no requests, the first one for {} ms",
-        left.as_millis()
+        wait.as_millis()
     );
-    Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(spread(left))
+    Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(with_jitter(wait))
 }
 
 /// Returns when one of many comes that wait for the same moment: it and somewhat more.
-fn spread(left: Duration) -> Duration {
-    let most = left.mul_f64(SPREAD_PART).clamp(SPREAD_LEAST, SPREAD_MOST);
-    left + most.mul_f64(fastrand::f64())
+fn with_jitter(wait: Duration) -> Duration {
+    let max_jitter = wait.mul_f64(JITTER_FRACTION).clamp(MIN_JITTER, MAX_JITTER);
+    wait + max_jitter.mul_f64(fastrand::f64())
 }
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -17,11 +17,11 @@
 
 use crate::Dialect;
 use crate::dialect::StageItem;
-use crate::load::ReportedLoad;
 use crate::notice::read_notice;
 use crate::notice_book::NoticeBook;
 use crate::piece::{PieceFault, PieceInput, StageWork};
 use crate::rate_permit::SendPermit;
+use crate::reported_load::ReportedLoad;
 use crate::send_gate::SendKind;
 use crate::target_ask::TargetStanding;
 use crate::upstream::{SendError, UpstreamPool};
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -21,7 +21,7 @@
 use linnet_wire::{MessageForm, PeerIdentity};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::coordinator::{Coordinator, SendingShare};
+use crate::coordinator::{CallDelegate, Coordinator};
 use crate::engine::EnginePlacer;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad};
 use crate::piece_message::PieceRequest;
@@ -188,7 +188,7 @@
             state: Rc::default(),
         };
         let (calling, releasing) = (client.clone(), client.clone());
-        coordinator.set_share(SendingShare {
+        coordinator.set_delegate(CallDelegate {
             call: Box::new(move |call, hall| calling.share_call(call, hall)),
             release: Box::new(move |release, hall| releasing.share_release(release, hall)),
         });
@@ -297,7 +297,9 @@
             home => home,
         };
         match gathered_at {
-            Home::Here => self.coordinator.free(&pool.service, handles, bytes),
+            Home::Here => self
+                .coordinator
+                .release_results(&pool.service, handles, bytes),
             Home::Remote(address) => {
                 let request = PieceRequest::Free {
                     service: pool.service.clone(),
@@ -474,7 +476,7 @@
     /// Tells the host that gathers the pieces of a service that some will come.
     pub(crate) fn expect(&self, expected: ExpectedPieces) -> Expectation {
         let home = match self.home_of(&expected.pool) {
-            Home::Here => ExpectedAt::Here(self.coordinator.expect(expected)),
+            Home::Here => ExpectedAt::Here(self.coordinator.expect_pieces(expected)),
             Home::Remote(address) => {
                 let number = self.next_number();
                 self.send_to(address, PieceRequest::Expect { number, expected }, |_| {});
--- a/crates/gateway/src/stage_client/guard.rs
+++ b/crates/gateway/src/stage_client/guard.rs
@@ -5,13 +5,13 @@
 use std::time::Instant;
 
 use super::StageClient;
-use crate::coordinator::{BatchKey, Coordinator, ExpectKey};
-use crate::engine::{PlaceFacts, PlacementKey};
+use crate::coordinator::{BatchKey, Coordinator, ExpectationKey};
+use crate::engine::{PlacementFacts, PlacementKey};
 use crate::piece_message::PieceRequest;
 
 #[derive(Clone, Copy)]
 pub(super) enum ExpectedAt {
-    Here(ExpectKey),
+    Here(ExpectationKey),
     Remote(SocketAddr, u64),
 }
 
@@ -24,7 +24,7 @@
 impl Drop for Expectation {
     fn drop(&mut self) {
         match self.home {
-            ExpectedAt::Here(key) => self.client.coordinator.arrived(key),
+            ExpectedAt::Here(key) => self.client.coordinator.end_expected(key),
             ExpectedAt::Remote(address, number) => {
                 self.client
                     .send_to(address, PieceRequest::Arrived(number), |_| {});
@@ -44,12 +44,12 @@
     pub(super) client: StageClient,
     pub(super) home: PlacedAt,
     /// What decided it; nothing where the placer did not answer in time.
-    pub(super) facts: Option<PlaceFacts>,
+    pub(super) facts: Option<PlacementFacts>,
 }
 
 impl Placement {
     /// Returns what decided it.
-    pub(crate) fn facts(&self) -> Option<PlaceFacts> {
+    pub(crate) fn facts(&self) -> Option<PlacementFacts> {
         self.facts
     }
 
@@ -69,7 +69,7 @@
         match self.home {
             PlacedAt::Here(key) => {
                 let mut engines = self.client.engines.borrow_mut();
-                engines.note_read(key, Instant::now());
+                engines.record_prefill(key, Instant::now());
             }
             PlacedAt::Remote(address, number) => {
                 self.client
@@ -82,7 +82,7 @@
 impl Drop for Placement {
     fn drop(&mut self) {
         match self.home {
-            PlacedAt::Here(key) => self.client.engines.borrow_mut().end(key),
+            PlacedAt::Here(key) => self.client.engines.borrow_mut().end_placement(key),
             PlacedAt::Remote(address, number) => {
                 self.client
                     .send_to(address, PieceRequest::End(number), |link| {
--- a/crates/gateway/src/stage_client/link.rs
+++ b/crates/gateway/src/stage_client/link.rs
@@ -9,7 +9,7 @@
 
 use super::{IDLE_SILENCE_LIMIT, LinkState, RECONNECT_WAIT, SILENCE_LIMIT, StageClient};
 use crate::first_form::{FirstReply, queue_request};
-use crate::peer_queue::send_waiting;
+use crate::peer_queue::write_queued;
 use crate::piece_message::{PieceReply, PieceRequest};
 
 /// How a connection ended, where it did not fail.
@@ -109,7 +109,11 @@
         PieceReply::Called { number, end } => client.take_called(address, number, end),
         PieceReply::Rate { number, answer } => client.take_rate_answer(address, number, answer),
         PieceReply::Turn { number, answer } => client.take_turn_answer(address, number, answer),
-        PieceReply::Uses { pool, uses } => client.coordinator.set_uses(reader.peer(), &pool, &uses),
+        PieceReply::Uses { pool, uses } => {
+            client
+                .coordinator
+                .set_peer_uses(reader.peer(), &pool, &uses)
+        }
         PieceReply::Alive { loads } => client.take_loads(loads),
     }
     Ok(())
@@ -132,7 +136,7 @@
             Err(_) if client.take_unused(address) => return Ok(LinkEnd::Unused),
             Err(_) => PieceRequest::Alive,
         };
-        send_waiting(&request, queue, &mut writer, put).await?;
+        write_queued(&request, queue, &mut writer, put).await?;
     }
     Ok(LinkEnd::Lost)
 }
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{Results, SILENCE_LIMIT};
-use crate::engine::PlaceFacts;
+use crate::engine::PlacementFacts;
 use crate::piece_message::PieceRequest;
 use crate::rate_turn::RateAnswer;
 use crate::stage_call::CallEnd;
@@ -37,7 +37,7 @@
     pub(super) held: u32,
     pub(super) outgoing: mpsc::UnboundedSender<PieceRequest>,
     pub(super) waiting: HashMap<u64, oneshot::Sender<Results>>,
-    pub(super) placing: HashMap<u64, oneshot::Sender<Option<(String, PlaceFacts)>>>,
+    pub(super) placing: HashMap<u64, oneshot::Sender<Option<(String, PlacementFacts)>>>,
     /// Calls that this host has the other one send.
     pub(super) calling: HashMap<u64, oneshot::Sender<CallEnd>>,
     /// Questions whether a request may run.
--- a/crates/gateway/src/stage_client/parts.rs
+++ b/crates/gateway/src/stage_client/parts.rs
@@ -5,8 +5,8 @@
 use linnet_routing::StagePool;
 
 use super::{Home, StageClient};
+use crate::allowed_halls::AllowedHalls;
 use crate::ask::Rank;
-use crate::home_halls::HomeHalls;
 use crate::piece::{PieceBatch, PoolLoad};
 use crate::pool_key::PoolKey;
 
@@ -30,7 +30,7 @@
     /// How many pieces there are.
     pub(crate) pieces: u32,
     /// The halls in which the pieces may run.
-    pub(crate) homes: &'a HomeHalls,
+    pub(crate) homes: &'a AllowedHalls,
 }
 
 /// Returns the first of some choices that leaves any.
@@ -64,11 +64,11 @@
         best.map_or_else(|| PoolKey::whole(service), |(_, key)| key)
     }
 
-    fn usable_parts(&self, service: &str, homes: &HomeHalls) -> Vec<PoolKey> {
+    fn usable_parts(&self, service: &str, homes: &AllowedHalls) -> Vec<PoolKey> {
         let state = self.state.borrow();
         let now = Instant::now();
         let all = state.pools.parts_of(service).iter().map(|(key, _)| key);
-        let all = all.filter(|key| key.hall().is_none_or(|hall| homes.allow(hall)));
+        let all = all.filter(|key| key.hall().is_none_or(|hall| homes.allows(hall)));
         let is_usable = |key: &&PoolKey| state.avoided.get(*key).is_none_or(|until| *until <= now);
         let usable: Vec<PoolKey> = all.clone().filter(is_usable).cloned().collect();
         let all: Vec<PoolKey> = all.cloned().collect();
@@ -90,7 +90,7 @@
         let mut state = self.state.borrow_mut();
         state.avoided.insert(batch.pool.clone(), until);
         drop(state);
-        let homes = HomeHalls::told(batch.homes.clone());
+        let homes = AllowedHalls::from_names(batch.homes.clone());
         let others = self.usable_parts(&batch.pool.service, &homes);
         let other = others.into_iter().find(|key| *key != batch.pool);
         other.is_some_and(|other| {
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -9,7 +9,7 @@
 
 use super::guard::{PlacedAt, Placement};
 use super::{Home, StageClient};
-use crate::engine::{PlaceAsk, PlaceFacts};
+use crate::engine::{PlacementFacts, PlacementRequest};
 use crate::piece_message::PieceRequest;
 use crate::pool_key::place_key;
 use crate::target::{Chosen, TargetBook};
@@ -19,7 +19,7 @@
 
 impl StageClient {
     /// Returns the host that places a prompt: one for the engines of a service, or for a part of them.
-    fn placer_of(&self, targets: &RefCell<TargetBook>, ask: &PlaceAsk) -> Home {
+    fn placer_of(&self, targets: &RefCell<TargetBook>, ask: &PlacementRequest) -> Home {
         let key = {
             let book = targets.borrow();
             place_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt)
@@ -32,7 +32,7 @@
     pub(crate) async fn place(
         &self,
         targets: &RefCell<TargetBook>,
-        ask: PlaceAsk,
+        ask: PlacementRequest,
     ) -> Option<(Chosen, Placement)> {
         let mut ask = ask;
         if let Home::Remote(address) = self.placer_of(targets, &ask) {
@@ -43,7 +43,7 @@
             }
             // Only the host that places for all counts what cold engines get.
             let cold = targets.borrow().cold_targets(&ask.service, Instant::now());
-            ask.closed.extend(cold);
+            ask.excluded.extend(cold);
         }
         let book = targets.borrow();
         let placed = self.engines.borrow_mut().place(&book, &ask, Instant::now());
@@ -56,7 +56,11 @@
         Some((chosen, placement))
     }
 
-    async fn place_at(&self, address: SocketAddr, ask: PlaceAsk) -> Option<(String, Placement)> {
+    async fn place_at(
+        &self,
+        address: SocketAddr,
+        ask: PlacementRequest,
+    ) -> Option<(String, Placement)> {
         let number = self.next_number();
         let answer = self.ask_placer(address, number, PieceRequest::Place { number, ask });
         // From here on the placement is ended whatever becomes of the answer.
@@ -75,7 +79,7 @@
     pub(crate) async fn plan(
         &self,
         targets: &RefCell<TargetBook>,
-        ask: PlaceAsk,
+        ask: PlacementRequest,
     ) -> Option<Chosen> {
         if let Home::Remote(address) = self.placer_of(targets, &ask) {
             let number = self.next_number();
@@ -101,7 +105,7 @@
         address: SocketAddr,
         number: u64,
         request: PieceRequest,
-    ) -> impl Future<Output = Option<(String, PlaceFacts)>> + use<> {
+    ) -> impl Future<Output = Option<(String, PlacementFacts)>> + use<> {
         let (done, answer) = oneshot::channel();
         self.send_to(address, request, |link| {
             link.placing.insert(number, done);
@@ -121,7 +125,7 @@
         &self,
         address: SocketAddr,
         number: u64,
-        engine: Option<(String, PlaceFacts)>,
+        engine: Option<(String, PlacementFacts)>,
     ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
--- a/crates/gateway/src/stage_client/sender.rs
+++ b/crates/gateway/src/stage_client/sender.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 use super::StageClient;
-use crate::coordinator::SharedCall;
+use crate::coordinator::DelegatedCall;
 use crate::piece_message::PieceRequest;
 use crate::rendezvous;
 use crate::stage_call::{CallEnd, StageCall, StageRelease};
@@ -34,9 +34,9 @@
 
 impl StageClient {
     /// Hands a call to the host that sends to its target; nothing where this host sends it itself.
-    pub(super) fn share_call(&self, call: &StageCall, hall: &str) -> Option<SharedCall> {
+    pub(super) fn share_call(&self, call: &StageCall, hall: &str) -> Option<DelegatedCall> {
         let sender = self.sender_of(&call.target, hall)?;
-        Some(SharedCall {
+        Some(DelegatedCall {
             sender,
             end: self.call_at(sender, call.clone()),
         })
--- a/crates/gateway/src/target/book.rs
+++ b/crates/gateway/src/target/book.rs
@@ -179,7 +179,7 @@
             .flat_map(BTreeMap::values_mut)
             .filter(|target| target.is_cold(now));
         let closed = cold.filter_map(|target| {
-            let open = target.share.has_room(rate, hosts, fastrand::f64(), now);
+            let open = target.share.allows_send(rate, hosts, fastrand::f64(), now);
             (!open).then(|| target.id.clone())
         });
         closed.collect()
@@ -197,7 +197,7 @@
             return;
         };
         if let Some(target) = self.find_mut(service, id).filter(|one| one.is_cold(now)) {
-            target.share.note(rate, hosts, now);
+            target.share.record_send(rate, hosts, now);
         }
     }
 
--- a/crates/gateway/src/target_end.rs
+++ b/crates/gateway/src/target_end.rs
@@ -221,11 +221,11 @@
     pub(crate) fn note_call_end(&self, call: &DueCall) {
         let mut cut: Vec<CutRequest> = Vec::new();
         for piece in &call.pieces {
-            if cut.iter().all(|one| one.subject.key != piece.key) {
+            if cut.iter().all(|one| one.subject.key != piece.request_key) {
                 cut.push(CutRequest {
                     id: piece.work.request.clone(),
-                    subject: RequestSubject::unnamed(piece.key),
-                    ran: call.began.elapsed(),
+                    subject: RequestSubject::unnamed(piece.request_key),
+                    ran: call.started.elapsed(),
                 });
             }
         }
--- a/crates/gateway/src/wait_model.rs
+++ b/crates/gateway/src/wait_model.rs
@@ -9,24 +9,24 @@
 use crate::ask::Rank;
 
 /// Weight of a new observation.
-const GAIN: f64 = 0.2;
+const RATIO_GAIN: f64 = 0.2;
 
 /// Bounds of what one observation says.
-const LEAST_RATIO: f64 = 0.5;
-const MOST_RATIO: f64 = 6.0;
+const MIN_RATIO: f64 = 0.5;
+const MAX_RATIO: f64 = 6.0;
 
 /// Waits shorter than this are taken as so long, in milliseconds: their ratios say little.
-const LEAST_WAIT_MS: f64 = 80.0;
+const MIN_WAIT_MS: f64 = 80.0;
 
 /// How long a request will take, by the queues at its admission.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct PathPlan {
+pub(crate) struct PathEstimate {
     /// Time of its stages where nothing waits, in milliseconds.
     pub(crate) stages_ms: f64,
     /// All waits on the longest way, in milliseconds.
     pub(crate) waits_ms: f64,
     /// Time that its target reads the prompt, in milliseconds.
-    pub(crate) reading_ms: f64,
+    pub(crate) prefill_ms: f64,
 }
 
 /// Ratios of real to planned waits, by rank.
@@ -37,18 +37,18 @@
 
 impl WaitModel {
     /// Returns how long a request will take, with what was learned, in milliseconds.
-    pub(crate) fn expected_ms(&self, rank: Rank, plan: &PathPlan) -> f64 {
+    pub(crate) fn expected_ms(&self, rank: Rank, plan: &PathEstimate) -> f64 {
         let ratio = self.ratios.get(&rank).copied().unwrap_or(1.0);
-        plan.stages_ms + plan.waits_ms * ratio.max(1.0) + plan.reading_ms
+        plan.stages_ms + plan.waits_ms * ratio.max(1.0) + plan.prefill_ms
     }
 
     /// Learns from a request whose stages took so long.
-    pub(crate) fn learn(&mut self, rank: Rank, plan: &PathPlan, took: Duration) {
+    pub(crate) fn record_wait(&mut self, rank: Rank, plan: &PathEstimate, took: Duration) {
         let waited = took.as_secs_f64() * 1_000.0 - plan.stages_ms;
-        let planned = plan.waits_ms.max(LEAST_WAIT_MS);
-        let ratio = (waited / planned).clamp(LEAST_RATIO, MOST_RATIO);
+        let planned = plan.waits_ms.max(MIN_WAIT_MS);
+        let ratio = (waited / planned).clamp(MIN_RATIO, MAX_RATIO);
         let known = self.ratios.entry(rank).or_insert(1.0);
-        *known += (ratio - *known) * GAIN;
+        *known += (ratio - *known) * RATIO_GAIN;
     }
 }
 
