--- a/crates/gateway/src/coordinator.rs
+++ b/crates/gateway/src/coordinator.rs
@@ -1,8 +1,9 @@
-//! Gathers the pieces of stages from all entry hosts into calls.
+//! Collects the stage pieces of all entry hosts into calls to stage targets.
 //!
-//! One entry host gathers for a service, so it knows which targets are free, what waits and how
-//! much memory the results take. Should two hosts gather for one service, as when a data hall is
-//! cut off, targets refuse the calls that are too many and the pieces wait on.
+//! One entry host coordinates each service, so it knows which targets are free, how many pieces are
+//! queued and how much memory the results take. If two hosts coordinate the same service, for
+//! example while a data hall is cut off, targets refuse the excess calls and the pieces stay
+//! queued.
 
 mod batch;
 mod call;
--- a/crates/gateway/src/coordinator/batch.rs
+++ b/crates/gateway/src/coordinator/batch.rs
@@ -1,44 +1,44 @@
-//! Batches: the pieces of one stage of one request, and what became of each.
+//! Batches: the pieces of one stage of one request, and the outcome of each piece.
 //!
-//! A piece may be given to a second target while the first is late. Of its copies the first result
-//! counts, and a failure counts only where no other copy is left.
+//! A piece may be sent to a second target while the first one is late. The first result of any copy
+//! is used; a failure counts only if no other copy is pending.
 
 use std::collections::HashMap;
 
 use crate::piece::PieceFault;
 
-/// Names one batch of pieces at its coordinator.
+/// Identifies a batch at its coordinator.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BatchKey(u64);
 
-/// One piece of one batch.
+/// Identifies one piece of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct PieceKey {
     pub(crate) batch: BatchKey,
-    /// The piece of the batch, from 0.
+    /// Index of the piece within its batch, from 0.
     pub(crate) index: usize,
 }
 
-/// The handle of a piece's result, or why there is none.
+/// The handle of a piece's result, or the reason there is none.
 pub(crate) type PieceOutcome = Result<String, PieceFault>;
 
-/// Takes the outcomes of all pieces of a batch.
+/// Receives the outcomes of all pieces of a batch.
 pub(crate) type BatchReply = Box<dyn FnOnce(Vec<PieceOutcome>)>;
 
-/// What is due after a copy of a piece has ended.
+/// What has to be done after a copy of a piece has ended.
 pub(super) enum CopyEffect {
-    /// Nothing: other copies or other pieces are still missing.
+    /// Nothing: other copies or other pieces are still pending.
     Pending,
-    /// The result is not wanted, or no longer.
+    /// Release the result: its piece has another result already, or its batch was cancelled.
     Unneeded(String),
-    /// It was the last piece of its batch.
+    /// Reply to the batch: this was its last pending piece.
     Complete(BatchReply, Vec<PieceOutcome>),
 }
 
-/// One piece of a batch.
+/// The state of one piece of a batch.
 struct Piece {
     outcome: Option<PieceOutcome>,
-    /// Copies that wait or are in a call.
+    /// Copies that are queued or in a call.
     copies: u32,
 }
 
@@ -47,7 +47,7 @@
     pieces: Vec<Piece>,
 }
 
-/// The batches of one coordinator that are not complete.
+/// The incomplete batches of one coordinator.
 #[derive(Default)]
 pub(super) struct OpenBatches {
     open: HashMap<BatchKey, Batch>,
@@ -55,7 +55,7 @@
 }
 
 impl OpenBatches {
-    /// Begins a batch whose pieces have one copy each.
+    /// Adds a batch whose pieces have one copy each.
     pub(super) fn add(&mut self, count: usize, reply: BatchReply) -> BatchKey {
         self.last += 1;
         let key = BatchKey(self.last);
@@ -68,25 +68,26 @@
         key
     }
 
-    /// Forgets a batch that is not wanted any more.
+    /// Drops a batch whose results are no longer needed.
     pub(super) fn cancel(&mut self, key: BatchKey) {
         self.open.remove(&key);
     }
 
-    /// Returns how many copies of a piece are out; nothing where it has its outcome or is not wanted.
+    /// Returns the number of pending copies of a piece, or `None` if the piece has an outcome or
+    /// its batch was dropped.
     pub(super) fn pending_copies(&self, key: PieceKey) -> Option<u32> {
         let piece = self.open.get(&key.batch)?.pieces.get(key.index)?;
         piece.outcome.is_none().then_some(piece.copies)
     }
 
-    /// Counts one more copy of a piece.
+    /// Counts another copy of a piece.
     pub(super) fn add_copy(&mut self, key: PieceKey) {
         if let Some(piece) = self.piece_mut(key) {
             piece.copies += 1;
         }
     }
 
-    /// Takes the outcome of one copy.
+    /// Records the outcome of one copy.
     pub(super) fn record_outcome(&mut self, key: PieceKey, outcome: PieceOutcome) -> CopyEffect {
         let Some(piece) = self.piece_mut(key) else {
             return unneeded(outcome);
--- a/crates/gateway/src/coordinator/batch/tests.rs
+++ b/crates/gateway/src/coordinator/batch/tests.rs
@@ -20,7 +20,8 @@
     Ok(name.to_owned())
 }
 
-/// Ends a copy and answers where the batch is complete; returns a result that nobody wants.
+/// Records the outcome of a copy and replies if the batch is complete; returns a result that no
+/// batch needs.
 fn end(
     book: &mut OpenBatches,
     batch: BatchKey,
--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -1,4 +1,4 @@
-//! Calls to stage targets.
+//! Sends calls to stage targets and handles their ends.
 
 use std::net::SocketAddr;
 use std::pin::{Pin, pin};
@@ -15,11 +15,11 @@
 use crate::target_end::PROBE_PATIENCE;
 use crate::upstream::ProbeOutcome;
 
-/// How much longer than expected a call is waited for in all, as a factor and a span.
+/// Time after which a call is given up: a factor of the expected duration plus a fixed slack.
 const TIMEOUT_FACTOR: f64 = 5.0;
 const TIMEOUT_SLACK: Duration = Duration::from_millis(150);
 
-/// How old what a target reports may be.
+/// Maximum age of the data in a target's report.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(200);
 
 pub(super) async fn run_call(coordinator: Rc<Coordinator>, call: DueCall) {
@@ -47,7 +47,8 @@
     }
 }
 
-/// Finds out whether a target that broke a connection has ended, and tells which requests had pieces there.
+/// Probes a target that broke a connection. If it has crashed, notifies the observer, which learns
+/// which requests had pieces there.
 async fn check_for_crash(coordinator: &Coordinator, call: &DueCall, end: CallEnd) -> CallEnd {
     let CallEnd::Broke(cause) = end else {
         return end;
@@ -56,7 +57,7 @@
         PROBE_PATIENCE,
         coordinator.caller.upstream.probe(call.address),
     );
-    // A target that was withdrawn ends its connections itself.
+    // A target that was removed from the list closes its connections by itself.
     if probe.await != Ok(ProbeOutcome::Refused) || !coordinator.is_listed(call) {
         return CallEnd::Failed(cause);
     }
@@ -64,14 +65,14 @@
     CallEnd::Ended(cause)
 }
 
-/// Serves what waits in a pool once the next call to one of its targets may be sent.
+/// Dispatches the queued pieces of a pool once the next call may be sent to one of its targets.
 pub(super) async fn dispatch_after(coordinator: Rc<Coordinator>, pool: PoolKey, after: Duration) {
     sleep(after).await;
     coordinator.dispatch(&pool);
 }
 
-/// Waits on for a call that is late, while its pieces go to other targets as well: a target that is
-/// slow works on it until its end, whoever waits for it.
+/// Continues to wait for a late call while its pieces are sent to other targets as well: a slow
+/// target works on the call to its end, whether or not anyone waits for it.
 async fn await_late_call(
     coordinator: &Rc<Coordinator>,
     call: &DueCall,
@@ -130,7 +131,7 @@
         .iter()
         .map(|piece| piece.work.request.as_str())
         .collect();
-    // Pieces of one request follow each other.
+    // Pieces of one request are adjacent.
     requests.dedup();
     let detail = format!(
         "service={} pieces={} took_ms={} expected_ms={} sender={} {outcome} requests={}",
@@ -144,8 +145,7 @@
     coordinator.recorder.record(code, &call.target, detail);
 }
 
-/// Puts a call in the form in which it travels; pieces of one batch that follow each other share a
-/// part.
+/// Converts a call to its wire form. Adjacent pieces of one batch share a part.
 fn to_stage_call(call: &DueCall, now: Instant) -> StageCall {
     let left = |deadline: Instant| deadline.saturating_duration_since(now).as_millis() as u64;
     let batches = call.pieces.chunk_by(|a, b| Rc::ptr_eq(&a.work, &b.work));
@@ -162,14 +162,14 @@
     }
 }
 
-/// Returns how long the answer to a call is waited for in all.
+/// Returns the total time to wait for the response to a call.
 fn call_timeout(call: &DueCall) -> Duration {
     let total = call.expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_SLACK;
     total.max(call.late_after)
 }
 
-/// Asks a target how much memory it has free for results, when its report has caught up with the call
-/// that found no room. Until then the target is taken as full.
+/// Queries the free result memory of a target once its report reflects the call that found no room.
+/// Until then the target is treated as full.
 pub(super) async fn query_free_bytes(
     coordinator: Rc<Coordinator>,
     pool: PoolKey,
--- a/crates/gateway/src/coordinator/delegation.rs
+++ b/crates/gateway/src/coordinator/delegation.rs
@@ -1,5 +1,5 @@
-//! Who sends calls to stage targets: the host that gathers them, or other hosts in its place once
-//! the bodies are more than one host should carry.
+//! Decides which host sends calls to stage targets: the coordinator, or other hosts in its place
+//! once the request bodies exceed what one host should send.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,42 +8,43 @@
 
 use crate::stage_call::{CallEnd, StageCall, StageRelease};
 
-/// The span over which the rate of sent bytes is taken. Calls come several a second, so a second
-/// smooths them and still follows a burst.
+/// Time constant of the average rate of sent bytes. Calls are sent several times a second, so one
+/// second smooths the rate and still follows a burst.
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// Part of the bound under which the rate has to fall before this host sends everything by itself
-/// again.
+/// Fraction of the limit below which the rate has to fall before this host sends all calls by
+/// itself again.
 const RESUME_FRACTION: f64 = 0.5;
 
-/// Another host that sends a call, and the end of the call.
+/// A call that another host sends, with the future of its end.
 pub(crate) struct DelegatedCall {
     pub(crate) sender: SocketAddr,
     pub(crate) end: LocalBoxFuture<'static, CallEnd>,
 }
 
-/// Hands a call for a target in a data hall to another host; nothing where this one sends it.
+/// Hands a call for a target in a data hall to another host; returns `None` if this host has to
+/// send it.
 type DelegateCall = Box<dyn Fn(&StageCall, &str) -> Option<DelegatedCall>>;
 
-/// Does the same with a release of results; gives it back where this host sends it.
+/// Hands a release of results to another host; returns it if this host has to send it.
 type DelegateRelease = Box<dyn Fn(StageRelease, &str) -> Option<StageRelease>>;
 
-/// The way to other hosts that send in place of this one.
+/// Hands calls and releases to other hosts, which send them in place of this one.
 pub(crate) struct CallDelegate {
     pub(crate) call: DelegateCall,
     pub(crate) release: DelegateRelease,
 }
 
-/// A change of who sends calls.
+/// The start or end of a period in which calls are delegated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DelegationChange {
     Begun,
     Ended,
 }
 
-/// How many bytes of calls are due in a second, and whether other hosts send them.
+/// The rate of call bytes, and whether calls are delegated to other hosts.
 pub(super) struct SendRate {
-    /// Rate above which other hosts send calls, in bytes a second.
+    /// Rate above which calls are delegated, in bytes per second.
     max_bytes_per_s: f64,
     bytes_per_s: f64,
     updated: Instant,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Counts the body of a call, whoever sends it.
+    /// Counts the body of a call, whichever host sends it.
     pub(super) fn record(&mut self, bytes: usize, now: Instant) -> Option<DelegationChange> {
         let span = RATE_TIME_CONSTANT.as_secs_f64();
         let age = now.saturating_duration_since(self.updated).as_secs_f64();
@@ -80,12 +81,12 @@
         }
     }
 
-    /// Says whether other hosts send calls now.
+    /// Returns whether other hosts send calls now.
     pub(super) fn is_delegating(&self) -> bool {
         self.delegating
     }
 
-    /// Returns the rate in bytes a second.
+    /// Returns the rate in bytes per second.
     pub(super) fn bytes_per_s(&self) -> f64 {
         self.bytes_per_s
     }
--- a/crates/gateway/src/coordinator/delegation/tests.rs
+++ b/crates/gateway/src/coordinator/delegation/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(rate.record(60_000, at(0)), None);
     assert_eq!(rate.record(60_000, at(10)), Some(DelegationChange::Begun));
     assert!(rate.is_delegating());
-    // Between half of the bound and the bound nothing changes.
+    // Between half of the limit and the limit nothing changes.
     assert_eq!(rate.record(1, at(500)), None);
     assert!(rate.is_delegating());
     assert_eq!(rate.record(1, at(1_500)), Some(DelegationChange::Ended));
--- a/crates/gateway/src/coordinator/due_call.rs
+++ b/crates/gateway/src/coordinator/due_call.rs
@@ -1,4 +1,4 @@
-//! A call to a stage target that is due.
+//! A call to a stage target that is ready to be sent.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 use super::stage_target::StageTarget;
 use crate::pool_key::PoolKey;
 
-/// A call that is due.
+/// A call that is ready to be sent.
 pub(crate) struct DueCall {
     pub(crate) pool: PoolKey,
     pub(crate) target: String,
@@ -16,17 +16,17 @@
     /// The target's data hall.
     pub(crate) hall: String,
     pub(crate) started: Instant,
-    /// How long it takes by the pool's settings.
+    /// Expected duration according to the pool's settings.
     pub(crate) expected: Duration,
-    /// How long it may take before it counts as late.
+    /// Time after which the call counts as late.
     pub(crate) late_after: Duration,
     pub(crate) pieces: Vec<QueuedPiece>,
-    /// Whether it was sent while another call was at work at the target.
+    /// Whether it was sent while another call was running at the target.
     pub(super) overlapping: bool,
-    /// After which time the next call to the target may follow, where that is before the end of this
+    /// Time after which the next call may be sent to the target, if that is before the end of this
     /// one.
     pub(crate) next_call_after: Option<Duration>,
-    /// Whether it only tries whether the target is sound, with a copy of a piece.
+    /// Whether it only tests if the target is healthy, with a copy of a piece.
     pub(crate) trial: bool,
     pub(super) reserved_bytes: u64,
 }
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Says whether it was sent while another call was at work at the target.
+    /// Returns whether it was sent while another call was running at the target.
     pub(crate) fn is_overlapping(&self) -> bool {
         self.overlapping
     }
 
-    /// Says whether a piece may go with those that are in the call: one that may end its target goes with
-    /// those of its own request only.
+    /// Returns whether a piece may be added to the call. A piece that may crash its target shares a
+    /// call only with pieces of its own request.
     pub(super) fn accepts(&self, piece: &QueuedPiece) -> bool {
         let mut others = self
             .pieces
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -1,4 +1,4 @@
-//! One stage pool: the pieces that wait, the targets, and which go together.
+//! One stage pool: its queued pieces, its targets, and the assignment of pieces to targets.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -17,20 +17,21 @@
 use crate::pool_key::PoolKey;
 use crate::version_split::{CallSplit, VersionSplit};
 
-/// Results smaller than this may lie in any data hall.
+/// Results smaller than this may be stored in any data hall.
 pub(crate) const LARGE_RESULT_BYTES: u64 = 256 * 1024;
 
-/// Part of its spare time, and the longest time, that a piece waits for a target of its hall.
+/// How long a piece waits for a target in its data hall: a fraction of its spare time, up to a
+/// maximum.
 const HALL_WAIT_FRACTION: f64 = 0.3;
 const MAX_HALL_WAIT: Duration = Duration::from_millis(200);
 
-/// A wait shorter than this is no reason to refuse a request, in milliseconds.
+/// A request is not refused because of a wait shorter than this.
 pub(crate) const MIN_REFUSED_WAIT_MS: f64 = 80.0;
 
-/// Sizes of results are told about; this much room is kept beside them.
+/// Result sizes are estimates, so this margin is kept free beside them.
 const MEMORY_MARGIN: f64 = 1.05;
 
-/// A piece that waits or is in a call.
+/// A piece that is queued or in a call.
 #[derive(Clone)]
 pub(crate) struct QueuedPiece {
     pub(crate) key: PieceKey,
@@ -43,20 +44,21 @@
     pub(super) result_bytes: u64,
     pub(crate) work: Rc<StageWork>,
     pub(super) failures: u32,
-    /// By what its request is known when it comes again.
+    /// Identifies its request when that is sent again.
     pub(crate) request_key: RequestKey,
-    /// Targets that ended while they worked on it.
+    /// Number of targets that crashed while running it.
     pub(super) target_crashes: u32,
-    /// Whether no other's pieces may go with it, since it may have been the cause.
+    /// Whether it must not share a call with pieces of other requests, since it may have crashed a
+    /// target.
     pub(super) isolated: bool,
 }
 
 pub(super) struct PoolQueue {
     pub(super) spec: StagePool,
     pub(super) targets: BTreeMap<String, StageTarget>,
-    /// In the order in which they are served.
+    /// Queued pieces in the order in which they are served.
     pub(super) queue: Vec<QueuedPiece>,
-    /// How calls are split while a version is rolled out.
+    /// How calls are split between versions during a rollout.
     split: Option<CallSplit>,
 }
 
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Takes how calls are split while a version is rolled out.
+    /// Sets how calls are split between versions during a rollout.
     pub(super) fn set_split(&mut self, split: Option<&VersionSplit>) {
         match (split, &mut self.split) {
             (Some(split), Some(known)) => known.update(split),
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Says whether a target may get a new call while a version is rolled out: one of the side whose turn it is, or
-    /// any where that side has none.
+    /// Returns whether a target may get a new call during a rollout: it runs the version whose turn
+    /// it is, or no target runs that version.
     fn split_allows(&self, target: &StageTarget) -> bool {
         let Some(split) = &self.split else {
             return true;
@@ -88,7 +90,7 @@
         split.allows(&target.version) || !accepting.any(|one| split.allows(&one.version))
     }
 
-    /// Takes the targets that `key` holds of those that take work.
+    /// Replaces the targets of the pool by those of `records` that belong to `key`.
     pub(super) fn set_targets<'a>(
         &mut self,
         key: &PoolKey,
@@ -97,13 +99,13 @@
         let held = records.into_iter().filter(|record| key.holds(record));
         let wanted: BTreeMap<&str, &TargetRecord> =
             held.map(|record| (record.id.as_str(), record)).collect();
-        // A target that is leaving keeps what it holds until its call has ended.
+        // A removed target keeps its results until its running calls have ended.
         self.targets
             .retain(|id, target| wanted.contains_key(id.as_str()) || target.running > 0);
         for (id, target) in &mut self.targets {
             target.listed = wanted.contains_key(id.as_str());
         }
-        // Another start under the same identity holds nothing of the one before.
+        // A restarted target has none of the results of its previous incarnation.
         let is_same = |id: &String, target: &mut StageTarget| {
             wanted
                 .get(id.as_str())
@@ -115,14 +117,14 @@
         }
     }
 
-    /// Takes targets of the pool that have come or changed, and those that get no more work; all others stay.
+    /// Adds or updates the `listed` targets and removes the `unlisted` ones; all others stay.
     pub(super) fn update_targets<'a>(
         &mut self,
         listed: impl Iterator<Item = &'a TargetRecord>,
         unlisted: impl Iterator<Item = &'a TargetRecord>,
     ) {
         for record in unlisted {
-            // A target that is leaving keeps what it holds until its call has ended.
+            // A removed target keeps its results until its running calls have ended.
             match self.targets.get_mut(&record.id) {
                 Some(target) if target.running > 0 => target.listed = false,
                 _ => {
@@ -132,7 +134,7 @@
         }
         for record in listed {
             let known = self.targets.get(&record.id);
-            // Another start under the same identity holds nothing of the one before.
+            // A restarted target has none of the results of its previous incarnation.
             if known.is_some_and(|known| known.born != record.born) {
                 self.targets.remove(&record.id);
             }
@@ -150,13 +152,14 @@
         target.set_cold(record.cold_ms, Instant::now());
     }
 
-    /// Lets pieces wait, each after those of its rank that came earlier.
+    /// Queues pieces, each behind the pieces of its rank that were queued earlier.
     pub(super) fn enqueue(&mut self, pieces: Vec<QueuedPiece>) {
         if pieces.is_empty() {
             return;
         }
         self.queue.extend(pieces);
-        // Stable: among equals the earlier batch is first.
+        // The earlier batch is first within a rank. The sort is stable, so pieces of a batch keep
+        // their order.
         self.queue
             .sort_by_key(|piece| (piece.rank, piece.key.batch));
     }
@@ -165,7 +168,7 @@
         !self.queue.is_empty() || self.targets.values().any(|target| target.running > 0)
     }
 
-    /// Returns what this host uses of the targets.
+    /// Returns this host's usage of the targets.
     pub(super) fn uses(&self, now: Instant) -> Vec<TargetUse> {
         let ttl = Duration::from_millis(self.spec.result_ttl_ms);
         let uses = self.targets.iter();
@@ -174,7 +177,7 @@
             .collect()
     }
 
-    /// Takes what another host uses of the targets.
+    /// Sets the usage of the targets that another host reported.
     pub(super) fn set_peer_uses(&mut self, peer: &str, uses: &[TargetUse], now: Instant) {
         for (id, target) in &mut self.targets {
             let reported = uses.iter().find(|one| one.target == *id);
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Says whether a new batch would be done too late for its request. Later stages are not
-    /// refused: what their request has had done already would be wasted.
+    /// Returns whether a new batch would be done too late for its request. Batches of later stages
+    /// are not refused: the work already done for their request would be wasted.
     pub(super) fn would_miss_objective(&self, batch: &PieceBatch, now: Instant) -> bool {
         if !batch.first {
             return false;
@@ -216,14 +219,14 @@
         wait > MIN_REFUSED_WAIT_MS && wait + call_ms > batch.wanted_ms as f64
     }
 
-    /// Returns how long all targets want nothing from this host.
+    /// Returns the time until the first target accepts calls of this host; zero if one does now.
     fn shortest_back_off(&self, now: Instant) -> Duration {
         let targets = self.targets.values().filter(|one| one.accepts_calls());
         let left = targets.map(|target| target.remaining_back_off(now));
         left.min().unwrap_or_default()
     }
 
-    /// Says whether some target may run pieces in these halls.
+    /// Returns whether some target in the allowed data halls accepts calls.
     pub(super) fn has_target_in(&self, allowed_halls: &AllowedHalls) -> bool {
         let mut targets = self.targets.values();
         targets.any(|target| target.accepts_calls() && allowed_halls.allows(&target.hall))
@@ -235,15 +238,16 @@
         }
     }
 
-    /// Says whether some target answers in time, so that suspect ones need not be relied on. One that wants
-    /// nothing now does not.
+    /// Returns whether some target responds in time, so that unhealthy ones need not be relied on.
+    /// A target that is backed off does not count.
     pub(super) fn has_healthy_target(&self, now: Instant) -> bool {
         let mut targets = self.targets.values();
         targets
             .any(|target| target.accepts_calls() && !target.unhealthy && !target.is_backed_off(now))
     }
 
-    /// Returns the targets that pieces are given to: the sound ones, or all where none is.
+    /// Returns the targets that pieces are assigned to: the healthy ones, or all if none is
+    /// healthy.
     fn usable(&self, now: Instant) -> impl Iterator<Item = (&String, &StageTarget)> {
         let any_healthy = self.has_healthy_target(now);
         let targets = self.targets.iter();
@@ -251,13 +255,14 @@
             .filter(move |(_, target)| target.accepts_calls() && !(any_healthy && target.unhealthy))
     }
 
-    /// Says whether a piece waits and a target takes a call.
+    /// Returns whether a piece is queued and a target is free.
     pub(super) fn can_call(&self, now: Instant) -> bool {
         let mut targets = self.targets.values();
         !self.queue.is_empty() && targets.any(|one| one.is_free(&self.spec, now))
     }
 
-    /// Returns every call that is due now: trials of suspect targets, then those of waiting pieces.
+    /// Returns every call that can be sent now: trials of unhealthy targets, then calls with queued
+    /// pieces.
     pub(super) fn due_calls(&mut self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
         if !self.can_call(now) {
             return Vec::new();
@@ -270,10 +275,10 @@
         due
     }
 
-    /// Returns a call for each suspect target that has rested, with a copy of the piece that costs it
-    /// least; no request depends on it.
+    /// Returns a trial call for each unhealthy target whose cooldown is over, with a copy of the
+    /// piece that has the smallest result; no request depends on the copy.
     fn trial_calls(&self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
-        // One that may end its target is at one target at a time.
+        // A piece that may crash its target runs at one target at a time.
         let shared = self.queue.iter().filter(|one| !one.isolated);
         let smallest = shared.min_by_key(|one| one.result_bytes);
         let Some(piece) = smallest.filter(|_| self.has_healthy_target(now)) else {
@@ -315,9 +320,9 @@
         used == 0 || after <= self.spec.result_memory_bytes as f64
     }
 
-    /// Gives waiting pieces, in their order, to free targets. One call is filled before another is
-    /// begun, so that a target stays free for the next request; a piece whose results are large
-    /// goes to its data hall where a target is free there.
+    /// Assigns queued pieces, in order, to free targets. A call is filled before another is
+    /// started, so that a target stays free for the next request. A piece with a large result goes
+    /// to its data hall if a target is free there.
     fn assign_pieces(&mut self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
         let mut open: BTreeMap<String, DueCall> = BTreeMap::new();
         let mut unassigned = Vec::new();
@@ -342,13 +347,13 @@
                 }
             }
         }
-        // No place is left for any of these.
+        // No target has room for any of the remaining pieces.
         unassigned.extend(rest);
         self.queue = unassigned;
         open.into_values().collect()
     }
 
-    /// Says whether a target takes one more piece, whatever room its result needs.
+    /// Returns whether some target accepts one more piece, whatever the size of its result.
     fn has_open_slot(&self, open: &BTreeMap<String, DueCall>, now: Instant) -> bool {
         self.usable(now).any(|(id, target)| {
             let in_call = open.get(id).map_or(0, |call| call.pieces.len());
@@ -391,8 +396,9 @@
         Some(id.clone())
     }
 
-    /// Says whether a piece whose results are large should rather wait for a target of its hall:
-    /// one is free soon enough, and takes what waits for it `ahead` of the piece as well.
+    /// Returns whether a piece with a large result should wait for a target in its data hall:
+    /// targets there are free soon enough, and have room for the `ahead` pieces queued before it as
+    /// well.
     fn should_wait_for_hall(
         &self,
         piece: &QueuedPiece,
--- a/crates/gateway/src/coordinator/pool/tests.rs
+++ b/crates/gateway/src/coordinator/pool/tests.rs
@@ -148,10 +148,10 @@
     assert_eq!((uses[0].busy_ms, uses[0].lasts_ms), (182, 4_000));
 }
 
-/// All requests of a pipeline waited in vain until their deadlines, on every entry host, also
-/// after all faults had ended. Control hosts that had been started anew knew no target for a moment;
-/// targets with a call at work just then were taken as leaving, and stayed so when they were
-/// listed again.
+/// Guards against targets that are lost for good after a restart of the control hosts. These listed
+/// no target for a moment, and targets with a running call just then were marked as leaving and
+/// stayed so when they were listed again: all requests of a pipeline waited until their deadlines,
+/// on every entry host, even after all faults had ended.
 #[test]
 fn targets_unlisted_during_a_call_accept_calls_once_listed_again() {
     let (mut pool, now) = (pool(), Instant::now());
@@ -195,7 +195,7 @@
     assert_eq!(due(&mut pool, now), [("t-1".to_owned(), 2)]);
 }
 
-/// Prints what the load of a pool with 1,000 pieces that wait costs, in microseconds.
+/// Prints the cost of computing the load of a pool with 1,000 queued pieces, in microseconds.
 #[test]
 #[ignore = "measures"]
 fn measure_the_load_of_a_long_queue() {
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -1,4 +1,4 @@
-//! Batches of pieces from all entry hosts, and the calls that bring them to targets.
+//! Accepts batches of pieces from all entry hosts and sends them to targets in calls.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::HashMap;
@@ -22,36 +22,37 @@
 use crate::stage_call::{CallEnd, StageCall, StageCaller, StageRelease};
 use crate::version_split::VersionSplit;
 
-/// The load of each pool that has work, as other hosts are told it.
+/// The load of each pool that has work, as reported to other hosts.
 pub(crate) type PoolLoads = Rc<[(PoolKey, PoolLoad)]>;
 
-/// Hears of a call under which a target ended.
+/// Observes calls whose target crashed.
 pub(crate) type TargetCrashObserver = Box<dyn Fn(&DueCall)>;
 
-/// Hears of the end of each call, and the time that it took.
+/// Observes the end of each call, with its duration.
 pub(crate) type CallObserver = Box<dyn Fn(&DueCall, &CallEnd, Duration)>;
 
-/// Gathers pieces for the services that this host was chosen for.
+/// Coordinates the pools of the services that this host was chosen for.
 pub(crate) struct Coordinator {
     pub(crate) caller: StageCaller,
     pub(crate) recorder: Arc<EventRecorder>,
     state: RefCell<QueueState>,
     send_rate: RefCell<SendRate>,
     delegate: OnceCell<CallDelegate>,
-    /// Hears of calls under which a target ended.
     target_crash_observer: OnceCell<TargetCrashObserver>,
     call_observer: OnceCell<CallObserver>,
-    /// What [`Coordinator::loads`] returned last, and when it was worked out.
+    /// The last result of [`Coordinator::loads`] and when it was computed.
     cached_loads: RefCell<Option<(PoolLoads, Instant)>>,
 }
 
-/// How long a load that is told to other hosts counts. Working it out walks the queue, 4 microseconds with
-/// 1,000 pieces (`measure_the_load_of_a_long_queue`, release build), and a host that gathers for 300
-/// others tells it to each several times a second and after each batch.
+/// How long a computed load is reused. Computing it walks the queue, which takes 4 microseconds
+/// with 1,000 pieces (`measure_the_load_of_a_long_queue`, release build), and a host that
+/// coordinates for 300 others reports it to each of them several times a second and after each
+/// batch.
 const LOADS_CACHE_TTL: Duration = Duration::from_millis(15);
 
 impl Coordinator {
-    /// Creates a coordinator that sends up to `shared_bytes_per_s` bytes of calls in a second by itself.
+    /// Creates a coordinator that sends up to `max_own_bytes_per_s` bytes of calls per second by
+    /// itself and delegates the rest.
     pub(crate) fn new(
         caller: StageCaller,
         recorder: Arc<EventRecorder>,
@@ -69,17 +70,17 @@
         }
     }
 
-    /// Takes the way to other hosts, which send calls where this one has too many.
+    /// Sets the delegate that hands calls to other hosts when this one has too many.
     pub(crate) fn set_delegate(&self, delegate: CallDelegate) {
         let _ = self.delegate.set(delegate);
     }
 
-    /// Takes who hears of calls under which a target ended.
+    /// Sets the observer of calls whose target crashed.
     pub(crate) fn set_target_crash_observer(&self, observer: TargetCrashObserver) {
         let _ = self.target_crash_observer.set(observer);
     }
 
-    /// Takes who hears of the ends of calls.
+    /// Sets the observer of call ends.
     pub(crate) fn set_call_observer(&self, observer: CallObserver) {
         let _ = self.call_observer.set(observer);
     }
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes the services of which a version is rolled out.
+    /// Sets the services with a version rollout in progress.
     pub(crate) fn set_splits(&self, splits: &HashMap<String, VersionSplit>) {
         let mut state = self.state.borrow_mut();
         state.splits.clone_from(splits);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Says whether the target of a call is in the list of targets that take work.
+    /// Returns whether the target of a call is in the list of targets that accept work.
     pub(super) fn is_listed(&self, call: &DueCall) -> bool {
         let state = self.state.borrow();
         let pool = state.pools.get(&call.pool);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Sends a call to its target, unless another host does.
+    /// Sends a call to its target, or waits for the host that sends it instead.
     pub(super) async fn send_call(
         &self,
         call: &StageCall,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Counts a call that is due, and hands it to another host where this one has too many.
+    /// Counts the bytes of a call, and hands it to another host if this one has too many to send.
     pub(super) fn delegate_call(&self, call: &StageCall, hall: &str) -> Option<DelegatedCall> {
         self.record_call_bytes(call);
         let delegate = self.delegate.get()?;
@@ -134,7 +135,7 @@
         is_delegating.then(|| (delegate.call)(call, hall)).flatten()
     }
 
-    /// Sends a release to its target, or has another host send it.
+    /// Sends a release to its target, or hands it to another host.
     fn send_release(self: &Rc<Self>, release: StageRelease, hall: &str) {
         let delegate = self
             .delegate
@@ -160,7 +161,7 @@
             .record(EventCode::StageCallsShared, "", detail);
     }
 
-    /// Takes the stage pools of a configuration.
+    /// Applies the stage pools of a configuration.
     pub(crate) fn set_services(&self, table: &RouteTable) {
         let mut state = self.state.borrow_mut();
         let services = table.config().services.iter();
@@ -177,13 +178,13 @@
         }
     }
 
-    /// Takes all targets that take work.
+    /// Replaces the list of targets that accept work.
     pub(crate) fn set_targets(self: &Rc<Self>, records: &[TargetRecord]) {
         self.state.borrow_mut().set_targets(records);
         self.dispatch_all();
     }
 
-    /// Takes targets that have come or changed, and those that get no more work; all others stay.
+    /// Adds or updates the `listed` targets and removes the `unlisted` ones; all others stay.
     pub(crate) fn update_targets(
         self: &Rc<Self>,
         listed: &[TargetRecord],
@@ -193,7 +194,8 @@
         self.dispatch_all();
     }
 
-    /// Returns the load of every pool that has work here, as it is told to other hosts.
+    /// Returns the load of every pool that has work here, as reported to other hosts. The result
+    /// may be up to `LOADS_CACHE_TTL` old.
     pub(crate) fn loads(&self) -> PoolLoads {
         let now = Instant::now();
         let mut cached = self.cached_loads.borrow_mut();
@@ -217,12 +219,12 @@
             .collect()
     }
 
-    /// Counts pieces that will come.
+    /// Counts pieces that an admitted request will submit later.
     pub(crate) fn expect_pieces(&self, expected: ExpectedPieces) -> ExpectationKey {
         self.state.borrow_mut().expect_pieces(expected)
     }
 
-    /// Ends what [`Coordinator::expect`] began.
+    /// Ends an expectation that [`Coordinator::expect_pieces`] returned.
     pub(crate) fn end_expected(&self, key: ExpectationKey) {
         self.state.borrow_mut().end_expected(key);
     }
@@ -234,7 +236,8 @@
         Some(state.load(key, pool, Instant::now()))
     }
 
-    /// Takes a batch; `reply` is called once, with an outcome for each piece.
+    /// Queues a batch. `reply` is called once, with an outcome for each piece; if the batch is
+    /// refused it is called at once.
     pub(crate) fn submit(
         self: &Rc<Self>,
         batch: PieceBatch,
@@ -262,7 +265,7 @@
         Some(key)
     }
 
-    /// Forgets a batch; what is at work already goes on and its results are released.
+    /// Cancels a batch. Calls that are running go on, and their results are released.
     pub(crate) fn cancel(&self, key: BatchKey) {
         let mut state = self.state.borrow_mut();
         state.batches.cancel(key);
@@ -271,8 +274,8 @@
         }
     }
 
-    /// Releases results of a service, each of about `bytes`. Those that another host gathered are
-    /// released as well, since that host may be gone.
+    /// Releases results of a service, each of about `bytes`. Results that another host coordinated
+    /// are released as well, since that host may be gone.
     pub(crate) fn release_results(
         self: &Rc<Self>,
         service: &str,
@@ -290,7 +293,7 @@
         }
     }
 
-    /// Returns what this host uses of the targets of those pools for which it gathers and which are
+    /// Returns this host's usage of the targets of those pools that it coordinates and that are
     /// `wanted`.
     pub(crate) fn uses(&self, wanted: impl Fn(&PoolKey) -> bool) -> Vec<(PoolKey, Vec<TargetUse>)> {
         let state = self.state.borrow();
@@ -300,8 +303,8 @@
         uses.filter(|(_, uses)| !uses.is_empty()).collect()
     }
 
-    /// Takes what another host that gathers for a pool uses of its targets. Should that host be
-    /// lost, this one begins with what the targets are known to hold.
+    /// Sets the usage of a pool's targets that another coordinator reported. If the connection to
+    /// that host is lost, this one starts with the known memory usage of the targets.
     pub(crate) fn set_peer_uses(&self, peer: &str, pool: &PoolKey, uses: &[TargetUse]) {
         let mut state = self.state.borrow_mut();
         if let Some(pool) = state.pool_mut(pool) {
@@ -315,7 +318,8 @@
         keys.cloned().collect()
     }
 
-    /// Starts what is due in every pool: room comes back by itself when results expire.
+    /// Starts every call that a free target can take, in all pools: memory also becomes free by
+    /// itself, when results expire.
     pub(crate) fn dispatch_all(self: &Rc<Self>) {
         let pools: Vec<PoolKey> = self.state.borrow().pools.keys().cloned().collect();
         for pool in pools {
@@ -323,7 +327,7 @@
         }
     }
 
-    /// Starts every call that a free target can take.
+    /// Starts every call of a pool that a free target can take.
     pub(crate) fn dispatch(self: &Rc<Self>, pool: &PoolKey) {
         let due = self.state.borrow_mut().due_calls(pool, Instant::now());
         for call in due {
@@ -338,7 +342,7 @@
         }
     }
 
-    /// Takes what a target reported to have free for results.
+    /// Applies the free result memory that a target reported.
     pub(crate) fn apply_free_bytes(
         self: &Rc<Self>,
         pool: &PoolKey,
@@ -351,7 +355,7 @@
         self.dispatch(pool);
     }
 
-    /// Takes that a call is late, so that its pieces go to other targets as well; it is waited for until
+    /// Queues the pieces of a late call for other targets as well; the call is awaited until
     /// `until`.
     pub(crate) fn requeue_late_call(self: &Rc<Self>, call: &DueCall, until: Instant) {
         self.state
@@ -360,8 +364,8 @@
         self.dispatch(&call.pool);
     }
 
-    /// Takes the end of a call and serves what waits. Returns how long the target rests, after
-    /// which [`Coordinator::dispatch`] is due again.
+    /// Applies the end of a call and dispatches queued pieces. Returns the cooldown of the target,
+    /// after which [`Coordinator::dispatch`] has to be called again.
     pub(crate) fn finish_call(
         self: &Rc<Self>,
         call: DueCall,
@@ -372,7 +376,7 @@
         let pool = call.pool.clone();
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        // What a target asks of another host that sends calls is that host's to keep.
+        // What a target asks of another host that sends calls applies to that host only.
         if sender.is_none() {
             state.set_standing(&call, self.caller.standing(&call.target), now);
         }
--- a/crates/gateway/src/coordinator/result_memory.rs
+++ b/crates/gateway/src/coordinator/result_memory.rs
@@ -1,23 +1,23 @@
-//! What results take of the memory of one stage target.
+//! Accounts for the memory that results take at one stage target.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// Names what takes memory.
+/// Identifies what occupies memory.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum MemoryKey {
-    /// A result that this host gathered, by its handle.
+    /// A result that this host coordinated, by its handle.
     Result(String),
-    /// Results of a call whose answer was lost, so that nobody knows their handles.
+    /// Results of a call whose response was lost, so that their handles are unknown.
     Lost(u64),
-    /// What the host with this name told that it uses.
+    /// The usage that the host with this name reported.
     Peer(String),
-    /// Results of others that nobody told of.
+    /// Results of other hosts that none of them has reported.
     Unreported,
 }
 
 impl MemoryKey {
-    /// Says whether this host is the one to tell others of it.
+    /// Returns whether this host reports the memory to others.
     fn is_own(&self) -> bool {
         matches!(self, Self::Result(_) | Self::Lost(_))
     }
@@ -29,24 +29,24 @@
     until: Instant,
 }
 
-/// The results at one target, as far as they are known.
+/// The known results at one target.
 #[derive(Debug, Default)]
 pub(super) struct ResultMemory {
     allocations: HashMap<MemoryKey, Allocation>,
-    /// Sum over all of them.
+    /// Sum over all allocations.
     bytes: u64,
-    /// Not after the first of them expires; nothing where there are none.
+    /// A time not later than the first expiry; `None` if there are no allocations.
     first_expiry: Option<Instant>,
 }
 
 impl ResultMemory {
-    /// Returns how many bytes they take.
+    /// Returns the number of bytes in use.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Notes bytes that are taken until they are removed, at the latest until `until`; they take the
-    /// place of what the key stood for.
+    /// Records bytes as in use until they are removed or `until` has passed. Replaces what the key
+    /// stood for.
     pub(super) fn insert(&mut self, key: MemoryKey, bytes: u64, until: Instant) {
         self.remove(&key);
         self.bytes += bytes;
@@ -54,14 +54,15 @@
         self.allocations.insert(key, Allocation { bytes, until });
     }
 
-    /// Removes what a key stands for; says whether there was any.
+    /// Removes the allocation of a key; returns whether there was one.
     pub(super) fn remove(&mut self, key: &MemoryKey) -> bool {
         let removed = self.allocations.remove(key);
         self.bytes -= removed.map_or(0, |allocation| allocation.bytes);
         removed.is_some()
     }
 
-    /// Takes bytes off what another host told, since one of its results was released here.
+    /// Subtracts bytes from the usage that another host reported, since one of its results was
+    /// released here.
     pub(super) fn subtract_from_peer(&mut self, bytes: u64) {
         let mut all = self.allocations.iter_mut();
         let peer = all.find(|(key, _)| matches!(key, MemoryKey::Peer(_)));
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Forgets what has expired: a target that was lost never says that its results are gone.
+    /// Removes expired allocations: a target that was lost never reports that its results are gone.
     pub(super) fn expire(&mut self, now: Instant) {
         if self.first_expiry.is_none_or(|first| first > now) {
             return;
@@ -91,7 +92,7 @@
             .min();
     }
 
-    /// Returns the bytes of this host's own results and when the last of them expires.
+    /// Returns the bytes of this host's own results and the time at which the last of them expires.
     pub(super) fn own_usage(&self) -> (u64, Option<Instant>) {
         let own = self.allocations.iter().filter(|(key, _)| key.is_own());
         own.fold((0, None), |(bytes, last), (_, allocation)| {
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -1,4 +1,4 @@
-//! One target of a stage pool: its calls, its memory, and whether it answers in time.
+//! One target of a stage pool: its calls, its memory, and its health.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,95 +12,95 @@
 use crate::reported_load::ReportedLoad;
 use crate::target_ask::TargetStanding;
 
-/// How long a target rests after a call that failed or was late.
+/// Cooldown of a target after a call that failed or was late.
 const FAILURE_COOLDOWN: Duration = Duration::from_millis(400);
 
-/// How long a target rests after it was too busy for a call; doubled with each in a row, since it may
-/// be that many hosts gather pieces at the same time.
+/// Cooldown of a target after it refused a call as busy. It doubles with each such call in a row,
+/// since many hosts may be sending it calls at the same time.
 const BUSY_COOLDOWN: Duration = Duration::from_millis(40);
 const MAX_BUSY_DOUBLINGS: u32 = 4;
 
-/// How long bytes that results of others take are taken into account.
+/// How long an estimate of the memory used by unreported results of other hosts is valid.
 const UNREPORTED_TTL: Duration = Duration::from_millis(400);
 
-/// How much longer than usual a call may take before its pieces are also given to other targets, as
-/// a factor and a span. Calls of sound targets end within 1.2 times.
+/// Time after which the pieces of a call are also sent to other targets: a factor of the typical
+/// duration plus a fixed slack. Calls of healthy targets end within 1.2 times the typical duration.
 const LATE_FACTOR: f64 = 1.3;
 const LATE_SLACK: Duration = Duration::from_millis(40);
 
-/// How long a load that a target told counts.
+/// How long the load that a target reported is valid.
 const LOAD_TTL: Duration = Duration::from_millis(1_500);
 
-/// Bounds of the time by which a call is sent ahead of the end of the one at work. What a call takes beside
-/// its work is 20 ms with few pieces and 85 ms with 96 that name eight results each (measured on
-/// links of 10 Mbit/s); less is not worth a timer, and what a target takes longer than that is
-/// slowness of its own, in which nothing should wait.
+/// Bounds of the time by which a call is sent before the end of the running one. The overhead of a
+/// call beside its work is 20 ms with few pieces and 85 ms with 96 pieces that name eight results
+/// each (measured on links of 10 Mbit/s). A lead below the minimum is not worth a timer. An
+/// overhead above the maximum means that the target itself is slow, and no call should wait at a
+/// slow target.
 const MIN_LEAD: Duration = Duration::from_millis(8);
 const MAX_LEAD: Duration = Duration::from_millis(120);
 
-/// Weight of a new observation of a target's pace, and the bounds of what one says.
+/// Weight of a new sample of a target's time ratio, and the bounds to which a sample is clamped.
 const TIME_RATIO_GAIN: f64 = 0.2;
 const MIN_TIME_RATIO: f64 = 0.7;
 const MAX_TIME_RATIO: f64 = 1.6;
 
-/// How a call ended, as its target's state takes it.
+/// The end of a call as far as it concerns the state of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallVerdict {
-    /// It was answered within the time that the call was given.
+    /// A response arrived in time.
     InTime,
-    /// It was answered later than that.
+    /// A response arrived after the call had counted as late.
     Late,
-    /// The target did not run it and is busy.
+    /// The target was busy and did not run it.
     Busy,
-    /// Another start of a target is at the address.
+    /// Another target incarnation has the address.
     OtherTarget,
-    /// There is no usable answer.
+    /// There was no usable response.
     Failed,
 }
 
-/// A target of a stage pool.
 pub(super) struct StageTarget {
-    /// When this start of it began.
+    /// Start time of this incarnation of the target.
     pub(super) born: u64,
     pub(super) address: SocketAddr,
     pub(super) hall: String,
-    /// The version of its software; empty where it is not known.
+    /// The version of its software; empty if unknown.
     pub(super) version: String,
-    /// Calls of this host that are at work there.
+    /// Calls of this host that are running there.
     pub(super) running: u32,
     /// Bytes that the results of those calls will take.
     pub(super) reserved_bytes: u64,
     pub(super) results: ResultMemory,
     cooldown_until: Option<Instant>,
-    /// Until when it wants nothing from this host.
+    /// Until when it has asked this host to send no requests.
     backed_off_until: Option<Instant>,
-    /// Whether it said in an answer that it leaves.
+    /// Whether it said in a response that it is shutting down.
     leaving: bool,
     /// When its calls are expected to end.
     pub(super) busy_until: Instant,
-    /// When the next call may be sent although one is at work.
+    /// When the next call may be sent although one is running.
     next_call_at: Option<Instant>,
-    /// How long the call that was sent ahead takes once it is at work.
+    /// Expected duration of the overlapping call once it runs.
     overlapping_duration: Duration,
-    /// When the call of another host that gathers for the pool is expected to end.
+    /// When the call of another coordinator of the pool is expected to end.
     peer_busy_until: Option<Instant>,
-    /// Calls in a row for which it was too busy.
+    /// Number of calls in a row that it refused as busy.
     busy_streak: u32,
-    /// Whether its last call failed or was late. Until one is answered in time it gets only copies of
-    /// pieces that other targets run as well.
+    /// Whether its last call failed or was late. Until a call gets a response in time it gets only
+    /// copies of pieces that other targets run as well.
     pub(super) unhealthy: bool,
-    /// Calls of other hosts that it had when it answered last, and when that was.
+    /// Number of calls of other hosts at its last response, and the time of that response.
     peer_calls: Option<(u32, Instant)>,
-    /// How long its calls take against what the pool's settings say.
+    /// Ratio of the typical duration of its calls to the expected one.
     time_ratio: f64,
-    /// Whether it is in the list of targets that take work. One that is not stays until its calls at
-    /// work have ended. It may be listed again meanwhile: control hosts that were started anew know
-    /// no target until its next heartbeat.
+    /// Whether it is in the list of targets that accept work. A target that is not stays until its
+    /// running calls have ended. It may be listed again meanwhile: restarted control hosts know no
+    /// target until its next heartbeat.
     pub(super) listed: bool,
-    /// Whether another start is at its address, which is for good.
+    /// Whether another target incarnation has its address, which is permanent.
     replaced: bool,
     cold_until: Option<Instant>,
-    /// Calls that it got lately while it was cold.
+    /// Calls that it got recently, to limit them while it is cold.
     cold_window: SendWindow,
 }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes how much longer it is cold.
+    /// Sets for how much longer it is cold.
     pub(super) fn set_cold(&mut self, cold_ms: u32, now: Instant) {
         self.cold_until = (cold_ms > 0).then(|| now + Duration::from_millis(u64::from(cold_ms)));
     }
@@ -147,8 +147,8 @@
         self.results.bytes() + self.reserved_bytes
     }
 
-    /// Notes bytes that results of others take. They go at a time that is not known, so what is
-    /// noted lasts a short while only.
+    /// Records bytes that results of other hosts take. They are released at an unknown time, so the
+    /// record is kept for a short time only.
     pub(super) fn set_unreported(&mut self, bytes: u64, now: Instant) {
         self.results
             .insert(MemoryKey::Unreported, bytes, now + UNREPORTED_TTL);
@@ -159,18 +159,18 @@
         is_in_future(self.cooldown_until) || self.is_backed_off(now)
     }
 
-    /// Says whether it has asked this host for a time without requests.
+    /// Returns whether it has asked this host to send no requests for a while.
     pub(super) fn is_backed_off(&self, now: Instant) -> bool {
         self.backed_off_until.is_some_and(|until| until > now)
     }
 
-    /// Returns how long it wants nothing more from this host.
+    /// Returns for how much longer it wants no requests from this host.
     pub(super) fn remaining_back_off(&self, now: Instant) -> Duration {
         let until = self.backed_off_until.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 
-    /// Takes what it asked of this host.
+    /// Applies what it asked of this host.
     pub(super) fn set_standing(&mut self, standing: TargetStanding, now: Instant) {
         self.leaving = standing == TargetStanding::Leaving;
         self.backed_off_until = match standing {
@@ -179,7 +179,8 @@
         };
     }
 
-    /// Says whether it takes a call now: one of its slots is free, or will be when the call is there.
+    /// Returns whether it can get a call now: one of its slots is free, or will be when the call
+    /// arrives.
     pub(super) fn is_free(&self, spec: &StagePool, now: Instant) -> bool {
         let peer_busy = self.peer_busy_until.is_some_and(|until| until > now);
         let has_slot = self.running < spec.slots || self.accepts_early_call(spec, now);
@@ -187,15 +188,16 @@
         self.accepts_calls() && !self.is_paused(now) && !peer_busy && has_slot && !cold_limited
     }
 
-    /// Says whether the call at work ends soon enough for the next one to be sent. Only one call is sent
-    /// ahead, and only to a target with one slot: with more it is not known which call ends first.
+    /// Returns whether the running call ends soon enough for the next one to be sent. Only one call
+    /// is sent early, and only to a target with one slot: with more slots it is unknown which call
+    /// ends first.
     fn accepts_early_call(&self, spec: &StagePool, now: Instant) -> bool {
         let is_due = self.next_call_at.is_some_and(|at| at <= now);
         is_due && spec.slots == 1 && spec.queue > 0 && self.running == 1 && !self.unhealthy
     }
 
-    /// Counts a call that is sent now and should take `expected`; says after which time the next one may
-    /// follow, where that is before its end.
+    /// Counts a call that is sent now and should take `expected`. Returns the time after which the
+    /// next call may be sent, if that is before the end of this one.
     pub(super) fn begin_call(
         &mut self,
         expected: Duration,
@@ -207,7 +209,7 @@
         }
         self.running += 1;
         if self.running > 1 {
-            // Its way is covered by the work of the call before.
+            // Its transfer time overlaps with the work of the call before it.
             self.overlapping_duration = expected;
             self.busy_until = self.busy_until.max(now) + expected;
         } else {
@@ -218,25 +220,26 @@
         Some(next_call_after.saturating_duration_since(now))
     }
 
-    /// Returns when the call after one that should take `expected`, and ends last, may be sent.
+    /// Returns when the next call may be sent after the last one, which should take `expected`;
+    /// `None` if not before its end.
     fn next_call_time(&self, expected: Duration) -> Option<Instant> {
         let lead = self.typical_duration(expected).saturating_sub(expected);
         let lead = Some(lead.min(MAX_LEAD)).filter(|lead| *lead >= MIN_LEAD)?;
         self.busy_until.checked_sub(lead)
     }
 
-    /// Says whether it may get calls at all.
+    /// Returns whether it accepts calls at all.
     pub(super) fn accepts_calls(&self) -> bool {
         self.listed && !self.replaced && !self.leaving
     }
 
-    /// Returns how long a call that should take `expected` usually takes here.
+    /// Returns the typical duration here of a call that should take `expected`.
     pub(super) fn typical_duration(&self, expected: Duration) -> Duration {
         expected.mul_f64(self.time_ratio)
     }
 
-    /// Returns how long such a call may take before it counts as late, if it is sent now. The call at work
-    /// goes first. Where another host calls the target as well, its calls do too; each takes up to
+    /// Returns the time after which such a call counts as late, if it is sent now. The running call
+    /// goes first. If other hosts call the target as well, their calls do too, and each takes up to
     /// `longest`.
     pub(super) fn late_after(
         &self,
@@ -257,20 +260,21 @@
         recent.map_or(0, |(calls, _)| calls)
     }
 
-    /// Takes the load that the target told with the answer to a call which has ended.
+    /// Records the load that the target reported with the response to a call, which is no longer
+    /// counted as running.
     pub(super) fn record_load(&mut self, load: Option<ReportedLoad>, now: Instant) {
         let calls = load.map(|load| load.running + load.waiting);
         self.peer_calls = calls.map(|calls| (calls.saturating_sub(self.running), now));
     }
 
-    /// Notes that a call is late; it is waited for until `until`.
+    /// Marks the target as unhealthy since a call is late; the call is awaited until `until`.
     pub(super) fn mark_late(&mut self, until: Instant) {
         self.unhealthy = true;
         self.busy_until = until;
     }
 
-    /// Takes the end of a call for which `reserved` bytes were kept; says how long the target rests.
-    /// Without a verdict nothing is learned of it.
+    /// Applies the end of a call that had reserved `reserved` bytes; returns the cooldown of the
+    /// target. Without a verdict nothing is learned about the target.
     pub(super) fn end_call(
         &mut self,
         verdict: Option<CallVerdict>,
@@ -281,7 +285,7 @@
         self.reserved_bytes = self.reserved_bytes.saturating_sub(reserved_bytes);
         self.next_call_at = None;
         if self.running > 0 {
-            // The call that was sent ahead is at work from now on.
+            // The overlapping call runs from now on.
             self.busy_until = now + self.overlapping_duration;
             self.next_call_at = self.next_call_time(self.overlapping_duration);
         }
@@ -309,7 +313,7 @@
         cooldown
     }
 
-    /// Learns from the time that an answered call took.
+    /// Updates the time ratio with the duration of an answered call.
     pub(super) fn update_time_ratio(&mut self, expected: Duration, took: Duration) {
         if expected.is_zero() {
             return;
@@ -319,7 +323,8 @@
         self.time_ratio += (sample - self.time_ratio) * TIME_RATIO_GAIN;
     }
 
-    /// Returns what this host uses here. What it was told of others is theirs to tell.
+    /// Returns this host's usage of the target. Usage reported by other hosts is not included,
+    /// since they report it themselves.
     pub(super) fn own_use(&self, id: &str, ttl: Duration, now: Instant) -> TargetUse {
         let (own_bytes, last) = self.results.own_usage();
         let mut until = last.unwrap_or(now).max(now);
@@ -339,7 +344,7 @@
         }
     }
 
-    /// Takes what another host uses here, in place of what it told before.
+    /// Replaces the usage that another host reported before.
     pub(super) fn set_peer_use(&mut self, peer: &str, reported: Option<&TargetUse>, now: Instant) {
         let key = MemoryKey::Peer(peer.to_owned());
         self.results.remove(&key);
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -1,4 +1,4 @@
-//! What a coordinator knows: its pools, the batches that are open, and what is expected.
+//! The state of a coordinator: its pools, open batches and expected pieces.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -21,18 +21,18 @@
 use crate::target_ask::TargetStanding;
 use crate::version_split::VersionSplit;
 
-/// How often a piece is given to a target before it counts as failed.
+/// Number of failed calls after which a piece counts as failed.
 const MAX_FAILURES: u32 = 3;
 
-/// Targets that may end while they work on a piece. What comes of it after that is decided for the whole
-/// request, by what all hosts know of it.
+/// Number of targets that may crash while running a piece. What happens to the piece after that is
+/// decided for the whole request, from what all hosts know of it.
 const MAX_TARGET_CRASHES: u32 = 2;
 
-/// Names pieces that are expected at a coordinator.
+/// Identifies expected pieces at a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ExpectationKey(u64);
 
-/// Returns what a call that ended so says of its target; nothing where it says nothing.
+/// Returns what the end of a call implies for its target, or `None` if it implies nothing.
 fn verdict_of(end: &CallEnd, late: bool) -> Option<CallVerdict> {
     match end {
         CallEnd::Answered(..) if late => Some(CallVerdict::Late),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns an outcome for each of so many pieces of a call.
+/// Returns one outcome for each of the `pieces` pieces of a call.
 fn outcomes_of(end: CallEnd, pieces: usize) -> Vec<PieceOutcome> {
     match end {
         CallEnd::Answered(outcomes, _) => outcomes,
@@ -69,26 +69,26 @@
     pub(super) pools: HashMap<PoolKey, PoolQueue>,
     pub(super) batches: OpenBatches,
     expected: BTreeMap<ExpectationKey, ExpectedPieces>,
-    /// Sums of what is expected, by pool and rank.
+    /// Sums of expected pieces, by pool and rank.
     expected_by_pool: HashMap<PoolKey, BTreeMap<Rank, u32>>,
     last_expected: u64,
     last_lost: u64,
-    /// The targets that take work, by identity.
+    /// The targets that accept work, by identity.
     records: HashMap<String, TargetRecord>,
-    /// The services of which a version is rolled out.
+    /// The services with a version rollout in progress.
     pub(super) splits: HashMap<String, VersionSplit>,
 }
 
-/// What is due after a call has ended.
+/// What has to be done after a call has ended.
 #[derive(Default)]
 pub(super) struct CallEffects {
-    /// How long its target rests.
+    /// How long its target gets no calls.
     pub(super) cooldown: Option<Duration>,
-    /// A target whose memory holds more than this host knows.
+    /// A target with more memory in use than this host knows of.
     pub(super) full_target: Option<(String, SocketAddr)>,
-    /// Results that nobody waits for any more.
+    /// Results that no batch needs any more.
     pub(super) unneeded: Vec<String>,
-    /// Batches that are complete.
+    /// Complete batches with their outcomes.
     pub(super) replies: Vec<(BatchReply, Vec<PieceOutcome>)>,
 }
 
@@ -102,8 +102,8 @@
     )
 }
 
-/// Notes the memory that the results of a call take at its target. A call that failed may have run all
-/// the same: its results take their memory until they expire, and nobody knows their handles.
+/// Records the memory that the results of a call take at its target. A call that failed may have
+/// run nevertheless: its results take memory until they expire, and their handles are unknown.
 fn record_results(
     target: &mut StageTarget,
     call: &DueCall,
@@ -128,7 +128,7 @@
 }
 
 impl QueueState {
-    /// Counts pieces that will come.
+    /// Counts pieces that an admitted request will submit later.
     pub(super) fn expect_pieces(&mut self, expected: ExpectedPieces) -> ExpectationKey {
         self.last_expected += 1;
         let key = ExpectationKey(self.last_expected);
@@ -141,7 +141,7 @@
         key
     }
 
-    /// Ends what [`QueueState::expect`] began.
+    /// Ends an expectation that [`QueueState::expect_pieces`] returned.
     pub(super) fn end_expected(&mut self, key: ExpectationKey) {
         let Some(expected) = self.expected.remove(&key) else {
             return;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns the load of a pool, with the pieces that are expected there.
+    /// Returns the load of a pool, including the pieces that are expected there.
     pub(super) fn load(&self, key: &PoolKey, pool: &PoolQueue, now: Instant) -> PoolLoad {
         let mut load = pool.load(now);
         let mut waiting: BTreeMap<Rank, u32> = load.waiting.iter().copied().collect();
@@ -164,7 +164,7 @@
         load
     }
 
-    /// Takes all targets that take work.
+    /// Replaces the list of targets that accept work.
     pub(super) fn set_targets(&mut self, records: &[TargetRecord]) {
         let by_id = records.iter().map(|one| (one.id.clone(), one.clone()));
         self.records = by_id.collect();
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Takes targets that have come or changed, and those that get no more work.
+    /// Adds or updates the `listed` targets and removes the `unlisted` ones.
     pub(super) fn update_targets(&mut self, listed: &[TargetRecord], unlisted: &[TargetRecord]) {
         for record in unlisted {
             self.records.remove(&record.id);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Returns a pool, which begins when it is first asked for.
+    /// Returns a pool, which is created on first use.
     pub(super) fn pool_mut(&mut self, key: &PoolKey) -> Option<&mut PoolQueue> {
         if !self.pools.contains_key(key) {
             let spec = self.specs.get(&key.service)?.clone();
@@ -239,7 +239,7 @@
         let Some(pool) = self.pools.get_mut(key) else {
             return Vec::new();
         };
-        // Most of what asks for calls in a burst finds none free; the queue is not walked then.
+        // In a burst most dispatches find no free target; the queue is not walked for those.
         if !pool.can_call(now) {
             return Vec::new();
         }
@@ -255,8 +255,8 @@
         due
     }
 
-    /// Takes results off their targets, and returns what the targets are to be told, each with its
-    /// hall.
+    /// Removes results from the accounts of their targets. Returns the releases to send, each with
+    /// the data hall of its target.
     pub(super) fn remove_results(
         &mut self,
         service: &str,
@@ -278,7 +278,8 @@
             let Some((id, target)) = owner else {
                 continue;
             };
-            // It would not be told, so the result keeps its room until it expires.
+            // A target that is backed off is not told, so the result occupies memory until it
+            // expires.
             if target.is_backed_off(now) {
                 continue;
             }
@@ -302,9 +303,9 @@
         releases
     }
 
-    /// Puts the pieces of a call that is late into the queue once more, for other targets, while the call
-    /// goes on until `until`. Where no other target answers in time either, that would only add to
-    /// what waits.
+    /// Queues the pieces of a late call again, for other targets, while the call continues until
+    /// `until`. If no other target responds in time, the pieces are not queued again, since that
+    /// would only lengthen the queue.
     pub(super) fn requeue_late_call(&mut self, call: &DueCall, until: Instant, now: Instant) {
         let Some(pool) = self.pools.get_mut(&call.pool) else {
             return;
@@ -315,7 +316,7 @@
         if !pool.has_healthy_target(now) {
             return;
         }
-        // One that may end its target is at one target at a time.
+        // A piece that may crash its target runs at one target at a time.
         let is_single_copy = |piece: &&QueuedPiece| {
             !piece.isolated && self.batches.pending_copies(piece.key) == Some(1)
         };
@@ -327,7 +328,7 @@
         pool.enqueue(copies);
     }
 
-    /// Takes what the target of a call has asked of this host.
+    /// Applies what the target of a call has asked of this host.
     pub(super) fn set_standing(&mut self, call: &DueCall, standing: TargetStanding, now: Instant) {
         let pool = self.pools.get_mut(&call.pool);
         let target = pool.and_then(|pool| pool.targets.get_mut(&call.target));
@@ -355,7 +356,8 @@
             let until = now + Duration::from_millis(pool.spec.result_ttl_ms);
             self.last_lost += 1;
             if let CallEnd::Answered(_, load) = &end {
-                // One that was sent ahead waited at its target, which says nothing of its pace.
+                // An overlapping call waited at its target, so its duration does not show the
+                // target's speed.
                 if !call.overlapping {
                     target.update_time_ratio(
                         call.expected,
@@ -396,8 +398,8 @@
         effects
     }
 
-    /// Takes what a target reported to have free; the rest that this host does not know of is held
-    /// by results that others had made.
+    /// Applies the free memory that a target reported. Memory that is neither free nor known to
+    /// this host holds results of other hosts.
     pub(super) fn apply_free_bytes(&mut self, key: &PoolKey, address: SocketAddr, free: u64) {
         let Some(pool) = self.pools.get_mut(key) else {
             return;
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A coordinator's state with so many targets in one pool.
+/// A coordinator's state with `targets` targets in one pool.
 fn state(targets: u16) -> QueueState {
     let record = |number: u16| TargetRecord {
         version: String::new(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Lets the pieces of one request wait.
+/// Queues the pieces of one request.
 fn submit(state: &mut QueueState, pieces: u32, now: Instant) -> Replies {
     let batch = batch(pieces);
     let replies: Replies = Rc::default();
@@ -89,7 +89,7 @@
     replies
 }
 
-/// Ends a call as if its target had made every piece; returns results that nobody wants.
+/// Ends a call with a result for every piece; returns results that no batch needs.
 fn answer(state: &mut QueueState, call: DueCall, late: bool) -> Vec<String> {
     let made = (0..call.pieces.len()).map(|piece| {
         let trial = if call.trial { "trial-" } else { "" };
@@ -113,7 +113,8 @@
     due.remove(0)
 }
 
-/// Makes the first target suspect: its call is late, and its pieces were made elsewhere meanwhile.
+/// Makes the first target unhealthy: its call is late, and another target returns the results of
+/// its pieces meanwhile.
 fn make_unhealthy(state: &mut QueueState, now: Instant) -> String {
     let replies = submit(state, 2, now);
     let slow = only_call(state, now);
@@ -123,7 +124,11 @@
     assert!(answer(state, fast, false).is_empty());
     assert_eq!(replies.borrow().len(), 2);
     let unhealthy = slow.target.clone();
-    assert_eq!(answer(state, slow, true).len(), 2, "results made twice");
+    assert_eq!(
+        answer(state, slow, true).len(),
+        2,
+        "results of pieces that ran twice"
+    );
     unhealthy
 }
 
@@ -154,11 +159,14 @@
     let (mut state, now) = (state(2), Instant::now());
     let unhealthy = make_unhealthy(&mut state, now);
     let load = state.load(&key(), &state.pools[&key()], now);
-    assert_eq!(load.targets, 1, "a suspect target is not counted on");
+    assert_eq!(load.targets, 1, "an unhealthy target is not counted");
 
     let replies = submit(&mut state, 3, now);
     let healthy = only_call(&mut state, now);
-    assert_ne!(healthy.target, unhealthy, "it rests at first");
+    assert_ne!(
+        healthy.target, unhealthy,
+        "the unhealthy target is in its cooldown"
+    );
     answer(&mut state, healthy, false);
     assert_eq!(replies.borrow().len(), 3);
 
@@ -234,7 +242,7 @@
     }
     assert!(
         late_after_of(target) < usual * 3,
-        "a slow spell is not usual"
+        "a slow period does not become typical"
     );
 }
 
@@ -259,7 +267,10 @@
     let pool = &state.pools[&key()];
     let usual = Duration::from_millis(166);
     let late_after = pool.targets["t-0"].late_after(usual, full_call, later);
-    assert!(late_after < alone.mul_f64(1.1), "what was told long ago");
+    assert!(
+        late_after < alone.mul_f64(1.1),
+        "an old report no longer counts"
+    );
 }
 
 #[test]
@@ -270,7 +281,7 @@
     let reserved_bytes = call.reserved_bytes;
     finish(&mut state, call, CallEnd::SenderLost, false);
     let target = &state.pools[&key()].targets["t-0"];
-    // The target may have made them all the same, and nobody knows their handles.
+    // The target may have produced the results nevertheless, and their handles are unknown.
     assert_eq!(target.used_bytes(), reserved_bytes);
     let again = only_call(&mut state, Instant::now());
     assert_eq!((again.target.as_str(), again.trial), ("t-0", false));
--- a/crates/gateway/src/coordinator/state/tests/back_off.rs
+++ b/crates/gateway/src/coordinator/state/tests/back_off.rs
@@ -1,11 +1,11 @@
-//! Stage targets that want no calls of this host for a while, or leave.
+//! Stage targets that ask this host to back off, or that are shutting down.
 
 use super::*;
 use crate::target_ask::TargetStanding;
 
 const WAIT: Duration = Duration::from_secs(2);
 
-/// Ends a call that its target turned away, asking for a time.
+/// Ends a call that its target refused with a back-off time.
 fn refuse_and_back_off(state: &mut QueueState, call: DueCall, now: Instant) -> CallEffects {
     state.set_standing(&call, TargetStanding::BackedOff(WAIT), now);
     state.finish_call(call, CallEnd::Busy, false, now)
@@ -20,9 +20,9 @@
     assert_eq!(
         finished.cooldown,
         Some(WAIT),
-        "when its pieces are looked at again"
+        "the pool is dispatched again after the back-off"
     );
-    assert!(finished.replies.is_empty(), "the pieces wait");
+    assert!(finished.replies.is_empty(), "the pieces stay queued");
     let nearly = now + WAIT - Duration::from_millis(1);
     assert!(state.due_calls(&key(), nearly).is_empty());
     let call = only_call(&mut state, now + WAIT);
@@ -54,7 +54,7 @@
     assert_eq!(
         (load.targets, load.free),
         (0, 0),
-        "as it is told to other hosts"
+        "load as reported to other hosts"
     );
     let batch = |wanted: Duration, first| {
         let mut batch = batch(1);
@@ -66,11 +66,11 @@
     assert!(!pool.would_miss_objective(&batch(WAIT * 2, true), now));
     assert!(
         !pool.would_miss_objective(&batch(WAIT, false), now),
-        "its stages have run"
+        "earlier stages of the request have run"
     );
 }
 
-/// A suspect target gets copies only, as long as a sound one takes calls.
+/// An unhealthy target gets only copies of pieces as long as a healthy one accepts calls.
 #[test]
 fn an_unhealthy_target_is_used_while_the_healthy_one_is_backed_off() {
     let (mut state, now) = (state(2), Instant::now());
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -1,5 +1,5 @@
-//! Plays bursts against one stage pool in simulated time, without a network: what the queue hands
-//! out, and what the requests get.
+//! Simulates bursts against one stage pool in virtual time, without a network, and measures the
+//! times of the requests.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -13,8 +13,8 @@
 
 const SERVICE: &str = "stage";
 
-/// A pool whose calls of 96 pieces take 275 ms at a target, and travel 85 ms beside that: the body of
-/// such a call names the inputs of each piece, 31 KB on a link of 10 Mbit/s.
+/// A pool whose calls of 96 pieces take 275 ms at a target, and 85 ms of transfers beside that: the
+/// body of such a call names the inputs of each piece, 31 KB on a link of 10 Mbit/s.
 const TARGET_COUNT: u16 = 19;
 const PIECES_PER_CALL: u32 = 96;
 const CALL_MS: f64 = 150.0;
@@ -31,28 +31,27 @@
 enum Event {
     /// A request submits its pieces.
     Submit,
-    /// A call reaches its target.
+    /// A call arrives at its target.
     ReachTarget(usize),
-    /// A target has ended the call at work.
+    /// A target has finished its running call.
     FinishWork(usize),
-    /// The answer to a call is back.
+    /// The response to a call has arrived.
     Answered(usize),
-    /// The time at which a call said that the next one may be sent.
+    /// The next call to a target may be sent.
     NextCallDue,
 }
 
-/// A target: the call at work first, then those that wait.
+/// A target: the running call first, then the waiting ones.
 #[derive(Default)]
 struct SimulatedTarget {
     calls: VecDeque<usize>,
 }
 
-/// What the requests of one play got.
+/// Measurements of one simulation.
 struct BurstReport {
-    /// Time from submission to the last result of each request that was done in time, in
-    /// milliseconds, in order.
+    /// Sorted times from submission to the last result of each request, in milliseconds.
     times_ms: Vec<f64>,
-    /// Calls that a target had no place for.
+    /// Calls that a target refused because its queue was full.
     refused_calls: u32,
 }
 
@@ -72,7 +71,7 @@
     targets: Vec<SimulatedTarget>,
     queue: usize,
     times_ms: Rc<RefCell<Vec<f64>>>,
-    /// Time since the beginning, in microseconds.
+    /// Virtual time since the start, in microseconds.
     clock: Rc<Cell<u64>>,
     refused_calls: u32,
 }
@@ -134,8 +133,8 @@
         self.events.push(Reverse((due, event)));
     }
 
-    /// Offers `per_s` requests a second for `span_ms`, at even distances, and plays until all have
-    /// ended.
+    /// Submits `per_s` requests per second for `span_ms`, at even intervals, and runs until all
+    /// have ended.
     fn run(mut self, per_s: f64, span_ms: f64) -> BurstReport {
         let gap_ms = 1_000.0 / per_s;
         let count = (span_ms / gap_ms) as u32;
@@ -146,7 +145,11 @@
             self.handle(now, event);
         }
         let mut times_ms = self.times_ms.take();
-        assert_eq!(times_ms.len(), count as usize, "a request has no answer");
+        assert_eq!(
+            times_ms.len(),
+            count as usize,
+            "number of answered requests"
+        );
         times_ms.sort_by(f64::total_cmp);
         BurstReport {
             times_ms,
@@ -220,8 +223,8 @@
     }
 
     fn target_of(&self, call: usize) -> usize {
-        let due = self.calls[call].as_ref().expect("a call under way");
-        due.target.parse().expect("a target's number")
+        let due = self.calls[call].as_ref().expect("call in progress");
+        due.target.parse().expect("target number")
     }
 
     fn reach_target(&mut self, now: u64, call: usize) {
@@ -246,7 +249,7 @@
         let call = self.targets[target]
             .calls
             .pop_front()
-            .expect("a call at work");
+            .expect("running call");
         let back = ANSWER_TRANSFER_MS + ANSWER_TRANSFER_PIECE_MS * self.sizes[call] as f64;
         self.push(now, back, Event::Answered(call));
         if let Some(next) = self.targets[target].calls.front().copied() {
@@ -264,7 +267,7 @@
 
     fn finish(&mut self, now: u64, call: usize, end: CallEnd) {
         let at = self.at(now);
-        let due = self.calls[call].take().expect("a call under way");
+        let due = self.calls[call].take().expect("call in progress");
         let finished = self.state.finish_call(due, end, false, at);
         self.clock.set(now);
         for (reply, outcomes) in finished.replies {
@@ -273,30 +276,30 @@
     }
 }
 
-/// 365 requests of 16 pieces a second are 5,840 pieces, 88% of what the targets make when they never
-/// idle, and 113% of what they make when each waits for its next call while the answer to the last
-/// one and the call travel.
+/// 365 requests of 16 pieces per second are 5,840 pieces: 88% of the capacity of targets that are
+/// never idle, and 113% of their capacity if each is idle while a response and the next call are
+/// transferred.
 #[test]
 fn overlapping_calls_keep_targets_busy_during_transfers() {
     let waiting = BurstSimulation::new(0).run(365.0, 6_000.0);
     let ahead = BurstSimulation::new(2).run(365.0, 6_000.0);
     let (before, after) = (waiting.quantile_ms(0.9), ahead.quantile_ms(0.9));
     println!(
-        "p90 of the requests: {before:.0} ms without calls sent ahead, {after:.0} ms with them"
+        "p90 of the requests: {before:.0} ms without overlapping calls, {after:.0} ms with them"
     );
     assert!(before > 1_000.0, "{before}");
     assert!(after < 600.0, "{after}");
     assert_eq!(ahead.refused_calls, 0);
 }
 
-/// At half of that load a call that is sent ahead must not make requests wait longer.
+/// At half of that load an early call must not make requests wait longer.
 #[test]
 fn overlapping_calls_cost_nothing_if_targets_are_free() {
     let waiting = BurstSimulation::new(0).run(180.0, 6_000.0);
     let ahead = BurstSimulation::new(2).run(180.0, 6_000.0);
     let (before, after) = (waiting.quantile_ms(0.5), ahead.quantile_ms(0.5));
     println!(
-        "p50 of the requests: {before:.0} ms without calls sent ahead, {after:.0} ms with them"
+        "p50 of the requests: {before:.0} ms without overlapping calls, {after:.0} ms with them"
     );
     assert!(after < before * 1.03, "{before} {after}");
 }
--- a/crates/gateway/src/coordinator/state/tests/target_crash.rs
+++ b/crates/gateway/src/coordinator/state/tests/target_crash.rs
@@ -1,8 +1,8 @@
-//! Calls whose target ended under them.
+//! Calls whose target crashed while running them.
 
 use super::*;
 
-/// Lets the pieces of one request wait, known by a key.
+/// Queues the pieces of one request with the given request key.
 fn submit_with_key(state: &mut QueueState, key: RequestKey, pieces: u32, now: Instant) -> Replies {
     let replies = submit(state, pieces, now);
     let pool = state.pools.get_mut(&super::key()).unwrap();
@@ -22,8 +22,8 @@
     CallEnd::Ended("connection reset".to_owned())
 }
 
-/// All requests with pieces in a call are suspects when its target ends, and most of them are innocent. Sent
-/// on together they would end one target after the other together.
+/// All requests with pieces in a call are suspects when its target crashes, though most of them are
+/// innocent. If they were retried together they would crash one target after the other together.
 #[test]
 fn pieces_of_a_call_whose_target_crashed_are_retried_isolated_by_request() {
     let (mut state, now) = (state(3), Instant::now());
@@ -39,7 +39,7 @@
         assert!(call.pieces.iter().all(|one| one.request_key == first));
         assert_eq!(call.pieces.len(), 2);
     }
-    // The guilty one ends its second target, alone, and is not sent to a third.
+    // The guilty request crashes its second target, alone in the call, and is not sent to a third.
     for call in calls {
         if call.pieces[0].request_key == request("/guilty") {
             finish(&mut state, call, crashed(), false);
@@ -65,8 +65,9 @@
     assert!(state.due_calls(&key(), now).is_empty());
 }
 
-/// A suspect target is tried with a copy of a piece on which no request depends. One that may end its target
-/// would end that one too, beside the one that it is sent to.
+/// An unhealthy target is tested with a copy of a piece on which no request depends. A copy of a
+/// piece that may crash its target would crash this target too, beside the one that runs the piece
+/// itself.
 #[test]
 fn an_unhealthy_target_is_not_tried_with_a_piece_that_may_crash_it() {
     let (mut state, now) = (state(3), Instant::now());
