--- a/crates/gateway/src/allowed_halls.rs
+++ b/crates/gateway/src/allowed_halls.rs
@@ -3,12 +3,14 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The halls of the regions that both a route and an account allow; nothing where neither names any.
+/// The data halls of the regions that both the route and the account of a request allow; `None` if
+/// neither names any region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct AllowedHalls(Option<Rc<[String]>>);
 
 impl AllowedHalls {
-    /// Works out the halls, given the region of each. A hall whose region is not known is in none.
+    /// Computes the data halls from the region of each. A hall whose region is unknown is not
+    /// allowed if regions are named.
     pub(crate) fn new(
         halls: &BTreeMap<String, String>,
         route: &[String],
@@ -24,17 +26,17 @@
         Self(Some(allowed.map(|(hall, _)| hall.clone()).collect()))
     }
 
-    /// Takes halls as they were told.
+    /// Creates the set from the names in a message.
     pub(crate) fn from_names(halls: Option<Vec<String>>) -> Self {
         Self(halls.map(Into::into))
     }
 
-    /// Returns the halls in the form in which they are told; nothing where all are allowed.
+    /// Returns the names for a message; `None` if all halls are allowed.
     pub(crate) fn to_names(&self) -> Option<Vec<String>> {
         self.0.as_ref().map(|halls| halls.to_vec())
     }
 
-    /// Says whether a request may run in a hall.
+    /// Returns whether a request may run in a data hall.
     pub(crate) fn allows(&self, hall: &str) -> bool {
         let halls = self.0.as_ref();
         halls.is_none_or(|halls| halls.iter().any(|one| one == hall))
--- a/crates/gateway/src/cold/tests.rs
+++ b/crates/gateway/src/cold/tests.rs
@@ -2,14 +2,14 @@
 
 const PER_S: f64 = 9.1;
 
-/// What the whole fleet may send in a second: 1.5 times the rate and 5.
+/// Maximum number of requests that the whole fleet may send in a second: 1.5 times the rate and 5.
 const MAX_PER_SECOND: usize = 18;
 
 fn rate() -> ColdRate {
     ColdRate::new(PER_S).unwrap()
 }
 
-/// The most of some moments that lie within one second.
+/// Returns the maximum number of times within one second.
 fn max_in_one_second(mut sent: Vec<Instant>) -> usize {
     sent.sort();
     let within = |start: usize| {
@@ -50,7 +50,7 @@
     assert!(max_in_one_second(sent) <= MAX_PER_SECOND);
 }
 
-/// 88 hosts that know nothing of each other ask for a place all the time.
+/// 88 hosts without a deciding host ask to send all the time.
 #[test]
 fn hosts_that_do_not_know_of_each_other_stay_within_what_is_allowed() {
     const HOSTS: usize = 88;
@@ -70,7 +70,7 @@
         }
         most = most.max(max_in_one_second(sent));
     }
-    println!("at most {most} in a second, of {MAX_PER_SECOND} allowed");
+    println!("at most {most} in one second, {MAX_PER_SECOND} allowed");
     assert!(most <= MAX_PER_SECOND, "{most}");
 }
 
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,4 +1,5 @@
-//! Choosing a model engine: where the prompt is cached, unless others wait there too long.
+//! Chooses a model engine for each prompt: one that has the prompt's shared parts cached, unless
+//! the queue there is too long.
 
 mod hall_weights;
 mod placement_request;
@@ -18,69 +19,70 @@
 use hall_weights::HallWeights;
 pub(crate) use placement_request::{PlacementFacts, PlacementRequest};
 
-/// Prompt tokens that an engine is first taken to read in a millisecond.
+/// Initial estimate of the prefill speed of an engine, in prompt tokens per millisecond.
 const INITIAL_TOKENS_PER_MS: f64 = 40.0;
 
-/// Weight of a new measurement of the reading speed.
+/// Weight of a new sample of the prefill speed.
 const SPEED_GAIN: f64 = 0.05;
 
-/// What an engine of which all slots are taken costs against an empty one, in milliseconds: as long as a
-/// prompt of some thousand tokens is read. Each request adds its share.
+/// Cost of an engine with all slots in use against an empty one, in milliseconds: the prefill time
+/// of a prompt of some thousand tokens. Each request adds its share.
 const FULL_ENGINE_COST_MS: f64 = 100.0;
 
-/// What reading a shared part again costs beside the time that it takes: it keeps the engine from other
-/// prompts, and takes memory that other parts lose. As a part of that time, and the most of it, so
-/// that a slow or long queue is left all the same.
+/// Additional cost of computing a shared part again that another engine has cached, as a factor of
+/// the prefill time and as a maximum. It keeps the engine from other prompts and takes cache memory
+/// from other parts. The maximum makes prompts leave a slow engine or a long queue all the same.
 const RECOMPUTE_FACTOR: f64 = 4.0;
 const MAX_RECOMPUTE_COST_MS: f64 = 250.0;
 
-/// Part of the time of reading that counts where no engine is known to hold the part: the one that
-/// every host ranks first for it may hold it all the same, since this host may have begun to place
-/// prompts a moment ago.
+/// Fraction of the prefill time that counts if no engine is known to have the part cached: the
+/// engine that every host ranks first for the part may have it all the same, since this host may
+/// have started to place prompts only a moment ago.
 const UNKNOWN_CACHE_FACTOR: f64 = 0.5;
 
-/// What a megabyte of results that crosses halls adds to the cost of an engine, in milliseconds.
+/// Cost of each megabyte of results that crosses data halls, in milliseconds.
 const CROSSING_COST_MS_PER_MB: f64 = 14.0;
 
-/// What a request costs beside one that may end the engine, in milliseconds: about the wait that is worth not
-/// being cut off and sent anew.
+/// Cost of placing a request beside one that may crash the engine, in milliseconds: about the wait
+/// that is preferable to being interrupted and sent again.
 const ISOLATED_COST_MS: f64 = 300.0;
 
 const MEGABYTE: f64 = 1_000_000.0;
 
-/// How long a part is taken to stay at an engine after its last use.
+/// How long a part is assumed to stay in an engine's cache after its last use.
 const PART_TTL: Duration = Duration::from_secs(60);
 
-/// Parts that are remembered.
+/// Maximum number of parts that are tracked.
 const MAX_PARTS: usize = 50_000;
 
-/// How long it takes until most of a learned slowness is forgotten.
+/// Time constant by which a learned slowness decays.
 const SLOWNESS_TIME_CONSTANT: Duration = Duration::from_secs(4);
 
-/// Weight of a new observation of an engine's slowness, and the most that one says.
+/// Weight of a new sample of an engine's slowness, and the maximum of a sample.
 const SLOWNESS_GAIN: f64 = 0.4;
 const MAX_SLOWNESS: f64 = 10.0;
 
-/// Added to expected and real times, so that short ones say little, in milliseconds.
+/// Added to expected and actual times so that short ones have little effect, in milliseconds.
 const SLOWNESS_BASE_MS: f64 = 120.0;
 
-/// How long before it can be sent a prompt is placed on an engine that names a rate.
+/// Maximum time between the placement of a prompt on an engine with a rate limit and the time at
+/// which the rate allows it to be sent.
 const MAX_RATE_WAIT: Duration = Duration::from_millis(250);
 
-/// Prompts shorter than this say nothing about the reading speed.
+/// Prompts with fewer tokens than this are not used to measure the prefill speed.
 const MIN_MEASURED_TOKENS: u64 = 2_000;
 
-/// Names one placement at its placer.
+/// Identifies a placement at its placer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct PlacementKey(u64);
 
-/// What was placed on one engine and has not ended.
+/// The prompts that were placed on one engine and have not ended.
 #[derive(Debug, Default)]
 struct EngineLoad {
-    /// Prompt tokens that are not known to be read yet.
+    /// Prompt tokens whose prefill is not known to be done.
     pending_tokens: u64,
     running: u32,
-    /// Of these, requests that may end the engine.
+    /// The number of these requests that may crash the engine.
     isolated: u32,
 }
 
@@ -89,11 +91,11 @@
     isolated: bool,
     pending_tokens: u64,
     placed_at: Instant,
-    /// How long the engine was to take until it has read the prompt, in milliseconds.
+    /// Expected time until the prefill is done, in milliseconds.
     expected_ms: f64,
 }
 
-/// How much longer than expected an engine took of late.
+/// Ratio of the actual to the expected prefill time of an engine, from recent prompts.
 #[derive(Debug, Clone, Copy)]
 struct Slowness {
     ratio: f64,
@@ -101,7 +103,7 @@
 }
 
 impl Slowness {
-    /// Returns the ratio, which is forgotten over time so that an engine that recovered is used
+    /// Returns the ratio at `now`. It decays over time so that an engine that recovered is used
     /// again.
     fn ratio_at(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.updated).as_secs_f64();
@@ -109,42 +111,43 @@
     }
 }
 
-/// An engine that a prompt may go to.
+/// A candidate engine for a prompt.
 struct RankedEngine<'a> {
     target: &'a Target,
-    /// Its score for the prompt's last shared part, by which all hosts order the engines alike.
+    /// Its rendezvous score for the prompt's last shared part, by which all hosts order the engines
+    /// alike.
     score: f64,
-    /// Tokens of shared parts that it is not known to hold.
+    /// Tokens of shared parts that it is not known to have cached.
     missing_tokens: u64,
-    /// What it costs to place the prompt there, in milliseconds.
+    /// Cost of placing the prompt there, in milliseconds.
     cost_ms: f64,
 }
 
-/// The engines that are taken to hold a part.
+/// The engines that are assumed to have a part cached.
 struct PartHolders<'a> {
     tokens: u64,
     engines: &'a [(String, Instant)],
 }
 
-/// Returns the tokens of the first of some parts that an engine is taken to hold; a part serves only where
-/// all before it are held as well.
+/// Returns the tokens of the leading parts that an engine is assumed to have cached. A part is
+/// usable only if all parts before it are cached as well.
 fn cached_tokens(parts: &[PartHolders<'_>], engine: &str) -> u64 {
     let has_cached = |part: &&PartHolders<'_>| part.engines.iter().any(|(id, _)| id == engine);
     let cached = parts.iter().take_while(has_cached);
     cached.map(|part| part.tokens).sum()
 }
 
-/// Places prompts on engines, with what it knows of them from its own placements.
+/// Places prompts on engines, based on its own earlier placements.
 pub(crate) struct EnginePlacer {
     tokens_per_ms: f64,
     loads: HashMap<String, EngineLoad>,
-    /// Engines that hold a part, with the time of its last use there.
+    /// Engines that have a part cached, with the time of its last use there.
     holders: HashMap<String, Vec<(String, Instant)>>,
     placed: HashMap<PlacementKey, PlacedPrompt>,
     slowness: HashMap<String, Slowness>,
-    /// What was placed lately on engines that are cold.
+    /// Recent placements on engines that are cold.
     cold_windows: HashMap<String, SendWindow>,
-    /// When the next prompt may be placed on engines that name rates.
+    /// Pacers of the engines with a rate limit.
     pacers: HashMap<String, RatePacer>,
     last_placement: u64,
 }
@@ -165,11 +168,11 @@
 }
 
 impl EnginePlacer {
-    /// Chooses an engine, passing over those to avoid.
+    /// Chooses an engine. Engines in `tried` are used only if there is no other.
     ///
-    /// The shared part is taken to lie at the engines where it was used lately; where none is known,
-    /// at the engine that every host ranks first for it. On any other it has to be read anew, which
-    /// counts like a wait.
+    /// A shared part is assumed to be cached at the engines where it was used recently, or, if none
+    /// is known, at the engine that every host ranks first for it. On any other engine its prefill
+    /// has to be done again, which counts like a wait.
     pub(crate) fn choose(
         &self,
         book: &TargetBook,
@@ -241,7 +244,8 @@
         Some(Chosen::new(best))
     }
 
-    /// Returns those of some engines among which a prompt is placed; all where none of them may be used.
+    /// Returns the engines of the prompt's partition, or all of `usable` if none of that partition
+    /// is left to try.
     fn within_partition<'a>(
         &self,
         book: &TargetBook,
@@ -264,8 +268,9 @@
         }
     }
 
-    /// Returns the engine with the fewest requests that may end it, and of these the one with the fewest others.
-    /// Two that are tried apart tell more than two together, and the fewer lose their work.
+    /// Returns the engine with the fewest requests that may crash it, and of these the one with the
+    /// fewest others. Two such requests on separate engines show which of them is the cause, and
+    /// fewer other requests are interrupted.
     fn fewest_isolated<'a>(&self, engines: Vec<&'a Target>) -> Option<&'a Target> {
         engines.into_iter().min_by_key(|engine| {
             let load = self.loads.get(&engine.id);
@@ -278,7 +283,8 @@
         window.is_none_or(|window| window.allows_send(rate, now))
     }
 
-    /// Says whether a prompt that is placed now could be sent soon by the rate of its engine.
+    /// Returns whether the rate limit of an engine allows a prompt that is placed now to be sent
+    /// soon.
     fn rate_limit_allows(&self, book: &TargetBook, engine: &str) -> bool {
         let pacer = self
             .pacers
@@ -287,7 +293,7 @@
         pacer.is_none_or(|pacer| pacer.wait(BootInstant::now()) <= MAX_RATE_WAIT)
     }
 
-    /// Counts a prompt where its engine names a rate.
+    /// Counts a prompt against the rate limit of its engine, if it has one.
     fn count_against_rate_limit(&mut self, book: &TargetBook, engine: &str) {
         let Some(rate) = book.rate(engine) else {
             self.pacers.remove(engine);
@@ -297,11 +303,11 @@
         let pacer = self.pacers.entry(engine.to_owned());
         let pacer = pacer.or_insert_with(|| RatePacer::new(rate, now));
         pacer.set_rate(rate, now);
-        // There is room, or the host that asks knows no other engine.
+        // The rate allows it, or the host that asks knows no other engine.
         let _ = pacer.reserve(now, Duration::MAX);
     }
 
-    /// Counts a prompt where its engine is cold.
+    /// Counts a prompt against the cold rate of its engine, if the engine is cold.
     fn count_against_cold_rate(
         &mut self,
         book: &TargetBook,
@@ -320,9 +326,9 @@
         }
     }
 
-    /// Returns who holds each of some parts, looked up once for a prompt. With a look for each engine a
-    /// placement among 140 took 31 us, among 500 105 us; so it takes 17 to 25 and 56 us
-    /// (`measure_a_placement`, release build).
+    /// Returns the engines that have each part cached, looked up once per prompt. A placement among
+    /// 140 engines takes 17 to 25 us this way and one among 500 takes 56 us; with a look-up for
+    /// each engine they took 31 and 105 us (`measure_a_placement`, release build).
     fn holders_of<'a>(&'a self, parts: &'a [PromptPart]) -> Vec<PartHolders<'a>> {
         let holders = parts.iter().map(|part| PartHolders {
             tokens: part.tokens,
@@ -336,7 +342,7 @@
         known.map_or(1.0, |slowness| slowness.ratio_at(now))
     }
 
-    /// Learns from the time that an engine took for a prompt.
+    /// Updates the slowness of an engine with the time that it took for a prompt.
     fn update_slowness(&mut self, engine: &str, expected_ms: f64, took: Duration, now: Instant) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         let ratio = ((took_ms + SLOWNESS_BASE_MS) / (expected_ms + SLOWNESS_BASE_MS))
@@ -353,8 +359,8 @@
         tokens as f64 / self.tokens_per_ms
     }
 
-    /// Returns what it costs to place a prompt on an engine, as a wait; `missing_ms` is what reading
-    /// shared parts there counts.
+    /// Returns the cost of placing a prompt on an engine, as a wait in milliseconds. `missing_ms`
+    /// is the cost of the shared parts that are not cached there.
     fn cost_ms(
         &self,
         engine: &Target,
@@ -368,7 +374,7 @@
         let (pending_tokens, running) =
             load.map_or((0, 0), |load| (load.pending_tokens, load.running));
         let isolated = load.map_or(0, |load| load.isolated);
-        // On a slow engine the prompt's own reading is slow as well.
+        // On a slow engine the prefill of the prompt's own tokens is slow as well.
         let slowness = self.slowness_of(&engine.id, now);
         let own_ms = self.prefill_ms(request.prompt.own_tokens()) + SLOWNESS_BASE_MS;
         let running_ms = f64::from(running) / f64::from(engine.slots) * FULL_ENGINE_COST_MS;
@@ -379,7 +385,7 @@
             + f64::from(isolated) * ISOLATED_COST_MS
     }
 
-    /// Says where a prompt would be placed now.
+    /// Returns where a prompt would be placed now.
     pub(crate) fn plan(
         &self,
         book: &TargetBook,
@@ -403,7 +409,7 @@
         Some((chosen, facts))
     }
 
-    /// Chooses an engine and counts the prompt there until [`EnginePlacer::end`].
+    /// Chooses an engine and counts the prompt there until [`EnginePlacer::end_placement`].
     pub(crate) fn place(
         &mut self,
         book: &TargetBook,
@@ -453,7 +459,7 @@
         holders.push((engine.to_owned(), now));
     }
 
-    /// Notes that an engine has read a prompt.
+    /// Records that an engine has done the prefill of a prompt.
     pub(crate) fn record_prefill(&mut self, key: PlacementKey, now: Instant) {
         let Some(placed) = self.placed.get(&key) else {
             return;
@@ -464,7 +470,7 @@
         self.clear_pending(key);
     }
 
-    /// Takes a prompt off what its engine still has to read.
+    /// Removes a prompt from the pending prefill of its engine.
     fn clear_pending(&mut self, key: PlacementKey) {
         if let Some(placed) = self.placed.get_mut(&key) {
             let pending_tokens = std::mem::take(&mut placed.pending_tokens);
@@ -474,7 +480,7 @@
         }
     }
 
-    /// Notes that a request has ended, or that its host was lost.
+    /// Ends the placement of a request that has ended or whose host was lost.
     pub(crate) fn end_placement(&mut self, key: PlacementKey) {
         self.clear_pending(key);
         let Some(placed) = self.placed.remove(&key) else {
@@ -489,20 +495,20 @@
         }
     }
 
-    /// Forgets what an engine holds, since it failed or is another start now.
+    /// Forgets what an engine has cached, since it failed or was restarted.
     pub(crate) fn forget_engine(&mut self, engine: &str) {
         for holders in self.holders.values_mut() {
             holders.retain(|(id, _)| id != engine);
         }
     }
 
-    /// Returns about how long an engine reads a prompt of which it holds nothing.
+    /// Returns the estimated prefill time of a prompt of which nothing is cached.
     pub(crate) fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.tokens_per_ms / 1_000.0)
     }
 
-    /// Learns from the time that a prompt took until its first event. Waits make engines look
-    /// slower, so that a prompt that was fast counts more.
+    /// Updates the prefill speed with the time from sending a prompt to its first event. Waits make
+    /// engines look slower, so a fast prompt has a larger weight.
     pub(crate) fn learn_prefill_speed(&mut self, tokens: u64, took: Duration) {
         if tokens < MIN_MEASURED_TOKENS || took.is_zero() {
             return;
--- a/crates/gateway/src/engine/hall_weights.rs
+++ b/crates/gateway/src/engine/hall_weights.rs
@@ -1,19 +1,19 @@
-//! Shares of the data halls in the prompts of a service.
+//! Weights of the data halls for the prompts of a service.
 
 use crate::target::TargetBook;
 
-/// The least weight of a hall.
+/// Minimum weight of a data hall.
 const MIN_WEIGHT: f64 = 0.02;
 
-/// How much work engines of each data hall should get, against those of other halls.
+/// The amount of work that the engines of each data hall should get, relative to other halls.
 #[derive(Debug, Default)]
 pub(crate) struct HallWeights<'a> {
     by_hall: Vec<(&'a str, f64)>,
 }
 
 impl<'a> HallWeights<'a> {
-    /// Creates weights that give each hall as many requests as it has targets for the stages with
-    /// large results, so that these need not cross halls.
+    /// Creates weights by which each data hall gets requests in proportion to its targets for the
+    /// stages with large results, so that these need not cross halls.
     pub(crate) fn new(book: &'a TargetBook, service: &str, stage_service: &str) -> Self {
         let stages = book.hall_counts(stage_service);
         let weight = |(hall, engines): &'a (String, u32)| {
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Six engines in each of three halls, and targets of a heavy stage: two, two and one.
+/// Six engines in each of three halls, and targets of a stage with large results: two, two and one.
 fn book() -> TargetBook {
     let engines = (0..18).map(|number| record(number, "engine", number % 3));
     let stages = [0, 0, 1, 1, 2].into_iter().enumerate();
@@ -71,7 +71,7 @@
     placer.record_prefill(key, now + Duration::from_millis(200));
     let (_, second, _) = placer.place(&book, &ask("a"), now).unwrap();
     assert_eq!(first, second);
-    // The waits of many long prompts outweigh reading the part elsewhere.
+    // The waits of many long prompts outweigh the prefill of the part elsewhere.
     let mut engines = std::collections::BTreeSet::new();
     for _ in 0..40 {
         engines.insert(placer.place(&book, &ask("a"), now).unwrap().1.id);
@@ -87,7 +87,7 @@
     assert_eq!(facts.cached_tokens, 0);
     let (_, chosen, facts) = placer.place(&book, &ask("a"), now).unwrap();
     assert_eq!((chosen, facts.cached_tokens), (planned, 0));
-    // All of the prompt is still to be read there, and the next one finds the part held.
+    // The whole prompt is still pending there, and the next prompt finds the part cached.
     let (_, facts) = placer.plan(&book, &ask("a"), now).unwrap();
     assert_eq!((facts.cached_tokens, facts.queued_tokens), (13_000, 15_000));
 }
@@ -160,7 +160,7 @@
         placer.record_holder("engine-0", &format!("p{number}"), now);
     }
     assert_eq!(placer.holders.len(), MAX_PARTS);
-    // Those not used for long make room.
+    // Parts that were not used for a long time are evicted.
     let later = now + PART_TTL + Duration::from_secs(1);
     placer.record_holder("engine-0", "new", later);
     assert_eq!(placer.holders.len(), 1);
@@ -203,7 +203,7 @@
     };
     assert_eq!(held(&mut placer, "a"), 0);
     assert_eq!(held(&mut placer, "a"), 6_300);
-    // What follows serves only behind the part before it.
+    // A part is usable only behind the part before it.
     let alone = PlacementRequest {
         prompt: prompt(9_000, vec![shared("other", 2_500), shared("a", 3_800)]),
         ..ask("")
@@ -211,8 +211,8 @@
     assert_eq!(placer.place(&book, &alone, now).unwrap().2.cached_tokens, 0);
 }
 
-/// A request that may end its engine goes to the one where the fewest others run, whatever that engine has
-/// to read.
+/// A request that may crash its engine goes to the engine with the fewest other requests, whatever
+/// is pending there.
 #[test]
 fn a_prompt_that_may_crash_its_engine_goes_where_the_fewest_others_run() {
     let (book, now) = (book(), Instant::now());
@@ -224,7 +224,7 @@
     };
     let (key, first, _) = placer.place(&book, &isolated, now).unwrap();
     assert_ne!(first.id, holder.id);
-    // The next one goes to another engine, and no other request beside the first.
+    // The next one goes to another engine, and no other request is placed beside the first.
     let (other, second, _) = placer.place(&book, &isolated, now).unwrap();
     assert_ne!(second.id, first.id);
     let (_, beside, _) = placer.place(&book, &ask("q"), now).unwrap();
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -1,4 +1,4 @@
-//! A hall of engines comes back cold in a burst: what each of them gets, and what the others take.
+//! A hall of engines comes back cold during a burst: measures how many prompts each engine gets.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,12 @@
 const ENGINES: usize = 140;
 const HALLS: usize = 3;
 
-/// Requests a second that a cold engine bears, and what may reach it at most: 1.5 times that and 5.
+/// Requests per second that a cold engine can handle, and the maximum that may reach it: 1.5 times
+/// that and 5.
 const COLD_PER_S: f64 = 9.1;
 const MAX_PER_SECOND: usize = 18;
 
-/// Prompts a second in a burst of 2.4 times.
+/// Prompts per second in a burst of 2.4 times the usual load.
 const PROMPTS_PER_S: u64 = 700;
 
 fn cold_book(cold_ms: u32, now: Instant) -> TargetBook {
@@ -41,9 +42,9 @@
     book
 }
 
-/// Places the prompts of some seconds on engines, all with the same shared part or each with its own;
-/// returns what each engine got, in milliseconds. With `placers` above 1 they take turns and know nothing
-/// of each other.
+/// Places the prompts of two seconds on engines, all with the same shared part or each with its
+/// own. Returns the times of the prompts of each engine, in milliseconds. With `placers` above 1
+/// the placers take turns and know nothing of each other.
 fn simulate_burst(
     same_part: bool,
     placers: usize,
@@ -58,7 +59,7 @@
         let part = if same_part { 0 } else { number };
         let placer = &mut all[number as usize % placers];
         let placed = placer.place(book, &ask(&format!("{part:08x}")), now);
-        let (key, engine, _) = placed.expect("warm engines are left");
+        let (key, engine, _) = placed.expect("a warm engine has room");
         placer.record_prefill(key, now);
         placer.end_placement(key);
         sent.entry(engine.id).or_default().push(ms);
@@ -87,19 +88,20 @@
         .unwrap_or(0)
 }
 
-/// Prompts with one part go to its holder, which may be cold: 700 a second without the limit.
+/// Prompts with one part go to the engine that has it cached, which may be cold: 700 per second
+/// without the limit.
 #[test]
 fn a_cold_engine_gets_no_more_than_its_rate() {
     let now = Instant::now();
     let book = cold_book(60_000, now);
     for same_part in [true, false] {
         let most = max_per_second_of_cold_engines(&simulate_burst(same_part, 1, &book), &book, now);
-        println!("at most {most} in a second at a cold engine");
+        println!("at most {most} prompts in one second at a cold engine");
         assert!(most <= COLD_PER_S as usize, "{most}");
     }
 }
 
-/// On each side of a cut, or while one host hands over to another, two place prompts.
+/// Two hosts place prompts on each side of a network partition, or while one hands over to another.
 #[test]
 fn two_placing_hosts_stay_within_the_allowed_rate() {
     let now = Instant::now();
@@ -119,7 +121,7 @@
     for _ in 0..1_000 {
         let (_, engine, _) = placer
             .place(&book, &alone, now)
-            .expect("warm ones are left");
+            .expect("a warm engine has room");
         assert!(!book.is_cold("engine", &engine.id, now));
     }
 }
@@ -148,7 +150,7 @@
     assert!(placer.place(&book, &ask("a"), now).is_none());
     let later = now + Duration::from_millis(1_100);
     assert!(placer.place(&book, &ask("a"), later).is_some());
-    // Warm by then.
+    // The engine is warm by then.
     let warm = now + Duration::from_millis(5_100);
     (0..50).for_each(|_| assert!(placer.place(&book, &ask("a"), warm).is_some()));
 }
--- a/crates/gateway/src/engine/tests/placing_cost.rs
+++ b/crates/gateway/src/engine/tests/placing_cost.rs
@@ -1,14 +1,14 @@
-//! What it costs the host that places prompts to choose an engine, as the fleet grows.
+//! Measures the cost of choosing an engine, by the size of the fleet.
 
 use super::*;
 
 /// Engines of a service, in fleets of 75, 295 and 1,000 entry hosts.
 const ENGINE_COUNTS: [usize; 3] = [120, 140, 500];
 
-/// Prompts that run at each engine while the cost is measured.
+/// Prompts that run at each engine during the measurement.
 const PROMPTS_PER_ENGINE: usize = 6;
 
-/// Shared parts that prompts are drawn from.
+/// Number of distinct shared parts.
 const PART_COUNT: usize = 700;
 
 const ROUNDS: u32 = 2_000;
@@ -25,8 +25,8 @@
     placer
 }
 
-/// Prints the microseconds of one placement: `cargo test --release -p linnet-gateway -- --ignored
-/// --nocapture measure`.
+/// Prints the duration of one placement in microseconds: `cargo test --release -p linnet-gateway --
+/// --ignored --nocapture measure`.
 #[test]
 #[ignore = "measures"]
 fn measure_a_placement() {
--- a/crates/gateway/src/peer_queue.rs
+++ b/crates/gateway/src/peer_queue.rs
@@ -1,11 +1,12 @@
-//! Sends what waits for another entry host.
+//! Sends queued messages to another entry host.
 
 use linnet_wire::{PeerWriter, WireError};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Sends a message and those that wait behind it in one write, as far as it holds them: after a call to
-/// a stage target several hosts are told at once, and each write costs a system call. `put` lets one wait in
-/// the writer and says whether that is full.
+/// Sends a message and the queued messages behind it in one write, as far as the writer's buffer
+/// holds them: after a call to a stage target several hosts are notified at once, and each write
+/// costs a system call. `buffer` adds a message to the writer and returns whether the buffer is
+/// full.
 pub(crate) async fn write_queued<M>(
     first: &M,
     queue: &mut UnboundedReceiver<M>,
--- a/crates/gateway/src/rendezvous.rs
+++ b/crates/gateway/src/rendezvous.rs
@@ -1,16 +1,16 @@
-//! Rendezvous hashing: every process ranks the same names for the same key alike.
+//! Rendezvous hashing: every process ranks the same names for the same key in the same order.
 
-/// A key with which many names are scored.
+/// The hash state of a key, with which many names are scored.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ScoreKey(u64);
 
 impl ScoreKey {
-    /// Begins the hash of a key.
+    /// Hashes the key.
     pub(crate) fn new(key: &str) -> Self {
         Self(fold_bytes(FNV_OFFSET, key.bytes().chain([0])))
     }
 
-    /// Returns the score of a name; the highest score is the first choice.
+    /// Returns the score of a name; the highest score ranks first.
     pub(crate) fn score(self, name: &str) -> u64 {
         // FNV-1a over both, then a finisher (splitmix64) that spreads the last bytes over all bits.
         let mut mixed = fold_bytes(self.0, name.bytes());
@@ -19,9 +19,9 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Returns a score such that names come first in proportion to their weights.
+    /// Returns a score by which names rank first in proportion to their weights.
     pub(crate) fn weighted_score(self, name: &str, weight: f64) -> f64 {
-        // 53 bits make a number between 0 and 1, never either.
+        // 53 bits make a number strictly between 0 and 1.
         let drawn = ((self.score(name) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
         -weight / drawn.ln()
     }
--- a/crates/gateway/src/reported_load.rs
+++ b/crates/gateway/src/reported_load.rs
@@ -1,19 +1,19 @@
-//! The load that targets tell with their answers.
+//! The load that targets report with their responses.
 
 use http::{HeaderMap, HeaderName};
 use serde::{Deserialize, Serialize};
 
-/// What a target has at work and waiting, of all hosts together, when it sends an answer.
+/// The running and waiting requests of a target, from all hosts together, when it sends a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReportedLoad {
-    /// Requests at work.
     pub(crate) running: u32,
     /// Requests that wait for a slot.
     pub(crate) waiting: u32,
 }
 
 impl ReportedLoad {
-    /// Reads `RUNNING,WAITING,SLOTS` from a header; nothing where a target does not tell it.
+    /// Parses `RUNNING,WAITING,SLOTS` from a header; returns `None` if the target does not report
+    /// its load.
     pub(crate) fn read(headers: &HeaderMap, name: &HeaderName) -> Option<Self> {
         let text = headers.get(name)?.to_str().ok()?;
         let mut numbers = text.split(',').map(|part| part.trim().parse().ok());
--- a/crates/gateway/src/retry_budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -1,13 +1,14 @@
-//! The budget of repeated sendings, shared out among the entry hosts.
+//! The retry budget, divided among the entry hosts.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Part of the budget that is used, so that hosts that count differently stay within it together.
+/// Fraction of the budget that is used, so that hosts with different counts stay within it
+/// together.
 const USABLE_FRACTION: f64 = 0.7;
 
-/// How the budget is reckoned: per service, in any window, at most `ratio` of the requests plus
-/// `slack`, over all hosts.
+/// The limits of the budget: over all hosts, each service gets in any window at most `ratio` times
+/// its requests plus `slack` retries.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BudgetRule {
     pub(crate) ratio: f64,
@@ -21,7 +22,7 @@
     retries: VecDeque<Instant>,
 }
 
-/// Counts requests and repeats of each service over the window.
+/// Counts the requests and retries of each service over the window.
 pub(crate) struct RetryBudget {
     rule: BudgetRule,
     services: HashMap<String, ServiceCount>,
@@ -43,7 +44,7 @@
         count.requests.push_back(now);
     }
 
-    /// Takes one repeat out of the budget, as one of `hosts` hosts; false where none is left.
+    /// Takes one retry out of the budget, as one of `hosts` hosts; returns false if none is left.
     pub(crate) fn try_take_retry(&mut self, service: &str, hosts: usize, now: Instant) -> bool {
         let rule = self.rule;
         let count = self.services.entry(service.to_owned()).or_default();
--- a/crates/gateway/src/retry_budget/tests.rs
+++ b/crates/gateway/src/retry_budget/tests.rs
@@ -6,7 +6,8 @@
     window: Duration::from_secs(10),
 };
 
-/// Sends requests evenly over half a minute, and as many repeats as the budget gives.
+/// Sends requests evenly over half a minute, with as many retries as the budget allows. Returns the
+/// most retries in a window and the budget of a window.
 fn retries_in_the_worst_window(hosts: usize, requests_per_s: u64) -> (usize, f64) {
     let start = Instant::now();
     let mut budgets: Vec<_> = (0..hosts).map(|_| RetryBudget::new(RULE)).collect();
@@ -45,7 +46,7 @@
                 (worst as f64) <= most,
                 "{hosts} {requests_per_s}: {worst} of {most}"
             );
-            assert!(worst > 0, "{hosts} {requests_per_s}: no repeat was allowed");
+            assert!(worst > 0, "{hosts} {requests_per_s}: no retry was allowed");
         }
     }
 }
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -1,9 +1,9 @@
-//! When the stages of a request start.
+//! Schedules the stages of a request.
 //!
-//! A result takes room at its target from the start of its call until the request's target has
-//! fetched it, and room for large results is what stage pools run out of first. So a stage with
-//! large results that nothing but the request's target waits for starts only when its results will
-//! be ready together with those of the other stages.
+//! A result occupies memory at its target from the start of its call until the request's target has
+//! fetched it, and memory for large results is the first resource that stage pools run out of. So a
+//! stage with large results that only the request's target waits for is delayed until its results
+//! will be ready together with those of the other stages.
 
 use std::time::{Duration, Instant};
 
@@ -12,8 +12,8 @@
 use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::path_time::{last_stages, path_time};
 
-/// Part of its own time by which a deferred stage starts earlier than planned, since calls to its
-/// targets do not begin at once, and a span beside it.
+/// How much earlier than planned a delayed stage starts, since calls to its targets do not begin at
+/// once: a factor of its own duration plus a fixed lead.
 const LEAD_FACTOR: f64 = 0.5;
 const LEAD_SLACK: Duration = Duration::from_millis(40);
 
@@ -21,16 +21,17 @@
 #[derive(Debug, Clone, Copy)]
 struct DelayedStage {
     number: usize,
-    /// Time before the end of the other stages at which it starts.
+    /// How long before the end of the other stages it starts.
     lead: Duration,
 }
 
-/// When each stage of one request starts.
+/// The start times of the stages of one request.
 pub(crate) struct StageSchedule {
     delayed: Vec<DelayedStage>,
-    /// When each stage ends by the queues at the start, in milliseconds; 0 for one that is deferred.
+    /// When each stage ends according to the queues at the start of the request, in milliseconds; 0
+    /// for a delayed stage.
     planned_ends: Vec<f64>,
-    /// When the last of the other stages is expected to end.
+    /// Expected end of the last of the other stages.
     others_end: Instant,
 }
 
@@ -51,8 +52,8 @@
         Self::plan(&delayable, path.ends, &path.spans, Instant::now())
     }
 
-    /// Plans stages that end after `ends` and take `spans`, in milliseconds, of which some may be
-    /// deferred.
+    /// Plans stages that end after `ends` and take `spans`, both in milliseconds. The stages in
+    /// `delayable` may be delayed.
     fn plan(delayable: &[usize], mut ends: Vec<f64>, spans: &[f64], now: Instant) -> Self {
         for number in delayable {
             ends[*number] = 0.0;
@@ -69,18 +70,18 @@
         }
     }
 
-    /// Says whether a stage may start later than it could.
+    /// Returns whether a stage may start later than it could.
     pub(crate) fn is_delayed(&self, number: usize) -> bool {
         self.delayed.iter().any(|stage| stage.number == number)
     }
 
-    /// Returns when a stage starts whose inputs are there; nothing where it does so at once.
+    /// Returns when a stage starts whose inputs are ready, or `None` if it starts at once.
     pub(crate) fn start_time(&self, number: usize) -> Option<Instant> {
         let stage = self.delayed.iter().find(|stage| stage.number == number)?;
         self.others_end.checked_sub(stage.lead)
     }
 
-    /// Notes that a stage has ended, sooner or later than was planned.
+    /// Records that a stage has ended, which may be sooner or later than planned.
     pub(crate) fn record_stage_end(&mut self, number: usize, now: Instant) {
         if self.is_delayed(number) {
             return;
--- a/crates/gateway/src/schedule/tests.rs
+++ b/crates/gateway/src/schedule/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A large stage beside a chain of two.
+/// A stage with large results beside a chain of two other stages.
 fn schedule(large_ms: f64, first_ms: f64, second_ms: f64, now: Instant) -> StageSchedule {
     let ends = vec![large_ms, first_ms, first_ms + second_ms];
     StageSchedule::plan(&[0], ends, &[large_ms, first_ms, second_ms], now)
@@ -9,7 +9,7 @@
 #[test]
 fn a_large_stage_starts_when_it_will_be_ready_with_the_others() {
     let now = Instant::now();
-    // Time of the large stage and of the others; when it starts after `now`.
+    // Durations of the large stage and of the others; delay of the large stage from `now`.
     let cases = [
         (200.0, 300.0, 500.0, 460),
         (200.0, 150.0, 200.0, 10),
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request where every target that may run it wants no requests for a while.
+//! Handles requests for services whose targets are all backed off or have used up their rates.
 
 use std::time::{Duration, Instant};
 
@@ -13,37 +13,38 @@
 use crate::target_ask::TargetStanding;
 use crate::{Refusal, RefusalReason};
 
-/// Part of the time until its objective is missed that a request waits for a target; the rest is for its work.
-/// One that would wait longer is refused at once and told when to come back, while its caller has time for it.
+/// Fraction of the time until its objective is missed that a request may wait for a target; the
+/// rest is for its work. A request that would wait longer is refused at once and told when to
+/// retry, while its caller has time to do so.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// Requests that wait at the same time, at most. Each keeps its body.
+/// Maximum number of requests that wait at the same time. Each keeps its body in memory.
 const MAX_WAITING_REQUESTS: usize = 256;
 
-/// The longest time after which callers are told to come back for a rate.
+/// Maximum retry-after time for a request that is refused because of a rate.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// By how much callers, and requests that wait, come later than the first target takes requests again, drawn
-/// anew for each: as a part of the time until then, and its bounds.
+/// Random delay that is added to the time until the first target accepts requests again, drawn for
+/// each caller and each waiting request: a fraction of that time, within bounds.
 const JITTER_FRACTION: f64 = 0.25;
 const MIN_JITTER: Duration = Duration::from_millis(20);
 const MAX_JITTER: Duration = Duration::from_secs(1);
 
-/// The most urgent requests wait as long for leave as their objective bears; each level less urgent waits less by this
-/// part, so that leave goes to the more urgent ones first.
+/// The most urgent requests wait for a send permit as long as their objective allows. Each less
+/// urgent level waits less by this fraction, so that more urgent requests get send permits first.
 const RANK_WAIT_STEP: f64 = 0.1;
 
-/// When a target takes requests of this host.
+/// When a target next accepts requests of this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct NextAvailability {
-    /// In how long.
+    /// Time until then.
     pub(crate) wait: Duration,
-    /// Whether it is for a rate that it takes none before.
+    /// Whether it is a rate limit that delays it.
     pub(crate) rate_limited: bool,
 }
 
-/// Returns when the first target that may run a request, and has not been tried, takes requests of this host;
-/// nothing where none will.
+/// Returns when the first target that may run a request and has not been tried accepts requests of
+/// this host; `None` if no target will.
 pub(crate) fn next_availability(
     gateway: &Gateway,
     service: &str,
@@ -70,8 +71,8 @@
     availabilities.min()
 }
 
-/// Returns how long a request waits for leave to go to a target that names a rate: not at all where another target is
-/// open that names none.
+/// Returns how long a request may wait for a send permit of a target with a rate limit. It does not
+/// wait if a target without a rate limit is available.
 pub(crate) fn max_permit_wait(
     gateway: &Gateway,
     service: &str,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Says whether a target that may run a request is open and takes any rate.
+/// Returns whether a target that may run a request is available and has no rate limit.
 pub(crate) fn has_unlimited_target(gateway: &Gateway, service: &str, ask: &Ask) -> bool {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
@@ -99,14 +100,15 @@
     })
 }
 
-/// Returns how long a request waits for leave where no target takes any rate.
+/// Returns how long a request may wait for a send permit if all targets have rate limits.
 fn ranked_permit_wait(ask: &Ask) -> Duration {
     let level = f64::from(ask.rank.engine_level());
     ask.objective_left()
         .mul_f64(MAX_WAIT_FRACTION * (1.0 - level * RANK_WAIT_STEP))
 }
 
-/// Returns the sum of the rates of the targets that may run a request; nothing where one of them takes any.
+/// Returns the sum of the rate limits of the targets that may run a request; `None` if one of them
+/// has no limit.
 fn total_rate_limit(gateway: &Gateway, service: &str, ask: &Ask) -> Option<NamedRate> {
     if gateway.notices.rates.is_empty() {
         return None;
@@ -118,11 +120,12 @@
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
 
-/// Refuses a request before its stages begin where the rates of all targets of its service are used up by others.
+/// Refuses a request before its stages begin if other requests have used up the rates of all
+/// targets of its service.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::Overloaded`], with the time to come back.
+/// Returns [`RefusalReason::Overloaded`] with the time after which to retry.
 pub(crate) async fn check_rate_limits(
     gateway: &Gateway,
     service: &str,
@@ -136,12 +139,12 @@
     turn.map_err(|left| rate_refusal(gateway, service, ask, left))
 }
 
-/// Refuses a request before its stages begin where its own service opens too late for it. The stages are
-/// planned to take `planned`, in which it may open.
+/// Refuses a request before its stages begin if its service becomes available too late for it. The
+/// stages are planned to take `planned`, during which the service may become available.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::Overloaded`], with the time to come back.
+/// Returns [`RefusalReason::Overloaded`] with the time after which to retry.
 pub(crate) fn check_availability(
     gateway: &Gateway,
     service: &str,
@@ -159,12 +162,14 @@
     Ok(())
 }
 
-/// Waits until a target that may run a request takes requests again, where that is soon enough for it. Leave by a rate
-/// is not waited for here: what could be had in time was given to others.
+/// Waits until a target that may run a request accepts requests again, if that is soon enough for
+/// the request. A send permit is not awaited here: those that could be had in time were given to
+/// other requests.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::Overloaded`], with the time to come back, where it is not.
+/// Returns [`RefusalReason::Overloaded`] with the time after which to retry, if it is not soon
+/// enough.
 pub(crate) async fn wait_until_available(
     gateway: &Gateway,
     service: &str,
@@ -180,13 +185,14 @@
     Ok(())
 }
 
-/// Returns when a caller should come back: not before a target takes requests of this host again.
+/// Returns after which time a caller should retry: not before a target accepts requests of this
+/// host again.
 pub(crate) fn retry_after(gateway: &Gateway, service: &str, ask: &Ask) -> Duration {
     let availability = next_availability(gateway, service, ask, &[]);
     with_jitter(availability.map_or(Duration::ZERO, |availability| availability.wait))
 }
 
-/// Returns the refusal of a request for which no target was found, where all name rates.
+/// Returns the refusal of a request for which no target was found, if all targets have rate limits.
 pub(crate) fn rates_used_up(gateway: &Gateway, service: &str, ask: &Ask) -> Option<Refusal> {
     total_rate_limit(gateway, service, ask)?;
     Some(rate_refusal(gateway, service, ask, Duration::ZERO))
@@ -204,8 +210,8 @@
     }
 }
 
-/// Returns the refusal of a request for whose service there is no leave for a time. Callers that are refused are told
-/// to come back one after the other, by the sum of the rates.
+/// Returns the refusal of a request for whose service no send permit is available. Refused callers
+/// are told to retry one after the other, paced by the sum of the rates.
 fn rate_refusal(gateway: &Gateway, service: &str, ask: &Ask, wait: Duration) -> Refusal {
     let detail = format!(
         "every target of {service} names a rate that is used up, the first one for {} ms",
@@ -225,7 +231,8 @@
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(with_jitter(wait))
 }
 
-/// Returns when one of many comes that wait for the same moment: it and somewhat more.
+/// Adds a random delay to a time for which many callers wait, so that they do not all return at
+/// once.
 fn with_jitter(wait: Duration) -> Duration {
     let max_jitter = wait.mul_f64(JITTER_FRACTION).clamp(MIN_JITTER, MAX_JITTER);
     wait + max_jitter.mul_f64(fastrand::f64())
--- a/crates/gateway/src/wait_model.rs
+++ b/crates/gateway/src/wait_model.rs
@@ -1,48 +1,49 @@
-//! Learns how much longer requests wait than the queues at their admission said.
+//! Learns how much longer requests wait than the queues indicated at their admission.
 //!
-//! More urgent requests that come later go first, and targets fail meanwhile, so waits grow after a
-//! request was admitted; how much differs by its rank.
+//! More urgent requests that arrive later are served first, and targets fail meanwhile, so waits
+//! grow after a request was admitted. By how much depends on its rank.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::ask::Rank;
 
-/// Weight of a new observation.
+/// Weight of a new sample.
 const RATIO_GAIN: f64 = 0.2;
 
-/// Bounds of what one observation says.
+/// Bounds to which a sample is clamped.
 const MIN_RATIO: f64 = 0.5;
 const MAX_RATIO: f64 = 6.0;
 
-/// Waits shorter than this are taken as so long, in milliseconds: their ratios say little.
+/// Shorter planned waits are raised to this value, in milliseconds, since their ratios mean little.
 const MIN_WAIT_MS: f64 = 80.0;
 
-/// How long a request will take, by the queues at its admission.
+/// Expected duration of a request, according to the queues at its admission.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PathEstimate {
-    /// Time of its stages where nothing waits, in milliseconds.
+    /// Duration of its stages without any waits, in milliseconds.
     pub(crate) stages_ms: f64,
-    /// All waits on the longest way, in milliseconds.
+    /// Sum of the waits on the longest path, in milliseconds.
     pub(crate) waits_ms: f64,
-    /// Time that its target reads the prompt, in milliseconds.
+    /// Prefill time of the prompt at its target, in milliseconds.
     pub(crate) prefill_ms: f64,
 }
 
-/// Ratios of real to planned waits, by rank.
+/// Ratios of actual to planned waits, by rank.
 #[derive(Debug, Default)]
 pub(crate) struct WaitModel {
     ratios: HashMap<Rank, f64>,
 }
 
 impl WaitModel {
-    /// Returns how long a request will take, with what was learned, in milliseconds.
+    /// Returns the expected duration of a request, corrected by the learned ratio of its rank, in
+    /// milliseconds.
     pub(crate) fn expected_ms(&self, rank: Rank, plan: &PathEstimate) -> f64 {
         let ratio = self.ratios.get(&rank).copied().unwrap_or(1.0);
         plan.stages_ms + plan.waits_ms * ratio.max(1.0) + plan.prefill_ms
     }
 
-    /// Learns from a request whose stages took so long.
+    /// Updates the ratio of a rank with a request whose stages took `took`.
     pub(crate) fn record_wait(&mut self, rank: Rank, plan: &PathEstimate, took: Duration) {
         let waited = took.as_secs_f64() * 1_000.0 - plan.stages_ms;
         let planned = plan.waits_ms.max(MIN_WAIT_MS);
