--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -19,7 +19,7 @@
 const TIMEOUT_FACTOR: f64 = 5.0;
 const TIMEOUT_SLACK: Duration = Duration::from_millis(150);
 
-/// Maximum age of the data in a target's report.
+/// Maximum age of the data in a target's report, and so the time until a report reflects a call.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(200);
 
 pub(super) async fn run_call(coordinator: Rc<Coordinator>, call: DueCall) {
@@ -93,7 +93,7 @@
     coordinator.requeue_late_call(call, until);
     match timeout_at(until.into(), sent).await {
         Ok(end) => end,
-        Err(_) => CallEnd::Failed(format!("no answer within {} ms", max_wait.as_millis())),
+        Err(_) => CallEnd::Failed(format!("no response within {} ms", max_wait.as_millis())),
     }
 }
 
@@ -116,15 +116,21 @@
             )
         }
         CallEnd::Busy => (EventCode::StageCallFailed, "cause=busy".to_owned()),
-        CallEnd::OtherTarget => (EventCode::StageCallFailed, "cause=other target".to_owned()),
+        CallEnd::OtherTarget => (
+            EventCode::StageCallFailed,
+            "cause=another target has the address".to_owned(),
+        ),
         CallEnd::Failed(cause) | CallEnd::Broke(cause) => {
             (EventCode::StageCallFailed, format!("cause={cause}"))
         }
         CallEnd::Ended(cause) => (
             EventCode::StageCallFailed,
-            format!("cause=the target has ended: {cause}"),
+            format!("cause=the target crashed: {cause}"),
+        ),
+        CallEnd::SenderLost => (
+            EventCode::StageCallFailed,
+            "cause=connection to the sender lost".to_owned(),
         ),
-        CallEnd::SenderLost => (EventCode::StageCallFailed, "cause=sender lost".to_owned()),
     };
     let mut requests: Vec<&str> = call
         .pieces
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -219,7 +219,8 @@
         wait > MIN_REFUSED_WAIT_MS && wait + call_ms > batch.wanted_ms as f64
     }
 
-    /// Returns the time until the first target accepts calls of this host; zero if one does now.
+    /// Returns the time until the first target accepts calls of this host; zero if one does now or
+    /// there is no target.
     fn shortest_back_off(&self, now: Instant) -> Duration {
         let targets = self.targets.values().filter(|one| one.accepts_calls());
         let left = targets.map(|target| target.remaining_back_off(now));
@@ -397,8 +398,8 @@
     }
 
     /// Returns whether a piece with a large result should wait for a target in its data hall:
-    /// targets there are free soon enough, and have room for the `ahead` pieces queued before it as
-    /// well.
+    /// targets there are free soon enough, and have room for the `queued_before` pieces that wait
+    /// for it ahead of this one as well.
     fn should_wait_for_hall(
         &self,
         piece: &QueuedPiece,
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -273,7 +273,7 @@
         self.busy_until = until;
     }
 
-    /// Applies the end of a call that had reserved `reserved` bytes; returns the cooldown of the
+    /// Applies the end of a call that had `reserved_bytes` reserved; returns the cooldown of the
     /// target. Without a verdict nothing is learned about the target.
     pub(super) fn end_call(
         &mut self,
