--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -37,8 +37,8 @@
     /// Returns the window in which sent requests are counted, and how many are allowed in it.
     fn window(self) -> (Duration, usize) {
         let span = MIN_WINDOW.max(Duration::from_secs_f64((1.0 / self.per_s).min(60.0)));
-        let most = (self.per_s * span.as_secs_f64() + 1e-9).floor() as usize;
-        (span, most.max(1))
+        let max_sends = (self.per_s * span.as_secs_f64() + 1e-9).floor() as usize;
+        (span, max_sends.max(1))
     }
 
     /// Returns the interval between two requests of one of `hosts` hosts.
@@ -57,16 +57,16 @@
 impl SendWindow {
     /// Returns whether another request may be sent.
     pub(crate) fn allows_send(&self, rate: ColdRate, now: Instant) -> bool {
-        let (span, most) = rate.window();
-        let lately = |at: &&Instant| now.saturating_duration_since(**at) < span;
-        self.sent.iter().rev().take_while(lately).count() < most
+        let (span, max_sends) = rate.window();
+        let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < span;
+        self.sent.iter().rev().take_while(is_recent).count() < max_sends
     }
 
     /// Counts a request that is sent now.
     pub(crate) fn record_send(&mut self, rate: ColdRate, now: Instant) {
         let (span, _) = rate.window();
-        let passed = |at: &Instant| now.saturating_duration_since(*at) >= span;
-        while self.sent.front().is_some_and(passed) {
+        let is_expired = |at: &Instant| now.saturating_duration_since(*at) >= span;
+        while self.sent.front().is_some_and(is_expired) {
             self.sent.pop_front();
         }
         self.sent.push_back(now);
@@ -81,16 +81,16 @@
 
 impl SendShare {
     /// Returns whether a request may be sent. The first call starts the interval: the host then
-    /// waits for a moment that `drawn` (0 to 1) selects within it.
+    /// waits for a moment that `random` (0 to 1) selects within it.
     pub(crate) fn allows_send(
         &mut self,
         rate: ColdRate,
         hosts: usize,
-        drawn: f64,
+        random: f64,
         now: Instant,
     ) -> bool {
-        let first = || now + rate.host_interval(hosts).mul_f64(drawn);
-        *self.next.get_or_insert_with(first) <= now
+        let first_send = || now + rate.host_interval(hosts).mul_f64(random);
+        *self.next.get_or_insert_with(first_send) <= now
     }
 
     /// Counts a request that is sent now.
--- a/crates/gateway/src/cold/tests.rs
+++ b/crates/gateway/src/cold/tests.rs
@@ -21,10 +21,10 @@
 
 #[test]
 fn a_single_deciding_host_keeps_the_rate_in_every_second() {
-    let began = Instant::now();
+    let started = Instant::now();
     let (mut window, mut sent) = (SendWindow::default(), Vec::new());
     for ms in 0..5_000 {
-        let now = began + Duration::from_millis(ms);
+        let now = started + Duration::from_millis(ms);
         if window.allows_send(rate(), now) {
             window.record_send(rate(), now);
             sent.push(now);
@@ -36,10 +36,10 @@
 
 #[test]
 fn two_deciding_hosts_stay_within_the_allowed_rate() {
-    let began = Instant::now();
+    let started = Instant::now();
     let (mut windows, mut sent) = (vec![SendWindow::default(); 2], Vec::new());
     for ms in 0..5_000 {
-        let now = began + Duration::from_millis(ms);
+        let now = started + Duration::from_millis(ms);
         for window in &mut windows {
             if window.allows_send(rate(), now) {
                 window.record_send(rate(), now);
@@ -54,13 +54,13 @@
 #[test]
 fn hosts_that_do_not_know_of_each_other_stay_within_what_is_allowed() {
     const HOSTS: usize = 88;
-    let mut most = 0;
+    let mut worst = 0;
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let began = Instant::now();
+        let started = Instant::now();
         let (mut shares, mut sent) = (vec![SendShare::default(); HOSTS], Vec::new());
         for step in 0..200 {
-            let now = began + Duration::from_millis(step * 20);
+            let now = started + Duration::from_millis(step * 20);
             for share in &mut shares {
                 if share.allows_send(rate(), HOSTS, random.f64(), now) {
                     share.record_send(rate(), HOSTS, now);
@@ -68,10 +68,10 @@
                 }
             }
         }
-        most = most.max(max_in_one_second(sent));
+        worst = worst.max(max_in_one_second(sent));
     }
-    println!("at most {most} in one second, {MAX_PER_SECOND} allowed");
-    assert!(most <= MAX_PER_SECOND, "{most}");
+    println!("at most {worst} in one second, {MAX_PER_SECOND} allowed");
+    assert!(worst <= MAX_PER_SECOND, "{worst}");
 }
 
 #[test]
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -281,23 +281,29 @@
 /// transferred.
 #[test]
 fn overlapping_calls_keep_targets_busy_during_transfers() {
-    let waiting = BurstSimulation::new(0).run(365.0, 6_000.0);
-    let ahead = BurstSimulation::new(2).run(365.0, 6_000.0);
-    let (before, after) = (waiting.quantile_ms(0.9), ahead.quantile_ms(0.9));
+    let without_overlap = BurstSimulation::new(0).run(365.0, 6_000.0);
+    let with_overlap = BurstSimulation::new(2).run(365.0, 6_000.0);
+    let (before, after) = (
+        without_overlap.quantile_ms(0.9),
+        with_overlap.quantile_ms(0.9),
+    );
     println!(
         "p90 of the requests: {before:.0} ms without overlapping calls, {after:.0} ms with them"
     );
     assert!(before > 1_000.0, "{before}");
     assert!(after < 600.0, "{after}");
-    assert_eq!(ahead.refused_calls, 0);
+    assert_eq!(with_overlap.refused_calls, 0);
 }
 
 /// At half of that load an early call must not make requests wait longer.
 #[test]
 fn overlapping_calls_cost_nothing_if_targets_are_free() {
-    let waiting = BurstSimulation::new(0).run(180.0, 6_000.0);
-    let ahead = BurstSimulation::new(2).run(180.0, 6_000.0);
-    let (before, after) = (waiting.quantile_ms(0.5), ahead.quantile_ms(0.5));
+    let without_overlap = BurstSimulation::new(0).run(180.0, 6_000.0);
+    let with_overlap = BurstSimulation::new(2).run(180.0, 6_000.0);
+    let (before, after) = (
+        without_overlap.quantile_ms(0.5),
+        with_overlap.quantile_ms(0.5),
+    );
     println!(
         "p50 of the requests: {before:.0} ms without overlapping calls, {after:.0} ms with them"
     );
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -50,12 +50,12 @@
     placers: usize,
     book: &TargetBook,
 ) -> BTreeMap<String, Vec<u64>> {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut all: Vec<EnginePlacer> = (0..placers).map(|_| EnginePlacer::default()).collect();
     let mut sent: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for number in 0..PROMPTS_PER_S * 2 {
         let ms = number * 1_000 / PROMPTS_PER_S;
-        let now = began + Duration::from_millis(ms);
+        let now = started + Duration::from_millis(ms);
         let part = if same_part { 0 } else { number };
         let placer = &mut all[number as usize % placers];
         let placed = placer.place(book, &ask(&format!("{part:08x}")), now);
@@ -95,9 +95,10 @@
     let now = Instant::now();
     let book = cold_book(60_000, now);
     for same_part in [true, false] {
-        let most = max_per_second_of_cold_engines(&simulate_burst(same_part, 1, &book), &book, now);
-        println!("at most {most} prompts in one second at a cold engine");
-        assert!(most <= COLD_PER_S as usize, "{most}");
+        let worst =
+            max_per_second_of_cold_engines(&simulate_burst(same_part, 1, &book), &book, now);
+        println!("at most {worst} prompts in one second at a cold engine");
+        assert!(worst <= COLD_PER_S as usize, "{worst}");
     }
 }
 
@@ -106,8 +107,8 @@
 fn two_placing_hosts_stay_within_the_allowed_rate() {
     let now = Instant::now();
     let book = cold_book(60_000, now);
-    let most = max_per_second_of_cold_engines(&simulate_burst(true, 2, &book), &book, now);
-    assert!(most <= MAX_PER_SECOND, "{most}");
+    let worst = max_per_second_of_cold_engines(&simulate_burst(true, 2, &book), &book, now);
+    assert!(worst <= MAX_PER_SECOND, "{worst}");
 }
 
 #[test]
