--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -96,9 +96,9 @@
         key: &PoolKey,
         records: impl IntoIterator<Item = &'a TargetRecord>,
     ) {
-        let held = records.into_iter().filter(|record| key.holds(record));
+        let in_pool = records.into_iter().filter(|record| key.holds(record));
         let wanted: BTreeMap<&str, &TargetRecord> =
-            held.map(|record| (record.id.as_str(), record)).collect();
+            in_pool.map(|record| (record.id.as_str(), record)).collect();
         // A removed target keeps its results until its running calls have ended.
         self.targets
             .retain(|id, target| wanted.contains_key(id.as_str()) || target.running > 0);
@@ -169,19 +169,19 @@
     }
 
     /// Returns this host's usage of the targets.
-    pub(super) fn uses(&self, now: Instant) -> Vec<TargetUse> {
+    pub(super) fn usage(&self, now: Instant) -> Vec<TargetUse> {
         let ttl = Duration::from_millis(self.spec.result_ttl_ms);
         let uses = self.targets.iter();
-        let uses = uses.map(|(id, target)| target.own_use(id, ttl, now));
+        let uses = uses.map(|(id, target)| target.own_usage(id, ttl, now));
         uses.filter(|one| one.bytes > 0 || one.busy_ms > 0)
             .collect()
     }
 
     /// Sets the usage of the targets that another host reported.
-    pub(super) fn set_peer_uses(&mut self, peer: &str, uses: &[TargetUse], now: Instant) {
+    pub(super) fn set_peer_usage(&mut self, peer: &str, uses: &[TargetUse], now: Instant) {
         for (id, target) in &mut self.targets {
             let reported = uses.iter().find(|one| one.target == *id);
-            target.set_peer_use(peer, reported, now);
+            target.set_peer_usage(peer, reported, now);
         }
     }
 
--- a/crates/gateway/src/coordinator/pool/tests.rs
+++ b/crates/gateway/src/coordinator/pool/tests.rs
@@ -85,7 +85,7 @@
     calls.map(|call| (call.target, call.pieces.len())).collect()
 }
 
-fn usage(target: &str, bytes: u64, busy_ms: u32) -> TargetUse {
+fn target_use(target: &str, bytes: u64, busy_ms: u32) -> TargetUse {
     TargetUse {
         target: target.to_owned(),
         bytes,
@@ -97,7 +97,7 @@
 #[test]
 fn memory_used_by_another_host_is_not_assigned_until_it_expires() {
     let (mut pool, now) = (pool(), Instant::now());
-    pool.set_peer_uses("other", &[usage("t-0", 4 * RESULT_BYTES, 0)], now);
+    pool.set_peer_usage("other", &[target_use("t-0", 4 * RESULT_BYTES, 0)], now);
     add_pieces(&mut pool, 5, None, now);
     assert_eq!(due(&mut pool, now), [("t-1".to_owned(), 3)]);
     assert_eq!(pool.queue.len(), 2);
@@ -109,7 +109,11 @@
 #[test]
 fn a_target_that_runs_a_call_of_another_host_is_not_called() {
     let (mut pool, now) = (pool(), Instant::now());
-    pool.set_peer_uses("other", &[usage("t-0", 0, 200), usage("t-1", 0, 200)], now);
+    pool.set_peer_usage(
+        "other",
+        &[target_use("t-0", 0, 200), target_use("t-1", 0, 200)],
+        now,
+    );
     add_pieces(&mut pool, 1, None, now);
     assert!(due(&mut pool, now).is_empty());
     assert_eq!(due(&mut pool, now + Duration::from_millis(210)).len(), 1);
@@ -119,8 +123,8 @@
 fn a_new_report_replaces_the_old_one_and_released_results_are_subtracted() {
     let (mut pool, now) = (pool(), Instant::now());
     let used = |pool: &PoolQueue| pool.targets["t-0"].used_bytes();
-    pool.set_peer_uses("other", &[usage("t-0", 9_000_000, 0)], now);
-    pool.set_peer_uses("other", &[usage("t-0", 6_000_000, 0)], now);
+    pool.set_peer_usage("other", &[target_use("t-0", 9_000_000, 0)], now);
+    pool.set_peer_usage("other", &[target_use("t-0", 6_000_000, 0)], now);
     assert_eq!(used(&pool), 6_000_000);
     pool.targets
         .get_mut("t-0")
@@ -128,18 +132,18 @@
         .results
         .subtract_from_peer(RESULT_BYTES);
     assert_eq!(used(&pool), 3_000_000);
-    pool.set_peer_uses("other", &[], now);
+    pool.set_peer_usage("other", &[], now);
     assert_eq!(used(&pool), 0);
 }
 
 #[test]
 fn a_host_reports_its_own_calls_and_results_only() {
     let (mut pool, now) = (pool(), Instant::now());
-    pool.set_peer_uses("other", &[usage("t-1", 2 * RESULT_BYTES, 0)], now);
-    assert!(pool.uses(now).is_empty());
+    pool.set_peer_usage("other", &[target_use("t-1", 2 * RESULT_BYTES, 0)], now);
+    assert!(pool.usage(now).is_empty());
     add_pieces(&mut pool, 2, Some("hall-0"), now);
     assert_eq!(due(&mut pool, now), [("t-0".to_owned(), 2)]);
-    let uses = pool.uses(now);
+    let uses = pool.usage(now);
     assert_eq!(uses.len(), 1);
     assert_eq!(
         (uses[0].target.as_str(), uses[0].bytes),
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -293,22 +293,21 @@
         }
     }
 
-    /// Returns this host's usage of the targets of those pools that it coordinates and that are
-    /// `wanted`.
-    pub(crate) fn uses(&self, wanted: impl Fn(&PoolKey) -> bool) -> Vec<(PoolKey, Vec<TargetUse>)> {
+    /// Returns this host's usage of targets in the pools that it coordinates and `keep` selects.
+    pub(crate) fn usage(&self, keep: impl Fn(&PoolKey) -> bool) -> Vec<(PoolKey, Vec<TargetUse>)> {
         let state = self.state.borrow();
         let now = Instant::now();
-        let uses = state.pools.iter().filter(|(key, _)| wanted(key));
-        let uses = uses.map(|(key, pool)| (key.clone(), pool.uses(now)));
+        let uses = state.pools.iter().filter(|(key, _)| keep(key));
+        let uses = uses.map(|(key, pool)| (key.clone(), pool.usage(now)));
         uses.filter(|(_, uses)| !uses.is_empty()).collect()
     }
 
     /// Sets the usage of a pool's targets that another coordinator reported. If the connection to
     /// that host is lost, this one starts with the known memory usage of the targets.
-    pub(crate) fn set_peer_uses(&self, peer: &str, pool: &PoolKey, uses: &[TargetUse]) {
+    pub(crate) fn set_peer_usage(&self, peer: &str, pool: &PoolKey, uses: &[TargetUse]) {
         let mut state = self.state.borrow_mut();
         if let Some(pool) = state.pool_mut(pool) {
-            pool.set_peer_uses(peer, uses, Instant::now());
+            pool.set_peer_usage(peer, uses, Instant::now());
         }
     }
 
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -325,7 +325,7 @@
 
     /// Returns this host's usage of the target. Usage reported by other hosts is not included,
     /// since they report it themselves.
-    pub(super) fn own_use(&self, id: &str, ttl: Duration, now: Instant) -> TargetUse {
+    pub(super) fn own_usage(&self, id: &str, ttl: Duration, now: Instant) -> TargetUse {
         let (own_bytes, last) = self.results.own_usage();
         let mut until = last.unwrap_or(now).max(now);
         if self.reserved_bytes > 0 {
@@ -345,7 +345,12 @@
     }
 
     /// Replaces the usage that another host reported before.
-    pub(super) fn set_peer_use(&mut self, peer: &str, reported: Option<&TargetUse>, now: Instant) {
+    pub(super) fn set_peer_usage(
+        &mut self,
+        peer: &str,
+        reported: Option<&TargetUse>,
+        now: Instant,
+    ) {
         let key = MemoryKey::Peer(peer.to_owned());
         self.results.remove(&key);
         self.peer_busy_until = None;
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -100,11 +100,11 @@
 }
 
 fn finish(state: &mut QueueState, call: DueCall, end: CallEnd, late: bool) -> Vec<String> {
-    let finished = state.finish_call(call, end, late, Instant::now());
-    for (reply, outcomes) in finished.replies {
+    let effects = state.finish_call(call, end, late, Instant::now());
+    for (reply, outcomes) in effects.replies {
         reply(outcomes);
     }
-    finished.unneeded
+    effects.unneeded
 }
 
 fn only_call(state: &mut QueueState, now: Instant) -> DueCall {
--- a/crates/gateway/src/coordinator/state/tests/back_off.rs
+++ b/crates/gateway/src/coordinator/state/tests/back_off.rs
@@ -16,13 +16,13 @@
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 2, now);
     let call = only_call(&mut state, now);
-    let finished = refuse_and_back_off(&mut state, call, now);
+    let effects = refuse_and_back_off(&mut state, call, now);
     assert_eq!(
-        finished.cooldown,
+        effects.cooldown,
         Some(WAIT),
         "the pool is dispatched again after the back-off"
     );
-    assert!(finished.replies.is_empty(), "the pieces stay queued");
+    assert!(effects.replies.is_empty(), "the pieces stay queued");
     let nearly = now + WAIT - Duration::from_millis(1);
     assert!(state.due_calls(&key(), nearly).is_empty());
     let call = only_call(&mut state, now + WAIT);
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -268,9 +268,9 @@
     fn finish(&mut self, now: u64, call: usize, end: CallEnd) {
         let at = self.at(now);
         let due = self.calls[call].take().expect("call in progress");
-        let finished = self.state.finish_call(due, end, false, at);
+        let effects = self.state.finish_call(due, end, false, at);
         self.clock.set(now);
-        for (reply, outcomes) in finished.replies {
+        for (reply, outcomes) in effects.replies {
             reply(outcomes);
         }
     }
--- a/crates/gateway/src/coordinator/state/tests/target_crash.rs
+++ b/crates/gateway/src/coordinator/state/tests/target_crash.rs
@@ -57,7 +57,7 @@
 #[test]
 fn a_late_call_with_isolated_pieces_is_not_copied() {
     let (mut state, now) = (state(3), Instant::now());
-    let _replied = submit_with_key(&mut state, request("/suspect"), 1, now);
+    let _replies = submit_with_key(&mut state, request("/suspect"), 1, now);
     let pool = state.pools.get_mut(&key()).unwrap();
     pool.queue.iter_mut().for_each(|one| one.isolated = true);
     let call = only_call(&mut state, now);
@@ -73,7 +73,7 @@
     let (mut state, now) = (state(3), Instant::now());
     let unhealthy = make_unhealthy(&mut state, now);
     let rested = now + Duration::from_secs(5);
-    let _replied = submit_with_key(&mut state, request("/suspect"), 1, rested);
+    let _replies = submit_with_key(&mut state, request("/suspect"), 1, rested);
     let pool = state.pools.get_mut(&key()).unwrap();
     pool.queue.iter_mut().for_each(|one| one.isolated = true);
     let calls = state.due_calls(&key(), rested);
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -50,7 +50,7 @@
     }
 }
 
-fn ask(part: &str) -> PlacementRequest {
+fn request(part: &str) -> PlacementRequest {
     PlacementRequest {
         service: "engine".to_owned(),
         prompt: prompt(15_000, vec![shared(part, 13_000)]),
@@ -67,14 +67,14 @@
 fn prompts_with_the_same_part_go_to_one_engine_until_its_prefill_queue_is_long() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (key, first, _) = placer.place(&book, &ask("a"), now).unwrap();
+    let (key, first, _) = placer.place(&book, &request("a"), now).unwrap();
     placer.record_prefill(key, now + Duration::from_millis(200));
-    let (_, second, _) = placer.place(&book, &ask("a"), now).unwrap();
+    let (_, second, _) = placer.place(&book, &request("a"), now).unwrap();
     assert_eq!(first, second);
     // The waits of many long prompts outweigh the prefill of the part elsewhere.
     let mut engines = std::collections::BTreeSet::new();
     for _ in 0..40 {
-        engines.insert(placer.place(&book, &ask("a"), now).unwrap().1.id);
+        engines.insert(placer.place(&book, &request("a"), now).unwrap().1.id);
     }
     assert!(engines.len() > 1);
 }
@@ -83,12 +83,12 @@
 fn a_planned_placement_does_not_count_as_cached() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (planned, facts) = placer.plan(&book, &ask("a"), now).unwrap();
+    let (planned, facts) = placer.plan(&book, &request("a"), now).unwrap();
     assert_eq!(facts.cached_tokens, 0);
-    let (_, chosen, facts) = placer.place(&book, &ask("a"), now).unwrap();
+    let (_, chosen, facts) = placer.place(&book, &request("a"), now).unwrap();
     assert_eq!((chosen, facts.cached_tokens), (planned, 0));
     // The whole prompt is still pending there, and the next prompt finds the part cached.
-    let (_, facts) = placer.plan(&book, &ask("a"), now).unwrap();
+    let (_, facts) = placer.plan(&book, &request("a"), now).unwrap();
     assert_eq!((facts.cached_tokens, facts.queued_tokens), (13_000, 15_000));
 }
 
@@ -96,8 +96,8 @@
 fn an_uncached_part_goes_to_an_engine_with_a_short_prefill_queue() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let first = placer.choose(&book, &ask("a"), now).unwrap();
-    let mut busy = ask("");
+    let first = placer.choose(&book, &request("a"), now).unwrap();
+    let mut busy = request("");
     busy.tried = book
         .of_service("engine")
         .map(|one| one.id.clone())
@@ -105,7 +105,7 @@
         .collect();
     let (_, chosen, _) = placer.place(&book, &busy, now).unwrap();
     assert_eq!(chosen, first);
-    let other = placer.choose(&book, &ask("a"), now).unwrap();
+    let other = placer.choose(&book, &request("a"), now).unwrap();
     assert_ne!(other, first);
 }
 
@@ -115,9 +115,9 @@
     let (one, other) = (EnginePlacer::default(), EnginePlacer::default());
     let mut engines = std::collections::BTreeSet::new();
     for number in 0..200 {
-        let ask = ask(&format!("part-{number}"));
-        let chosen = one.choose(&book, &ask, now).unwrap();
-        assert_eq!(Some(&chosen), other.choose(&book, &ask, now).as_ref());
+        let request = request(&format!("part-{number}"));
+        let chosen = one.choose(&book, &request, now).unwrap();
+        assert_eq!(Some(&chosen), other.choose(&book, &request, now).as_ref());
         engines.insert(chosen.id);
     }
     assert_eq!(engines.len(), 18);
@@ -129,9 +129,9 @@
     let placer = EnginePlacer::default();
     let mut halls: std::collections::BTreeMap<String, u32> = std::collections::BTreeMap::new();
     for number in 0..2_000 {
-        let mut ask = ask(&format!("part-{number}"));
-        ask.large_result_stage = Some("stage".to_owned());
-        let chosen = placer.choose(&book, &ask, now).unwrap();
+        let mut request = request(&format!("part-{number}"));
+        request.large_result_stage = Some("stage".to_owned());
+        let chosen = placer.choose(&book, &request, now).unwrap();
         *halls.entry(chosen.hall).or_default() += 1;
     }
     assert!((700..900).contains(&halls["hall-0"]), "{halls:?}");
@@ -143,8 +143,8 @@
 fn engines_that_were_tried_are_avoided_and_ended_prompts_count_no_more() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (key, first, _) = placer.place(&book, &ask("a"), now).unwrap();
-    let mut again = ask("a");
+    let (key, first, _) = placer.place(&book, &request("a"), now).unwrap();
+    let mut again = request("a");
     again.tried.push(first.id.clone());
     assert_ne!(placer.choose(&book, &again, now).unwrap().id, first.id);
     placer.end_placement(key);
@@ -164,7 +164,7 @@
     let later = now + PART_TTL + Duration::from_secs(1);
     placer.record_holder("engine-0", "new", later);
     assert_eq!(placer.holders.len(), 1);
-    assert!(placer.choose(&book, &ask("new"), later).is_some());
+    assert!(placer.choose(&book, &request("new"), later).is_some());
 }
 
 #[test]
@@ -172,18 +172,24 @@
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
     let late = now + Duration::from_secs(5);
-    let slow = placer.choose(&book, &ask("a"), now).unwrap();
+    let slow = placer.choose(&book, &request("a"), now).unwrap();
     let placed: Vec<_> = (0..2)
-        .map(|_| placer.place(&book, &ask("a"), now).unwrap())
+        .map(|_| placer.place(&book, &request("a"), now).unwrap())
         .collect();
     for (key, chosen, _) in placed {
         assert_eq!(chosen, slow);
         placer.record_prefill(key, late);
         placer.end_placement(key);
     }
-    assert_ne!(placer.choose(&book, &ask("a"), late).unwrap().id, slow.id);
+    assert_ne!(
+        placer.choose(&book, &request("a"), late).unwrap().id,
+        slow.id
+    );
     let later = late + SLOWNESS_TIME_CONSTANT * 8;
-    assert_eq!(placer.choose(&book, &ask("a"), later).unwrap().id, slow.id);
+    assert_eq!(
+        placer.choose(&book, &request("a"), later).unwrap().id,
+        slow.id
+    );
 }
 
 #[test]
@@ -192,7 +198,7 @@
     let mut placer = EnginePlacer::default();
     let following = |id: &str| PlacementRequest {
         prompt: prompt(9_000, vec![shared("first", 2_500), shared(id, 3_800)]),
-        ..ask("")
+        ..request("")
     };
     let held = |placer: &mut EnginePlacer, id: &str| {
         placer
@@ -206,7 +212,7 @@
     // A part is usable only behind the part before it.
     let alone = PlacementRequest {
         prompt: prompt(9_000, vec![shared("other", 2_500), shared("a", 3_800)]),
-        ..ask("")
+        ..request("")
     };
     assert_eq!(placer.place(&book, &alone, now).unwrap().2.cached_tokens, 0);
 }
@@ -217,17 +223,17 @@
 fn a_prompt_that_may_crash_its_engine_goes_where_the_fewest_others_run() {
     let (book, now) = (book(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (_, holder, _) = placer.place(&book, &ask("p"), now).unwrap();
+    let (_, holder, _) = placer.place(&book, &request("p"), now).unwrap();
     let isolated = PlacementRequest {
         isolated: true,
-        ..ask("p")
+        ..request("p")
     };
     let (key, first, _) = placer.place(&book, &isolated, now).unwrap();
     assert_ne!(first.id, holder.id);
     // The next one goes to another engine, and no other request is placed beside the first.
     let (other, second, _) = placer.place(&book, &isolated, now).unwrap();
     assert_ne!(second.id, first.id);
-    let (_, beside, _) = placer.place(&book, &ask("q"), now).unwrap();
+    let (_, beside, _) = placer.place(&book, &request("q"), now).unwrap();
     assert!(beside.id != first.id && beside.id != second.id);
     placer.end_placement(key);
     placer.end_placement(other);
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -58,7 +58,7 @@
         let now = started + Duration::from_millis(ms);
         let part = if same_part { 0 } else { number };
         let placer = &mut all[number as usize % placers];
-        let placed = placer.place(book, &ask(&format!("{part:08x}")), now);
+        let placed = placer.place(book, &request(&format!("{part:08x}")), now);
         let (key, engine, _) = placed.expect("a warm engine has room");
         placer.record_prefill(key, now);
         placer.end_placement(key);
@@ -115,7 +115,7 @@
 fn a_host_that_cannot_reach_the_placer_skips_cold_engines() {
     let now = Instant::now();
     let book = cold_book(60_000, now);
-    let mut alone = ask("a");
+    let mut alone = request("a");
     alone.excluded = book.cold_targets("engine", now);
     assert_eq!(alone.excluded.len(), ENGINES.div_ceil(HALLS));
     let mut placer = EnginePlacer::default();
@@ -146,12 +146,12 @@
         ..RoutingConfig::default()
     });
     let mut placer = EnginePlacer::default();
-    assert!(placer.place(&book, &ask("a"), now).is_some());
-    assert!(placer.place(&book, &ask("a"), now).is_some());
-    assert!(placer.place(&book, &ask("a"), now).is_none());
+    assert!(placer.place(&book, &request("a"), now).is_some());
+    assert!(placer.place(&book, &request("a"), now).is_some());
+    assert!(placer.place(&book, &request("a"), now).is_none());
     let later = now + Duration::from_millis(1_100);
-    assert!(placer.place(&book, &ask("a"), later).is_some());
+    assert!(placer.place(&book, &request("a"), later).is_some());
     // The engine is warm by then.
     let warm = now + Duration::from_millis(5_100);
-    (0..50).for_each(|_| assert!(placer.place(&book, &ask("a"), warm).is_some()));
+    (0..50).for_each(|_| assert!(placer.place(&book, &request("a"), warm).is_some()));
 }
--- a/crates/gateway/src/engine/tests/placing_cost.rs
+++ b/crates/gateway/src/engine/tests/placing_cost.rs
@@ -17,7 +17,7 @@
     let mut placer = EnginePlacer::default();
     for number in 0..engines * PROMPTS_PER_ENGINE {
         let part = format!("{:08x}", number % PART_COUNT);
-        let (key, ..) = placer.place(book, &ask(&part), now).unwrap();
+        let (key, ..) = placer.place(book, &request(&part), now).unwrap();
         if number % 3 > 0 {
             placer.record_prefill(key, now + Duration::from_millis(100));
         }
@@ -41,7 +41,7 @@
         let began = Instant::now();
         for round in 0..ROUNDS {
             let part = format!("{:08x}", round as usize % PART_COUNT);
-            let (key, ..) = placer.place(&book, &ask(&part), now).unwrap();
+            let (key, ..) = placer.place(&book, &request(&part), now).unwrap();
             placer.end_placement(key);
         }
         let micros = began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS);
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -37,10 +37,10 @@
 
 impl StageSchedule {
     /// Plans the stages of a request that starts now.
-    pub(crate) fn new(gateway: &Gateway, ask: &Ask) -> Self {
-        let path = path_time(gateway, ask);
-        let last = last_stages(ask);
-        let stages = ask.route.stages.iter().enumerate();
+    pub(crate) fn new(gateway: &Gateway, request: &Ask) -> Self {
+        let path = path_time(gateway, request);
+        let last = last_stages(request);
+        let stages = request.route.stages.iter().enumerate();
         let delayable: Vec<usize> = stages
             .filter(|(number, stage)| {
                 stage.result_bytes >= LARGE_RESULT_BYTES
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -315,7 +315,7 @@
             let successors = gateway.stages.successors(pool);
             successors.iter().any(|name| name == peer)
         };
-        let mut uses = gateway.coordinator.uses(would_gather);
+        let mut uses = gateway.coordinator.usage(would_gather);
         let now: Vec<PoolKey> = uses.iter().map(|(pool, _)| pool.clone()).collect();
         // What was told before and is used no more is told once more, as nothing.
         let ended = told.into_iter().filter(|pool| !now.contains(pool));
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -48,14 +48,14 @@
 pub(crate) fn next_availability(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    request: &Ask,
     tried: &[String],
 ) -> Option<NextAvailability> {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
-    let confined = gateway.suspects.closed_targets(&book, service, ask);
+    let confined = gateway.suspects.closed_targets(&book, service, request);
     let targets = book.of_service(service).filter(|target| {
-        ask.homes.allows(&target.hall)
+        request.homes.allows(&target.hall)
             && !confined.contains(&target.id)
             && !tried.contains(&target.id)
     });
@@ -76,46 +76,47 @@
 pub(crate) fn max_permit_wait(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    request: &Ask,
     target: &str,
 ) -> Duration {
     if gateway.notices.rates.rate(target).is_none() {
         return Duration::ZERO;
     }
-    match has_unlimited_target(gateway, service, ask) {
+    match has_unlimited_target(gateway, service, request) {
         true => Duration::ZERO,
-        false => ranked_permit_wait(ask),
+        false => ranked_permit_wait(request),
     }
 }
 
 /// Returns whether a target that may run a request is available and has no rate limit.
-pub(crate) fn has_unlimited_target(gateway: &Gateway, service: &str, ask: &Ask) -> bool {
+pub(crate) fn has_unlimited_target(gateway: &Gateway, service: &str, request: &Ask) -> bool {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let mut usable = book.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
-        ask.homes.allows(&one.hall)
+        request.homes.allows(&one.hall)
             && book.rate(&one.id).is_none()
             && gateway.notices.standing(&one.id, now) == TargetStanding::Open
     })
 }
 
 /// Returns how long a request may wait for a send permit if all targets have rate limits.
-fn ranked_permit_wait(ask: &Ask) -> Duration {
-    let level = f64::from(ask.rank.engine_level());
-    ask.objective_left()
+fn ranked_permit_wait(request: &Ask) -> Duration {
+    let level = f64::from(request.rank.engine_level());
+    request
+        .objective_left()
         .mul_f64(MAX_WAIT_FRACTION * (1.0 - level * RANK_WAIT_STEP))
 }
 
 /// Returns the sum of the rate limits of the targets that may run a request; `None` if one of them
 /// has no limit.
-fn total_rate_limit(gateway: &Gateway, service: &str, ask: &Ask) -> Option<NamedRate> {
+fn total_rate_limit(gateway: &Gateway, service: &str, request: &Ask) -> Option<NamedRate> {
     if gateway.notices.rates.is_empty() {
         return None;
     }
     let book = gateway.targets.borrow();
     let usable = book.usable(service, Instant::now()).into_iter();
-    let usable = usable.filter(|target| ask.homes.allows(&target.hall));
+    let usable = usable.filter(|target| request.homes.allows(&target.hall));
     let rates = usable.map(|target| book.rate(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
@@ -129,14 +130,16 @@
 pub(crate) async fn check_rate_limits(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    request: &Ask,
 ) -> Result<(), Refusal> {
-    let Some(sum) = total_rate_limit(gateway, service, ask) else {
+    let Some(sum) = total_rate_limit(gateway, service, request) else {
         return Ok(());
     };
     let rates = &gateway.notices.rates;
-    let turn = rates.take_turn(service, sum, ranked_permit_wait(ask)).await;
-    turn.map_err(|left| rate_refusal(gateway, service, ask, left))
+    let turn = rates
+        .take_turn(service, sum, ranked_permit_wait(request))
+        .await;
+    turn.map_err(|left| rate_refusal(gateway, service, request, left))
 }
 
 /// Refuses a request before its stages begin if its service becomes available too late for it. The
@@ -148,16 +151,16 @@
 pub(crate) fn check_availability(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    request: &Ask,
     planned: Duration,
 ) -> Result<(), Refusal> {
-    let Some(availability) = next_availability(gateway, service, ask, &[]) else {
+    let Some(availability) = next_availability(gateway, service, request, &[]) else {
         return Ok(());
     };
     let wait = availability.wait.saturating_sub(planned);
-    let spare = ask.objective_left().saturating_sub(planned);
+    let spare = request.objective_left().saturating_sub(planned);
     if wait > spare.mul_f64(MAX_WAIT_FRACTION) {
-        return Err(refusal_until(gateway, service, ask, availability));
+        return Err(refusal_until(gateway, service, request, availability));
     }
     Ok(())
 }
@@ -173,12 +176,12 @@
 pub(crate) async fn wait_until_available(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    request: &Ask,
     availability: NextAvailability,
 ) -> Result<(), Refusal> {
-    let in_time = availability.wait <= ask.objective_left().mul_f64(MAX_WAIT_FRACTION);
+    let in_time = availability.wait <= request.objective_left().mul_f64(MAX_WAIT_FRACTION);
     if availability.rate_limited || !in_time || gateway.waiting.get() >= MAX_WAITING_REQUESTS {
-        return Err(refusal_until(gateway, service, ask, availability));
+        return Err(refusal_until(gateway, service, request, availability));
     }
     let _waits = OpenRequest::new(&gateway.waiting);
     sleep(with_jitter(availability.wait)).await;
@@ -187,37 +190,37 @@
 
 /// Returns after which time a caller should retry: not before a target accepts requests of this
 /// host again.
-pub(crate) fn retry_after(gateway: &Gateway, service: &str, ask: &Ask) -> Duration {
-    let availability = next_availability(gateway, service, ask, &[]);
+pub(crate) fn retry_after(gateway: &Gateway, service: &str, request: &Ask) -> Duration {
+    let availability = next_availability(gateway, service, request, &[]);
     with_jitter(availability.map_or(Duration::ZERO, |availability| availability.wait))
 }
 
 /// Returns the refusal of a request for which no target was found, if all targets have rate limits.
-pub(crate) fn rates_used_up(gateway: &Gateway, service: &str, ask: &Ask) -> Option<Refusal> {
-    total_rate_limit(gateway, service, ask)?;
-    Some(rate_refusal(gateway, service, ask, Duration::ZERO))
+pub(crate) fn rates_used_up(gateway: &Gateway, service: &str, request: &Ask) -> Option<Refusal> {
+    total_rate_limit(gateway, service, request)?;
+    Some(rate_refusal(gateway, service, request, Duration::ZERO))
 }
 
 fn refusal_until(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    request: &Ask,
     availability: NextAvailability,
 ) -> Refusal {
     match availability.rate_limited {
-        true => rate_refusal(gateway, service, ask, availability.wait),
+        true => rate_refusal(gateway, service, request, availability.wait),
         false => back_off_refusal(service, availability.wait),
     }
 }
 
 /// Returns the refusal of a request for whose service no send permit is available. Refused callers
 /// are told to retry one after the other, paced by the sum of the rates.
-fn rate_refusal(gateway: &Gateway, service: &str, ask: &Ask, wait: Duration) -> Refusal {
+fn rate_refusal(gateway: &Gateway, service: &str, request: &Ask, wait: Duration) -> Refusal {
     let detail = format!(
         "every target of {service} names a rate that is used up, the first one for {} ms",
         wait.as_millis()
     );
-    let sum = total_rate_limit(gateway, service, ask);
+    let sum = total_rate_limit(gateway, service, request);
     let turn = sum.map(|sum| gateway.notices.rates.return_turn(service, sum));
     let wait = wait.max(turn.unwrap_or_default()).min(MAX_RETRY_AFTER);
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(with_jitter(wait))
--- a/crates/gateway/src/stage_client/link.rs
+++ b/crates/gateway/src/stage_client/link.rs
@@ -112,7 +112,7 @@
         PieceReply::Uses { pool, uses } => {
             client
                 .coordinator
-                .set_peer_uses(reader.peer(), &pool, &uses)
+                .set_peer_usage(reader.peer(), &pool, &uses)
         }
         PieceReply::Alive { loads } => client.take_loads(loads),
     }
