--- a/crates/gateway/src/coordinator.rs
+++ b/crates/gateway/src/coordinator.rs
@@ -1,22 +1,23 @@
-//! Gathers the pieces of stages from all entry hosts into calls.
+//! Collects the stage pieces of all entry hosts into calls to stage targets.
 //!
-//! One entry host gathers for a service, so it knows which targets are free, what waits and how
-//! much memory the results take. Should two hosts gather for one service, as when a data hall is
-//! cut off, targets refuse the calls that are too many and the pieces wait on.
+//! One entry host coordinates each service, so it knows which targets are free, how many pieces are
+//! queued and how much memory the results take. If two hosts coordinate the same service, for
+//! example while a data hall is cut off, targets refuse the excess calls and the pieces stay
+//! queued.
 
 mod batch;
 mod call;
+mod delegation;
 mod due_call;
-mod held;
 mod pool;
 mod queue;
-mod sending;
+mod result_memory;
 mod stage_target;
 mod state;
 
 pub(crate) use batch::BatchKey;
+pub(crate) use delegation::{CallDelegate, DelegatedCall};
 pub(crate) use due_call::DueCall;
-pub(crate) use pool::{HALL_BYTES, LEAST_REFUSED_WAIT_MS};
+pub(crate) use pool::{LARGE_RESULT_BYTES, MIN_REFUSED_WAIT_MS};
 pub(crate) use queue::Coordinator;
-pub(crate) use sending::{SendingShare, SharedCall};
-pub(crate) use state::ExpectKey;
+pub(crate) use state::ExpectationKey;
--- a/crates/gateway/src/coordinator/batch.rs
+++ b/crates/gateway/src/coordinator/batch.rs
@@ -1,44 +1,44 @@
-//! Batches: the pieces of one stage of one request, and what became of each.
+//! Batches: the pieces of one stage of one request, and the outcome of each piece.
 //!
-//! A piece may be given to a second target while the first is late. Of its copies the first result
-//! counts, and a failure counts only where no other copy is left.
+//! A piece may be sent to a second target while the first one is late. The first result of any copy
+//! is used; a failure counts only if no other copy is pending.
 
 use std::collections::HashMap;
 
 use crate::piece::PieceFault;
 
-/// Names one batch of pieces at its coordinator.
+/// Identifies a batch at its coordinator.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BatchKey(u64);
 
-/// One piece of one batch.
+/// Identifies one piece of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct PieceKey {
     pub(crate) batch: BatchKey,
-    /// The piece of the batch, from 0.
-    pub(crate) place: usize,
+    /// Index of the piece within its batch, from 0.
+    pub(crate) index: usize,
 }
 
-/// The handle of a piece's result, or why there is none.
+/// The handle of a piece's result, or the reason there is none.
 pub(crate) type PieceOutcome = Result<String, PieceFault>;
 
-/// Takes the outcomes of all pieces of a batch.
+/// Receives the outcomes of all pieces of a batch.
 pub(crate) type BatchReply = Box<dyn FnOnce(Vec<PieceOutcome>)>;
 
-/// What is due after a copy of a piece has ended.
-pub(super) enum CopyEnd {
-    /// Nothing: other copies or other pieces are still missing.
-    Noted,
-    /// The result is not wanted, or no longer.
-    Unclaimed(String),
-    /// It was the last piece of its batch.
+/// What has to be done after a copy of a piece has ended.
+pub(super) enum CopyEffect {
+    /// Nothing: other copies or other pieces are still pending.
+    Pending,
+    /// Release the result: its piece has another result already, or its batch was cancelled.
+    Unneeded(String),
+    /// Reply to the batch: this was its last pending piece.
     Complete(BatchReply, Vec<PieceOutcome>),
 }
 
-/// One piece of a batch.
+/// The state of one piece of a batch.
 struct Piece {
     outcome: Option<PieceOutcome>,
-    /// Copies that wait or are in a call.
+    /// Copies that are queued or in a call.
     copies: u32,
 }
 
@@ -47,16 +47,16 @@
     pieces: Vec<Piece>,
 }
 
-/// The batches of one coordinator that are not complete.
+/// The incomplete batches of one coordinator.
 #[derive(Default)]
-pub(super) struct BatchBook {
+pub(super) struct OpenBatches {
     open: HashMap<BatchKey, Batch>,
     last: u64,
 }
 
-impl BatchBook {
-    /// Begins a batch whose pieces have one copy each.
-    pub(super) fn begin(&mut self, count: usize, reply: BatchReply) -> BatchKey {
+impl OpenBatches {
+    /// Adds a batch whose pieces have one copy each.
+    pub(super) fn add(&mut self, count: usize, reply: BatchReply) -> BatchKey {
         self.last += 1;
         let key = BatchKey(self.last);
         let piece = || Piece {
@@ -68,59 +68,60 @@
         key
     }
 
-    /// Forgets a batch that is not wanted any more.
+    /// Drops a batch whose results are no longer needed.
     pub(super) fn cancel(&mut self, key: BatchKey) {
         self.open.remove(&key);
     }
 
-    /// Returns how many copies of a piece are out; nothing where it has its outcome or is not wanted.
-    pub(super) fn copies_of(&self, key: PieceKey) -> Option<u32> {
-        let piece = self.open.get(&key.batch)?.pieces.get(key.place)?;
+    /// Returns the number of pending copies of a piece, or `None` if the piece has an outcome or
+    /// its batch was dropped.
+    pub(super) fn pending_copies(&self, key: PieceKey) -> Option<u32> {
+        let piece = self.open.get(&key.batch)?.pieces.get(key.index)?;
         piece.outcome.is_none().then_some(piece.copies)
     }
 
-    /// Counts one more copy of a piece.
+    /// Counts another copy of a piece.
     pub(super) fn add_copy(&mut self, key: PieceKey) {
         if let Some(piece) = self.piece_mut(key) {
             piece.copies += 1;
         }
     }
 
-    /// Takes the outcome of one copy.
-    pub(super) fn end_copy(&mut self, key: PieceKey, outcome: PieceOutcome) -> CopyEnd {
+    /// Records the outcome of one copy.
+    pub(super) fn record_outcome(&mut self, key: PieceKey, outcome: PieceOutcome) -> CopyEffect {
         let Some(piece) = self.piece_mut(key) else {
-            return unclaimed(outcome);
+            return unneeded(outcome);
         };
         piece.copies = piece.copies.saturating_sub(1);
         if piece.outcome.is_some() {
-            return unclaimed(outcome);
+            return unneeded(outcome);
         }
         if outcome.is_err() && piece.copies > 0 {
-            return CopyEnd::Noted;
+            return CopyEffect::Pending;
         }
         piece.outcome = Some(outcome);
         self.complete(key.batch)
     }
 
     fn piece_mut(&mut self, key: PieceKey) -> Option<&mut Piece> {
-        self.open.get_mut(&key.batch)?.pieces.get_mut(key.place)
+        self.open.get_mut(&key.batch)?.pieces.get_mut(key.index)
     }
 
-    fn complete(&mut self, key: BatchKey) -> CopyEnd {
-        let whole = |batch: &Batch| batch.pieces.iter().all(|piece| piece.outcome.is_some());
-        if !self.open.get(&key).is_some_and(whole) {
-            return CopyEnd::Noted;
+    fn complete(&mut self, key: BatchKey) -> CopyEffect {
+        let is_complete = |batch: &Batch| batch.pieces.iter().all(|piece| piece.outcome.is_some());
+        if !self.open.get(&key).is_some_and(is_complete) {
+            return CopyEffect::Pending;
         }
         let Some(batch) = self.open.remove(&key) else {
-            return CopyEnd::Noted;
+            return CopyEffect::Pending;
         };
         let outcomes = batch.pieces.into_iter().filter_map(|piece| piece.outcome);
-        CopyEnd::Complete(batch.reply, outcomes.collect())
+        CopyEffect::Complete(batch.reply, outcomes.collect())
     }
 }
 
-fn unclaimed(outcome: PieceOutcome) -> CopyEnd {
-    outcome.map_or(CopyEnd::Noted, CopyEnd::Unclaimed)
+fn unneeded(outcome: PieceOutcome) -> CopyEffect {
+    outcome.map_or(CopyEffect::Pending, CopyEffect::Unneeded)
 }
 
 #[cfg(test)]
