--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -4,7 +4,7 @@
 
 use crate::ask::Ask;
 use crate::coordinator::LEAST_REFUSED_WAIT_MS;
-use crate::path_time::path_time;
+use crate::path_time::estimate_path_time;
 use crate::wait_model::PathPlan;
 use crate::{Gateway, Refusal, RefusalReason};
 
@@ -16,7 +16,7 @@
 /// Refuses a request before its first stage where the queues on its way leave it no chance to meet
 /// its objective. Work for what comes too late would be missing elsewhere.
 pub(crate) fn admit(gateway: &Gateway, ask: &Ask) -> Result<PathPlan, Refusal> {
-    let plan = path_time(gateway, ask).plan;
+    let plan = estimate_path_time(gateway, ask).plan;
     let left_ms = ask.objective_left().as_secs_f64() * 1_000.0;
     let expected_ms = gateway.waits.borrow().expected_ms(ask.rank, &plan);
     if plan.waits_ms < LEAST_REFUSED_WAIT_MS || expected_ms <= left_ms {
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -14,7 +14,7 @@
 
 use crate::dialect::HeaderNames;
 use crate::home_halls::HomeHalls;
-use crate::open_request::OpenRequest;
+use crate::open_request::OpenRequestGuard;
 use crate::rendezvous::ScoreKey;
 use crate::{Refusal, RefusalReason};
 
@@ -41,7 +41,7 @@
     pub(crate) piece_counts: Vec<u32>,
     pub(crate) piece_key: String,
     /// Counts the request as in flight until its answer has ended.
-    pub(crate) open: Option<OpenRequest>,
+    pub(crate) open: Option<OpenRequestGuard>,
     /// By what it is known when it comes again; worked out when that is first asked.
     pub(crate) known_by: OnceCell<RequestSubject>,
     /// Whether it may end its target, and so goes where the fewest others run.
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -196,7 +196,7 @@
         Err(SendError::NotSent(cause)) => {
             gateway.note_unreachable(attempt.service, &chosen.id, &cause);
             if let Some(placement) = &attempt.placement {
-                placement.note_unreachable(attempt.service, &chosen.id);
+                placement.report_unreachable(attempt.service, &chosen.id);
             }
             return AttemptEnd::NotRun {
                 cause,
@@ -292,7 +292,7 @@
         return;
     };
     let (service, engine) = (attempt.service, attempt.chosen.id.as_str());
-    placement.note_unreachable(service, engine);
+    placement.report_unreachable(service, engine);
     // Where this host places itself.
     let mut targets = gateway.targets.borrow_mut();
     targets.take_unreachable(service, engine, Instant::now());
@@ -353,7 +353,7 @@
                     continue;
                 };
                 if let Some(placement) = placement {
-                    placement.note_read();
+                    placement.report_prefill_done();
                 }
                 if let Some(prompt) = &ask.prompt {
                     let unshared = prompt.own_tokens();
--- a/crates/gateway/src/caller_watch.rs
+++ b/crates/gateway/src/caller_disconnect.rs
@@ -1,4 +1,4 @@
-//! Notices callers that leave before their answer is there.
+//! Records callers that disconnect before they have a response.
 
 use std::rc::Rc;
 
@@ -7,32 +7,32 @@
 use crate::Gateway;
 use crate::ask::Ask;
 
-/// Writes a line when it is dropped before the request was answered: the HTTP library drops the work
-/// on a request once its caller has closed the connection, and nothing else would tell of it.
-pub(crate) struct CallerWatch {
+/// Records an event when it is dropped before the request has a response: the HTTP library drops the future of
+/// a request once its caller has closed the connection, which leaves no other trace.
+pub(crate) struct CallerDisconnectGuard {
     gateway: Rc<Gateway>,
     ask: Rc<Ask>,
-    answered: bool,
+    has_response: bool,
 }
 
-impl CallerWatch {
+impl CallerDisconnectGuard {
     pub(crate) fn new(gateway: &Rc<Gateway>, ask: &Rc<Ask>) -> Self {
         Self {
             gateway: gateway.clone(),
             ask: ask.clone(),
-            answered: false,
+            has_response: false,
         }
     }
 
-    /// Hears that there is an answer, whatever it is.
-    pub(crate) fn answered(mut self) {
-        self.answered = true;
+    /// Marks the request as answered, by a response or a refusal.
+    pub(crate) fn mark_answered(mut self) {
+        self.has_response = true;
     }
 }
 
-impl Drop for CallerWatch {
+impl Drop for CallerDisconnectGuard {
     fn drop(&mut self) {
-        if self.answered {
+        if self.has_response {
             return;
         }
         let detail = format!(
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -86,7 +86,7 @@
     results: Option<&RequestResults>,
 ) -> Option<(Chosen, Option<Placement>)> {
     if let Some(place) = place_ask(gateway, service, ask, passed, results) {
-        let (chosen, placement) = gateway.stages.place(&gateway.targets, place).await?;
+        let (chosen, placement) = gateway.stages.place_prompt(&gateway.targets, place).await?;
         return Some((chosen, Some(placement)));
     }
     let (now, hosts) = (Instant::now(), gateway.gateway_count());
--- a/crates/gateway/src/closed_service.rs
+++ b/crates/gateway/src/closed_service.rs
@@ -8,7 +8,7 @@
 
 use crate::Gateway;
 use crate::ask::Ask;
-use crate::open_request::OpenRequest;
+use crate::open_request::OpenRequestGuard;
 use crate::target::Target;
 use crate::target_ask::TargetStanding;
 use crate::{Refusal, RefusalReason};
@@ -170,7 +170,7 @@
     if opening.paced || !in_time || gateway.waiting.get() >= MOST_WAITING {
         return Err(refusal_until(gateway, service, ask, opening));
     }
-    let _waits = OpenRequest::new(&gateway.waiting);
+    let _waits = OpenRequestGuard::new(&gateway.waiting);
     sleep(spread(opening.left)).await;
     Ok(())
 }
--- a/crates/gateway/src/coordinator/batch/tests.rs
+++ b/crates/gateway/src/coordinator/batch/tests.rs
@@ -74,8 +74,8 @@
     end(&mut book, key, 0, Err(PieceFault::Failed));
     assert!(replied.borrow().is_empty());
     assert_eq!(book.copies_of(piece), Some(1));
-    end(&mut book, key, 0, Err(PieceFault::NoRoom));
-    assert_eq!(*replied.borrow(), [[Err(PieceFault::NoRoom)]]);
+    end(&mut book, key, 0, Err(PieceFault::OutOfMemory));
+    assert_eq!(*replied.borrow(), [[Err(PieceFault::OutOfMemory)]]);
     assert_eq!(book.copies_of(piece), None);
 }
 
--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -11,7 +11,7 @@
 use super::due_call::DueCall;
 use super::queue::Coordinator;
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallEnd, CallPart, StageCall};
+use crate::stage_call::{CallOutcome, CallPart, StageCall};
 use crate::target_end::PROBE_PATIENCE;
 use crate::upstream::ProbeOutcome;
 
@@ -45,8 +45,8 @@
 }
 
 /// Finds out whether a target that broke a connection has ended, and tells which requests had pieces there.
-async fn look_for_end(coordinator: &Coordinator, call: &DueCall, end: CallEnd) -> CallEnd {
-    let CallEnd::Broke(cause) = end else {
+async fn look_for_end(coordinator: &Coordinator, call: &DueCall, end: CallOutcome) -> CallOutcome {
+    let CallOutcome::ConnectionBroken(cause) = end else {
         return end;
     };
     let probe = timeout(
@@ -55,10 +55,10 @@
     );
     // A target that was withdrawn ends its connections itself.
     if probe.await != Ok(ProbeOutcome::Refused) || !coordinator.is_listed(call) {
-        return CallEnd::Failed(cause);
+        return CallOutcome::Failed(cause);
     }
     coordinator.note_target_end(call);
-    CallEnd::Ended(cause)
+    CallOutcome::TargetCrashed(cause)
 }
 
 /// Serves what waits in a pool once the next call to one of its targets may be sent.
@@ -72,9 +72,9 @@
 async fn wait_on(
     coordinator: &Rc<Coordinator>,
     call: &DueCall,
-    sent: Pin<&mut impl Future<Output = CallEnd>>,
+    sent: Pin<&mut impl Future<Output = CallOutcome>>,
     started: Instant,
-) -> CallEnd {
+) -> CallOutcome {
     let bound = bound_of(call);
     let until = started + bound;
     let detail = format!(
@@ -89,19 +89,19 @@
     coordinator.note_late(call, until);
     match timeout_at(until.into(), sent).await {
         Ok(end) => end,
-        Err(_) => CallEnd::Failed(format!("no answer within {} ms", bound.as_millis())),
+        Err(_) => CallOutcome::Failed(format!("no answer within {} ms", bound.as_millis())),
     }
 }
 
 fn note_end(
     coordinator: &Coordinator,
     call: &DueCall,
-    end: &CallEnd,
+    end: &CallOutcome,
     sender: Option<SocketAddr>,
     took: Duration,
 ) {
     let (code, outcome) = match end {
-        CallEnd::Answered(results, load) => {
+        CallOutcome::Answered(results, load) => {
             let made = results.iter().filter(|result| result.is_ok()).count();
             let load = load.map_or("-".to_owned(), |load| {
                 format!("{}+{}", load.running, load.waiting)
@@ -111,16 +111,16 @@
                 format!("made={made} load={load} trial={}", call.trial),
             )
         }
-        CallEnd::Busy => (EventCode::StageCallFailed, "cause=busy".to_owned()),
-        CallEnd::OtherTarget => (EventCode::StageCallFailed, "cause=other target".to_owned()),
-        CallEnd::Failed(cause) | CallEnd::Broke(cause) => {
+        CallOutcome::Busy => (EventCode::StageCallFailed, "cause=busy".to_owned()),
+        CallOutcome::OtherTarget => (EventCode::StageCallFailed, "cause=other target".to_owned()),
+        CallOutcome::Failed(cause) | CallOutcome::ConnectionBroken(cause) => {
             (EventCode::StageCallFailed, format!("cause={cause}"))
         }
-        CallEnd::Ended(cause) => (
+        CallOutcome::TargetCrashed(cause) => (
             EventCode::StageCallFailed,
             format!("cause=the target has ended: {cause}"),
         ),
-        CallEnd::SenderLost => (EventCode::StageCallFailed, "cause=sender lost".to_owned()),
+        CallOutcome::SenderLost => (EventCode::StageCallFailed, "cause=sender lost".to_owned()),
     };
     let mut requests: Vec<&str> = call
         .pieces
@@ -155,7 +155,7 @@
         target: call.target.clone(),
         address: call.address,
         parts: parts.collect(),
-        bound_ms: bound_of(call).as_millis() as u64,
+        timeout_ms: bound_of(call).as_millis() as u64,
     }
 }
 
@@ -174,7 +174,7 @@
     address: SocketAddr,
 ) {
     sleep(REPORT_LAG).await;
-    let asked = coordinator.caller.ask_free_bytes(&target, address);
+    let asked = coordinator.caller.query_free_bytes(&target, address);
     if let Some(free) = asked.await {
         coordinator.take_free_bytes(&pool, address, free);
     }
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -13,7 +13,7 @@
 use super::stage_target::StageTarget;
 use crate::ask::Rank;
 use crate::home_halls::HomeHalls;
-use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUse};
+use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUsage};
 use crate::pool_key::PoolKey;
 use crate::version_split::{CallSplit, VersionSplit};
 
@@ -94,7 +94,7 @@
         key: &PoolKey,
         records: impl IntoIterator<Item = &'a TargetRecord>,
     ) {
-        let held = records.into_iter().filter(|record| key.holds(record));
+        let held = records.into_iter().filter(|record| key.contains(record));
         let wanted: BTreeMap<&str, &TargetRecord> =
             held.map(|record| (record.id.as_str(), record)).collect();
         // A target that is leaving keeps what it holds until its call has ended.
@@ -166,16 +166,16 @@
     }
 
     /// Returns what this host uses of the targets.
-    pub(super) fn uses(&self, now: Instant) -> Vec<TargetUse> {
+    pub(super) fn uses(&self, now: Instant) -> Vec<TargetUsage> {
         let ttl = Duration::from_millis(self.spec.result_ttl_ms);
         let uses = self.targets.iter();
         let uses = uses.map(|(id, target)| target.own_use(id, ttl, now));
-        uses.filter(|one| one.bytes > 0 || one.busy_ms > 0)
+        uses.filter(|one| one.result_bytes > 0 || one.busy_for_ms > 0)
             .collect()
     }
 
     /// Takes what another host uses of the targets.
-    pub(super) fn set_uses(&mut self, teller: &str, uses: &[TargetUse], now: Instant) {
+    pub(super) fn set_uses(&mut self, teller: &str, uses: &[TargetUsage], now: Instant) {
         for (id, target) in &mut self.targets {
             let told = uses.iter().find(|one| one.target == *id);
             target.set_use(teller, told, now);
@@ -204,16 +204,16 @@
     /// Says whether a new batch would be done too late for its request. Later stages are not
     /// refused: what their request has had done already would be wasted.
     pub(super) fn is_too_late(&self, batch: &PieceBatch, now: Instant) -> bool {
-        if !batch.first {
+        if !batch.first_stage {
             return false;
         }
-        let count = batch.count.min(self.spec.batch);
+        let count = batch.piece_count.min(self.spec.batch);
         let load = self.load(now);
-        let wait = load.wait_ms(&self.spec, batch.rank, batch.count);
+        let wait = load.expected_wait_ms(&self.spec, batch.rank, batch.piece_count);
         let closed_ms = self.closed_for(now).as_secs_f64() * 1_000.0;
         let wait = wait.max(closed_ms);
         let own = self.spec.call_time_ms(count as usize);
-        wait > LEAST_REFUSED_WAIT_MS && wait + own > batch.wanted_ms as f64
+        wait > LEAST_REFUSED_WAIT_MS && wait + own > batch.objective_ms as f64
     }
 
     /// Returns how long all targets want nothing from this host.
@@ -420,7 +420,7 @@
         };
         target.reserved += waiting.result_bytes;
         if let Some(split) = self.split.as_mut().filter(|_| !open.contains_key(&id)) {
-            split.note(&target.version);
+            split.record_call(&target.version);
         }
         let call = open
             .entry(id.clone())
--- a/crates/gateway/src/coordinator/pool/tests.rs
+++ b/crates/gateway/src/coordinator/pool/tests.rs
@@ -85,12 +85,12 @@
     calls.map(|call| (call.target, call.pieces.len())).collect()
 }
 
-fn told(target: &str, bytes: u64, busy_ms: u32) -> TargetUse {
-    TargetUse {
+fn told(target: &str, bytes: u64, busy_ms: u32) -> TargetUsage {
+    TargetUsage {
         target: target.to_owned(),
-        bytes,
-        lasts_ms: 2_000,
-        busy_ms,
+        result_bytes: bytes,
+        expires_in_ms: 2_000,
+        busy_for_ms: busy_ms,
     }
 }
 
@@ -142,10 +142,10 @@
     let uses = pool.uses(now);
     assert_eq!(uses.len(), 1);
     assert_eq!(
-        (uses[0].target.as_str(), uses[0].bytes),
+        (uses[0].target.as_str(), uses[0].result_bytes),
         ("t-0", 2 * RESULT_BYTES)
     );
-    assert_eq!((uses[0].busy_ms, uses[0].lasts_ms), (182, 4_000));
+    assert_eq!((uses[0].busy_for_ms, uses[0].expires_in_ms), (182, 4_000));
 }
 
 /// All requests of a pipeline waited in vain until their deadlines, on every entry host, also
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -17,9 +17,9 @@
 use super::sending::{SendingRate, SendingShare, SharedCall};
 use super::state::{ExpectKey, QueueState};
 use crate::home_halls::HomeHalls;
-use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUse};
+use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUsage};
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallEnd, StageCall, StageCaller, StageRelease};
+use crate::stage_call::{CallOutcome, StageCall, StageCaller, StageRelease};
 use crate::version_split::VersionSplit;
 
 /// The load of each pool that has work, as other hosts are told it.
@@ -29,7 +29,7 @@
 pub(crate) type EndWatch = Box<dyn Fn(&DueCall)>;
 
 /// Hears of the end of each call, and the time that it took.
-pub(crate) type CallWatch = Box<dyn Fn(&DueCall, &CallEnd, Duration)>;
+pub(crate) type CallWatch = Box<dyn Fn(&DueCall, &CallOutcome, Duration)>;
 
 /// Gathers pieces for the services that this host was chosen for.
 pub(crate) struct Coordinator {
@@ -84,7 +84,7 @@
         let _ = self.call_watch.set(watch);
     }
 
-    pub(super) fn tell_end(&self, call: &DueCall, end: &CallEnd, took: Duration) {
+    pub(super) fn tell_end(&self, call: &DueCall, end: &CallOutcome, took: Duration) {
         if let Some(watch) = self.call_watch.get() {
             watch(call, end, took);
         }
@@ -115,7 +115,7 @@
     }
 
     /// Sends a call to its target, unless another host does.
-    pub(super) async fn carry(&self, call: &StageCall, shared: Option<SharedCall>) -> CallEnd {
+    pub(super) async fn carry(&self, call: &StageCall, shared: Option<SharedCall>) -> CallOutcome {
         match shared {
             Some(shared) => shared.end.await,
             None => self.caller.send_call(call).await,
@@ -145,7 +145,7 @@
 
     fn note_sending(&self, call: &StageCall) {
         let mut rate = self.rate.borrow_mut();
-        let Some(change) = rate.note(call.body_bytes(), Instant::now()) else {
+        let Some(change) = rate.note(call.estimated_body_bytes(), Instant::now()) else {
             return;
         };
         let detail = format!("{change:?} bytes_per_s={:.0}", rate.bytes_per_s());
@@ -233,15 +233,15 @@
         batch: PieceBatch,
         reply: impl FnOnce(Vec<PieceOutcome>) + 'static,
     ) -> Option<BatchKey> {
-        let count = batch.count as usize;
+        let count = batch.piece_count as usize;
         let now = Instant::now();
-        let homes = HomeHalls::told(batch.homes.clone());
+        let homes = HomeHalls::told(batch.allowed_halls.clone());
         let refused = {
             let mut state = self.state.borrow_mut();
             match state.pool_mut(&batch.pool) {
-                None => Some(PieceFault::Lost),
+                None => Some(PieceFault::CoordinatorLost),
                 Some(pool) if !pool.has_target_in(&homes) => Some(PieceFault::Failed),
-                Some(pool) if pool.is_too_late(&batch, now) => Some(PieceFault::Refused),
+                Some(pool) if pool.is_too_late(&batch, now) => Some(PieceFault::QueueTooLong),
                 Some(_) => None,
             }
         };
@@ -280,7 +280,10 @@
 
     /// Returns what this host uses of the targets of those pools for which it gathers and which are
     /// `wanted`.
-    pub(crate) fn uses(&self, wanted: impl Fn(&PoolKey) -> bool) -> Vec<(PoolKey, Vec<TargetUse>)> {
+    pub(crate) fn uses(
+        &self,
+        wanted: impl Fn(&PoolKey) -> bool,
+    ) -> Vec<(PoolKey, Vec<TargetUsage>)> {
         let state = self.state.borrow();
         let now = Instant::now();
         let uses = state.pools.iter().filter(|(key, _)| wanted(key));
@@ -290,7 +293,7 @@
 
     /// Takes what another host that gathers for a pool uses of its targets. Should that host be
     /// lost, this one begins with what the targets are known to hold.
-    pub(crate) fn set_uses(&self, teller: &str, pool: &PoolKey, uses: &[TargetUse]) {
+    pub(crate) fn set_uses(&self, teller: &str, pool: &PoolKey, uses: &[TargetUsage]) {
         let mut state = self.state.borrow_mut();
         if let Some(pool) = state.pool_mut(pool) {
             pool.set_uses(teller, uses, Instant::now());
@@ -346,7 +349,7 @@
     pub(crate) fn finish_call(
         self: &Rc<Self>,
         call: DueCall,
-        end: CallEnd,
+        end: CallOutcome,
         late: bool,
         sender: Option<SocketAddr>,
     ) -> Option<Duration> {
@@ -355,7 +358,7 @@
         let mut state = self.state.borrow_mut();
         // What a target asks of another host that sends calls is that host's to keep.
         if sender.is_none() {
-            state.set_standing(&call, self.caller.standing(&call.target), now);
+            state.set_standing(&call, self.caller.availability(&call.target), now);
         }
         let finished = state.finish_call(call, end, late, now);
         drop(state);
--- a/crates/gateway/src/coordinator/sending.rs
+++ b/crates/gateway/src/coordinator/sending.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::LocalBoxFuture;
 
-use crate::stage_call::{CallEnd, StageCall, StageRelease};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease};
 
 /// The span over which the rate of sent bytes is taken. Calls come several a second, so a second
 /// smooths them and still follows a burst.
@@ -19,7 +19,7 @@
 /// Another host that sends a call, and the end of the call.
 pub(crate) struct SharedCall {
     pub(crate) sender: SocketAddr,
-    pub(crate) end: LocalBoxFuture<'static, CallEnd>,
+    pub(crate) end: LocalBoxFuture<'static, CallOutcome>,
 }
 
 /// Hands a call for a target in a data hall to another host; nothing where this one sends it.
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -9,7 +9,7 @@
 use super::held::{HeldKey, HeldResults};
 use crate::cold::{ColdRate, SendWindow};
 use crate::load::ReportedLoad;
-use crate::piece::TargetUse;
+use crate::piece::TargetUsage;
 use crate::target_ask::TargetStanding;
 
 /// How long a target rests after a call that failed or was late.
@@ -312,7 +312,7 @@
     }
 
     /// Returns what this host uses here. What it was told of others is theirs to tell.
-    pub(super) fn own_use(&self, id: &str, ttl: Duration, now: Instant) -> TargetUse {
+    pub(super) fn own_use(&self, id: &str, ttl: Duration, now: Instant) -> TargetUsage {
         let (held, last) = self.results.own();
         let mut until = last.unwrap_or(now).max(now);
         if self.reserved > 0 {
@@ -323,26 +323,26 @@
         } else {
             Duration::ZERO
         };
-        TargetUse {
+        TargetUsage {
             target: id.to_owned(),
-            bytes: held + self.reserved,
-            lasts_ms: until.saturating_duration_since(now).as_millis() as u32,
-            busy_ms: busy.as_millis() as u32,
+            result_bytes: held + self.reserved,
+            expires_in_ms: until.saturating_duration_since(now).as_millis() as u32,
+            busy_for_ms: busy.as_millis() as u32,
         }
     }
 
     /// Takes what another host uses here, in place of what it told before.
-    pub(super) fn set_use(&mut self, teller: &str, told: Option<&TargetUse>, now: Instant) {
+    pub(super) fn set_use(&mut self, teller: &str, told: Option<&TargetUsage>, now: Instant) {
         let key = HeldKey::Told(teller.to_owned());
         self.results.remove(&key);
         self.taken_until = None;
         let Some(told) = told else {
             return;
         };
-        self.taken_until = Some(now + Duration::from_millis(u64::from(told.busy_ms)));
-        if told.bytes > 0 {
-            let until = now + Duration::from_millis(u64::from(told.lasts_ms));
-            self.results.insert(key, told.bytes, until);
+        self.taken_until = Some(now + Duration::from_millis(u64::from(told.busy_for_ms)));
+        if told.result_bytes > 0 {
+            let until = now + Duration::from_millis(u64::from(told.expires_in_ms));
+            self.results.insert(key, told.result_bytes, until);
         }
     }
 }
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -15,9 +15,9 @@
 use super::stage_target::{CallVerdict, StageTarget};
 use crate::ask::Rank;
 use crate::home_halls::HomeHalls;
-use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, maker_of};
+use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, target_address_of};
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallEnd, StageRelease};
+use crate::stage_call::{CallOutcome, StageRelease};
 use crate::target_ask::TargetStanding;
 use crate::version_split::VersionSplit;
 
@@ -33,33 +33,35 @@
 pub(crate) struct ExpectKey(u64);
 
 /// Returns what a call that ended so says of its target; nothing where it says nothing.
-fn verdict_of(end: &CallEnd, late: bool) -> Option<CallVerdict> {
+fn verdict_of(end: &CallOutcome, late: bool) -> Option<CallVerdict> {
     match end {
-        CallEnd::Answered(..) if late => Some(CallVerdict::Late),
-        CallEnd::Answered(..) => Some(CallVerdict::InTime),
-        CallEnd::Busy => Some(CallVerdict::Busy),
-        CallEnd::OtherTarget => Some(CallVerdict::OtherTarget),
-        CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::Ended(_) => Some(CallVerdict::Failed),
-        CallEnd::SenderLost => None,
+        CallOutcome::Answered(..) if late => Some(CallVerdict::Late),
+        CallOutcome::Answered(..) => Some(CallVerdict::InTime),
+        CallOutcome::Busy => Some(CallVerdict::Busy),
+        CallOutcome::OtherTarget => Some(CallVerdict::OtherTarget),
+        CallOutcome::Failed(_)
+        | CallOutcome::ConnectionBroken(_)
+        | CallOutcome::TargetCrashed(_) => Some(CallVerdict::Failed),
+        CallOutcome::SenderLost => None,
     }
 }
 
-fn says_no_room(end: &CallEnd) -> bool {
+fn says_no_room(end: &CallOutcome) -> bool {
     match end {
-        CallEnd::Answered(outcomes, _) => outcomes.contains(&Err(PieceFault::NoRoom)),
+        CallOutcome::Answered(outcomes, _) => outcomes.contains(&Err(PieceFault::OutOfMemory)),
         _ => false,
     }
 }
 
 /// Returns an outcome for each of so many pieces of a call.
-fn outcomes_of(end: CallEnd, pieces: usize) -> Vec<PieceOutcome> {
+fn outcomes_of(end: CallOutcome, pieces: usize) -> Vec<PieceOutcome> {
     match end {
-        CallEnd::Answered(outcomes, _) => outcomes,
-        CallEnd::Busy | CallEnd::OtherTarget => vec![Err(PieceFault::NotTaken); pieces],
-        CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::SenderLost => {
+        CallOutcome::Answered(outcomes, _) => outcomes,
+        CallOutcome::Busy | CallOutcome::OtherTarget => vec![Err(PieceFault::CallRejected); pieces],
+        CallOutcome::Failed(_) | CallOutcome::ConnectionBroken(_) | CallOutcome::SenderLost => {
             vec![Err(PieceFault::Failed); pieces]
         }
-        CallEnd::Ended(_) => vec![Err(PieceFault::TargetsEnded); pieces],
+        CallOutcome::TargetCrashed(_) => vec![Err(PieceFault::TargetsCrashed); pieces],
     }
 }
 
@@ -96,9 +98,9 @@
     matches!(
         outcome,
         Err(PieceFault::Failed
-            | PieceFault::NoRoom
-            | PieceFault::NotTaken
-            | PieceFault::TargetsEnded)
+            | PieceFault::OutOfMemory
+            | PieceFault::CallRejected
+            | PieceFault::TargetsCrashed)
     )
 }
 
@@ -107,12 +109,12 @@
 fn note_results(
     target: &mut StageTarget,
     call: &DueCall,
-    end: &CallEnd,
+    end: &CallOutcome,
     lost: HeldKey,
     until: Instant,
 ) {
     match end {
-        CallEnd::Answered(outcomes, _) => {
+        CallOutcome::Answered(outcomes, _) => {
             for (waiting, outcome) in call.pieces.iter().zip(outcomes) {
                 if let Ok(handle) = outcome {
                     let key = HeldKey::Result(handle.clone());
@@ -120,10 +122,10 @@
                 }
             }
         }
-        CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::SenderLost => {
+        CallOutcome::Failed(_) | CallOutcome::ConnectionBroken(_) | CallOutcome::SenderLost => {
             target.results.insert(lost, call.reserved, until);
         }
-        CallEnd::Busy | CallEnd::OtherTarget | CallEnd::Ended(_) => {}
+        CallOutcome::Busy | CallOutcome::OtherTarget | CallOutcome::TargetCrashed(_) => {}
     }
 }
 
@@ -179,9 +181,9 @@
             self.records.insert(record.id.clone(), record.clone());
         }
         for (key, pool) in &mut self.pools {
-            let concerns = |record: &&TargetRecord| key.holds(record);
+            let concerns = |record: &&TargetRecord| key.contains(record);
             let mut changed = listed.iter().chain(unlisted);
-            if changed.any(|record| key.holds(record)) {
+            if changed.any(|record| key.contains(record)) {
                 let gone = unlisted.iter().filter(concerns);
                 pool.update_targets(listed.iter().filter(concerns), gone);
             }
@@ -206,27 +208,27 @@
         reply: BatchReply,
         now: Instant,
     ) -> BatchKey {
-        let key = self.batches.begin(batch.count as usize, reply);
+        let key = self.batches.begin(batch.piece_count as usize, reply);
         let deadline = now + Duration::from_millis(batch.remaining_ms);
-        let wanted = now + Duration::from_millis(batch.wanted_ms);
+        let wanted = now + Duration::from_millis(batch.objective_ms);
         let Some(pool) = self.pools.get_mut(&batch.pool) else {
             return key;
         };
         let work = Rc::new(batch.work);
-        let homes = HomeHalls::told(batch.homes);
-        let pieces = (0..batch.count as usize).map(|place| Waiting {
+        let homes = HomeHalls::told(batch.allowed_halls);
+        let pieces = (0..batch.piece_count as usize).map(|place| Waiting {
             piece: PieceKey { batch: key, place },
             rank: batch.rank,
             deadline,
             wanted,
-            hall: batch.hall.clone(),
+            hall: batch.preferred_hall.clone(),
             homes: homes.clone(),
             result_bytes: batch.result_bytes,
             work: work.clone(),
             tries: 0,
-            key: batch.key,
+            key: batch.request_key,
             ends: 0,
-            apart: batch.apart,
+            apart: batch.isolated,
         });
         pool.wait(pieces.collect());
         key
@@ -268,7 +270,7 @@
             .flat_map(|(_, pool)| pool.targets.iter_mut())
             .collect();
         for handle in handles {
-            let maker: Option<SocketAddr> = maker_of(&handle).parse().ok();
+            let maker: Option<SocketAddr> = target_address_of(&handle).parse().ok();
             let maker = targets
                 .iter_mut()
                 .find(|(_, one)| Some(one.address) == maker);
@@ -335,7 +337,7 @@
     pub(super) fn finish_call(
         &mut self,
         call: DueCall,
-        end: CallEnd,
+        end: CallOutcome,
         late: bool,
         now: Instant,
     ) -> Finished {
@@ -350,7 +352,7 @@
             finished.rest = finished.rest.max((!left.is_zero()).then_some(left));
             let until = now + Duration::from_millis(pool.spec.result_ttl_ms);
             self.last_lost += 1;
-            if let CallEnd::Answered(_, load) = &end {
+            if let CallOutcome::Answered(_, load) = &end {
                 // One that was sent ahead waited at its target, which says nothing of its pace.
                 if !call.ahead {
                     target.learn_pace(call.expected, now.saturating_duration_since(call.began));
@@ -367,7 +369,7 @@
         let outcomes = outcomes_of(end, call.pieces.len());
         let mut again = Vec::new();
         for (mut waiting, outcome) in call.pieces.into_iter().zip(outcomes) {
-            if outcome == Err(PieceFault::TargetsEnded) {
+            if outcome == Err(PieceFault::TargetsCrashed) {
                 waiting.ends += 1;
                 waiting.apart = true;
             }
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -61,20 +61,20 @@
             first: 0,
             second: 0,
         },
-        first: true,
-        wanted_ms: 1_000,
+        first_stage: true,
+        objective_ms: 1_000,
         remaining_ms: 8_000,
-        hall: None,
-        homes: None,
+        preferred_hall: None,
+        allowed_halls: None,
         result_bytes: 1_000,
-        key: RequestKey::default(),
-        apart: false,
+        request_key: RequestKey::default(),
+        isolated: false,
         work: StageWork {
             request: "request".to_owned(),
             stage: 0,
             input: PieceInput::Key("key".to_owned()),
         },
-        count: pieces,
+        piece_count: pieces,
     }
 }
 
@@ -95,11 +95,11 @@
         let trial = if call.trial { "trial-" } else { "" };
         Ok(format!("{}/{trial}{piece}", call.address))
     });
-    let made = CallEnd::Answered(made.collect(), None);
+    let made = CallOutcome::Answered(made.collect(), None);
     finish(state, call, made, late)
 }
 
-fn finish(state: &mut QueueState, call: DueCall, end: CallEnd, late: bool) -> Vec<String> {
+fn finish(state: &mut QueueState, call: DueCall, end: CallOutcome, late: bool) -> Vec<String> {
     let finished = state.finish_call(call, end, late, Instant::now());
     for (reply, outcomes) in finished.replies {
         reply(outcomes);
@@ -204,7 +204,12 @@
     for _ in 0..MAX_TRIES {
         assert!(replied.borrow().is_empty());
         let call = only_call(&mut state, now);
-        finish(&mut state, call, CallEnd::Failed("reset".to_owned()), false);
+        finish(
+            &mut state,
+            call,
+            CallOutcome::Failed("reset".to_owned()),
+            false,
+        );
         now += Duration::from_secs(1);
     }
     assert_eq!(*replied.borrow(), [Err(PieceFault::Failed)]);
@@ -219,7 +224,7 @@
         only_call(&mut state, now)
     };
     let patience = first.patience;
-    state.finish_call(first, CallEnd::Busy, false, Instant::now());
+    state.finish_call(first, CallOutcome::Busy, false, Instant::now());
     let pool = state.pools.get_mut(&key()).unwrap();
     let target = pool.targets.get_mut("t-0").unwrap();
     let usual = Duration::from_millis(166);
@@ -246,13 +251,13 @@
         running: 1,
         waiting: 0,
     });
-    finish(&mut state, first, CallEnd::Answered(made, load), false);
+    finish(&mut state, first, CallOutcome::Answered(made, load), false);
     submit(&mut state, 1, now);
     let shared = only_call(&mut state, now);
     let full_call = Duration::from_millis(150 + 8 * 16);
     assert!(shared.patience > alone + full_call.mul_f64(0.9));
     let later = now + Duration::from_secs(5);
-    state.finish_call(shared, CallEnd::Busy, false, Instant::now());
+    state.finish_call(shared, CallOutcome::Busy, false, Instant::now());
     let pool = &state.pools[&key()];
     let usual = Duration::from_millis(166);
     let patience = pool.targets["t-0"].patience(usual, full_call, later);
@@ -265,7 +270,7 @@
     let replied = submit(&mut state, 2, now);
     let call = only_call(&mut state, now);
     let reserved = call.reserved;
-    finish(&mut state, call, CallEnd::SenderLost, false);
+    finish(&mut state, call, CallOutcome::SenderLost, false);
     let target = &state.pools[&key()].targets["t-0"];
     // The target may have made them all the same, and nobody knows their handles.
     assert_eq!(target.used_bytes(), reserved);
--- a/crates/gateway/src/coordinator/state/tests/asked.rs
+++ b/crates/gateway/src/coordinator/state/tests/asked.rs
@@ -8,7 +8,7 @@
 /// Ends a call that its target turned away, asking for a time.
 fn turn_away(state: &mut QueueState, call: DueCall, now: Instant) -> Finished {
     state.set_standing(&call, TargetStanding::BackedOff(WAIT), now);
-    state.finish_call(call, CallEnd::Busy, false, now)
+    state.finish_call(call, CallOutcome::Busy, false, now)
 }
 
 #[test]
@@ -58,8 +58,8 @@
     );
     let batch = |wanted: Duration, first| {
         let mut batch = batch(1);
-        batch.wanted_ms = wanted.as_millis() as u64;
-        batch.first = first;
+        batch.objective_ms = wanted.as_millis() as u64;
+        batch.first_stage = first;
         batch
     };
     assert!(pool.is_too_late(&batch(WAIT, true), now));
@@ -89,7 +89,7 @@
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
     state.set_standing(&call, TargetStanding::Leaving, now);
-    finish(&mut state, call, CallEnd::Busy, false);
+    finish(&mut state, call, CallOutcome::Busy, false);
     let later = now + WAIT;
     assert!(state.due_calls(&key(), later).is_empty());
     let mut record = state.records.values().next().unwrap().clone();
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -171,20 +171,20 @@
                 first: 0,
                 second: 0,
             },
-            first: false,
-            wanted_ms: 60_000,
+            first_stage: false,
+            objective_ms: 60_000,
             remaining_ms: 60_000,
-            hall: None,
-            homes: None,
+            preferred_hall: None,
+            allowed_halls: None,
             result_bytes: 6_000,
-            key: RequestKey::default(),
-            apart: false,
+            request_key: RequestKey::default(),
+            isolated: false,
             work: StageWork {
                 request: "request".to_owned(),
                 stage: 2,
                 input: PieceInput::Results(Vec::new()),
             },
-            count: PIECES,
+            piece_count: PIECES,
         };
         let times_ms = self.times_ms.clone();
         let clock = self.clock.clone();
@@ -222,7 +222,7 @@
         let target = self.target_of(call);
         if self.targets[target].calls.len() > self.queue {
             self.refused_calls += 1;
-            self.finish(now, call, CallEnd::Busy);
+            self.finish(now, call, CallOutcome::Busy);
             return;
         }
         self.targets[target].calls.push_back(call);
@@ -252,11 +252,11 @@
         let target = self.target_of(call);
         let made =
             (0..self.sizes[call]).map(|piece| Ok(format!("127.0.0.1:{target}/{call}.{piece}")));
-        let end = CallEnd::Answered(made.collect(), None);
+        let end = CallOutcome::Answered(made.collect(), None);
         self.finish(now, call, end);
     }
 
-    fn finish(&mut self, now: u64, call: usize, end: CallEnd) {
+    fn finish(&mut self, now: u64, call: usize, end: CallOutcome) {
         let at = self.at(now);
         let due = self.calls[call].take().expect("a call under way");
         let finished = self.state.finish_call(due, end, false, at);
--- a/crates/gateway/src/coordinator/state/tests/ended.rs
+++ b/crates/gateway/src/coordinator/state/tests/ended.rs
@@ -18,8 +18,8 @@
     RequestKey::new("account", "POST", ["host", path], b"")
 }
 
-fn ended() -> CallEnd {
-    CallEnd::Ended("connection reset".to_owned())
+fn ended() -> CallOutcome {
+    CallOutcome::TargetCrashed("connection reset".to_owned())
 }
 
 /// All requests with pieces in a call are suspects when its target ends, and most of them are innocent. Sent
@@ -49,7 +49,10 @@
     }
     assert_eq!(
         *guilty.borrow(),
-        [Err(PieceFault::TargetsEnded), Err(PieceFault::TargetsEnded)]
+        [
+            Err(PieceFault::TargetsCrashed),
+            Err(PieceFault::TargetsCrashed)
+        ]
     );
     assert!(state.due_calls(&key(), now).is_empty());
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -11,7 +11,7 @@
 
 use crate::ask::PromptPart;
 use crate::cold::{ColdRate, SendWindow};
-use crate::pool_key::place_key;
+use crate::pool_key::placement_pool_key;
 use crate::rendezvous::ScoreKey;
 use crate::target::{Chosen, Target, TargetBook};
 
@@ -238,11 +238,11 @@
         ask: &PlaceAsk,
         usable: Vec<&'a Target>,
     ) -> Vec<&'a Target> {
-        let part = place_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt);
+        let part = placement_pool_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt);
         let is_fresh = |one: &&Target| !ask.avoid.contains(&one.id);
         let held = usable.iter().copied();
         let held: Vec<&Target> = held
-            .filter(|one| part.holds_target(&one.hall, &one.id))
+            .filter(|one| part.contains_target(&one.hall, &one.id))
             .collect();
         match held.iter().any(is_fresh) {
             true => held,
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -12,7 +12,7 @@
 use crate::answer::{answer_of, refusal_answer};
 use crate::ask::Ask;
 use crate::attempt::{Attempt, AttemptEnd, send_attempt};
-use crate::caller_watch::CallerWatch;
+use crate::caller_disconnect::CallerDisconnectGuard;
 use crate::choose::{PassedTargets, next_target, no_target, pick_service};
 use crate::closed_service::retry_after;
 use crate::engine::PlaceFacts;
@@ -56,7 +56,7 @@
 /// Serves a request; the answer is final.
 pub(crate) async fn forward(gateway: Rc<Gateway>, ask: Ask) -> Response<AnswerBody> {
     let ask = Rc::new(ask);
-    let watch = CallerWatch::new(&gateway, &ask);
+    let watch = CallerDisconnectGuard::new(&gateway, &ask);
     let mut log = RunLog::default();
     let work = timeout(ask.time_left(), run(&gateway, &ask, &mut log));
     let outcome = tokio::select! {
@@ -64,7 +64,7 @@
         () = gateway.stop_reached() => None,
     };
     let outcome = outcome.unwrap_or_else(|| Err(out_of_time(&log)));
-    watch.answered();
+    watch.mark_answered();
     note_outcome(&gateway, &ask, &log, &outcome);
     match outcome {
         Ok(answer) => answer,
--- a/crates/gateway/src/forward/stages.rs
+++ b/crates/gateway/src/forward/stages.rs
@@ -12,7 +12,7 @@
 use crate::closed_service::{check_opens, check_rates};
 use crate::coordinator::HALL_BYTES;
 use crate::graph::{RequestResults, run_stages};
-use crate::path_time::last_stages;
+use crate::path_time::final_stages;
 use crate::{Gateway, Refusal};
 
 /// How often the stages of a request are run.
@@ -70,13 +70,13 @@
     let Some(place) = place_ask(gateway, service, ask, PassedTargets::default(), None) else {
         return Ok(gateway.config.hall.clone());
     };
-    let planned = gateway.stages.plan(&gateway.targets, place).await;
+    let planned = gateway.stages.plan_placement(&gateway.targets, place).await;
     Ok(planned.ok_or_else(no_target)?.hall)
 }
 
 /// Says whether the target of a request fetches results that should not cross halls.
 fn takes_large_results(ask: &Ask) -> bool {
-    let taken = last_stages(ask).into_iter();
+    let taken = final_stages(ask).into_iter();
     let mut sizes = taken.map(|stage| ask.route.stages[stage].result_bytes);
     sizes.any(|bytes| bytes >= HALL_BYTES)
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,9 +24,9 @@
 use crate::engine::EnginePlacer;
 use crate::metrics::GatewayMetrics;
 use crate::notice_book::NoticeBook;
-use crate::open_request::OpenCount;
+use crate::open_request::OpenRequestCount;
 use crate::rate_turn::RateTurns;
-use crate::rollouts::RolloutWatch;
+use crate::rollouts::RolloutTracker;
 use crate::stage_call::StageCaller;
 use crate::stage_client::StageClient;
 use crate::suspects::SuspectWatch;
@@ -98,17 +98,17 @@
     pub(crate) coordinator: Rc<Coordinator>,
     pub(crate) suspects: SuspectWatch,
     pub(crate) ends: TargetEnds,
-    pub(crate) rollouts: RolloutWatch,
+    pub(crate) rollouts: RolloutTracker,
     /// What targets have asked of this host.
     pub(crate) notices: Rc<NoticeBook>,
     /// The targets for which this host gives leave to send.
     rate_turns: RateTurns,
     /// Requests that wait until a target takes requests again.
-    pub(crate) waiting: OpenCount,
+    pub(crate) waiting: OpenRequestCount,
     pub(crate) stopping: Cell<bool>,
     /// When requests that are still in flight are given up, since the process is about to end.
     give_up_at: watch::Sender<Option<Instant>>,
-    pub(crate) open_requests: OpenCount,
+    pub(crate) open_requests: OpenRequestCount,
     /// Wakes the task that works the list of targets out anew.
     targets_due: Notify,
     /// Wakes requests that wait for the first targets.
@@ -162,13 +162,13 @@
             pool,
             suspects: SuspectWatch::default(),
             ends: TargetEnds::default(),
-            rollouts: RolloutWatch::default(),
+            rollouts: RolloutTracker::default(),
             notices,
             rate_turns: RateTurns::default(),
-            waiting: OpenCount::default(),
+            waiting: OpenRequestCount::default(),
             stopping: Cell::new(false),
             give_up_at: watch::Sender::new(None),
-            open_requests: OpenCount::default(),
+            open_requests: OpenRequestCount::default(),
             targets_due: Notify::new(),
             target_lists: watch::Sender::new(()),
             started: Instant::now(),
@@ -357,7 +357,7 @@
 
     fn refresh_gateways(&self) {
         let gateways = self.view.borrow().gateways();
-        self.stages.set_gateways(gateways);
+        self.stages.set_entry_hosts(gateways);
     }
 
     /// Returns the way to stage targets.
@@ -367,7 +367,7 @@
 
     /// Returns how many entry hosts are known, this one among them.
     pub(crate) fn gateway_count(&self) -> usize {
-        self.stages.gateway_count()
+        self.stages.entry_host_count()
     }
 
     pub(crate) fn note(&self, code: EventCode, detail: &str) {
@@ -390,9 +390,9 @@
         gateway.ends.expire(Instant::now());
         gateway.expire_notices();
         gateway.coordinator.dispatch_all();
-        gateway.stages.probe_cut_halls();
+        gateway.stages.probe_unreachable_halls();
         // Hosts that no control host names any more stay while they are reached.
-        if gateway.stages.keeps_unnamed() {
+        if gateway.stages.keeps_unlisted_hosts() {
             gateway.refresh_gateways();
         }
         gateway.view.borrow_mut().forget_past(Instant::now());
--- a/crates/gateway/src/gateway/rates.rs
+++ b/crates/gateway/src/gateway/rates.rs
@@ -8,7 +8,7 @@
 
 use super::Gateway;
 use crate::rate_turn::{RateAnswer, RateAsk, RateSubject};
-use crate::stage_client::RateHost;
+use crate::stage_client::SendPermitHost;
 
 impl Gateway {
     /// Has leave asked for by this host.
@@ -18,7 +18,7 @@
             let gateway = watching.upgrade();
             async move {
                 match gateway {
-                    Some(gateway) => gateway.ask_rate(ask).await,
+                    Some(gateway) => gateway.request_send_permit(ask).await,
                     None => RateAnswer::UNREACHED,
                 }
             }
@@ -38,15 +38,15 @@
         }
     }
 
-    async fn ask_rate(&self, ask: RateAsk) -> RateAnswer {
-        match self.rate_host(&ask.subject) {
-            RateHost::Here => self.give_rate(&ask),
-            RateHost::Remote(address) => self.stages.ask_rate(address, ask).await,
-            RateHost::Unreached => RateAnswer::UNREACHED,
+    async fn request_send_permit(&self, ask: RateAsk) -> RateAnswer {
+        match self.send_permit_host(&ask.subject) {
+            SendPermitHost::Local => self.give_rate(&ask),
+            SendPermitHost::Remote(address) => self.stages.request_send_permit(address, ask).await,
+            SendPermitHost::Unreachable => RateAnswer::UNREACHED,
         }
     }
 
-    fn rate_host(&self, subject: &RateSubject) -> RateHost {
+    fn send_permit_host(&self, subject: &RateSubject) -> SendPermitHost {
         let hall = match subject {
             RateSubject::Target(word) => {
                 let targets = self.targets.borrow();
@@ -55,7 +55,7 @@
             }
             RateSubject::Service(..) => String::new(),
         };
-        self.stages.rate_host(subject.key(), &hall)
+        self.stages.send_permit_host(subject.key(), &hall)
     }
 
     /// Answers another host that asks for leave.
@@ -63,10 +63,10 @@
         if let RateSubject::Target(word) = &ask.subject {
             self.notices.rates.take_word(word);
         }
-        match self.rate_host(&ask.subject) {
-            RateHost::Here => self.give_rate(ask),
+        match self.send_permit_host(&ask.subject) {
+            SendPermitHost::Local => self.give_rate(ask),
             // Two that give leave would let twice the rate through.
-            RateHost::Remote(_) | RateHost::Unreached => {
+            SendPermitHost::Remote(_) | SendPermitHost::Unreachable => {
                 self.rate_turns.forget(ask.subject.key());
                 RateAnswer::UNREACHED
             }
@@ -75,7 +75,7 @@
 
     /// Gives leave, as the host that does for all.
     fn give_rate(&self, ask: &RateAsk) -> RateAnswer {
-        if !self.view.borrow().is_connected() && !self.stages.reaches_any() {
+        if !self.view.borrow().is_connected() && !self.stages.reaches_any_host() {
             // Others that do not reach this host either take another one.
             return RateAnswer::UNREACHED;
         }
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -9,11 +9,13 @@
 use crate::ask::Ask;
 use crate::coordinator::HALL_BYTES;
 use crate::hall_bytes::HallBytes;
-use crate::path_time::{last_stages, pool_of, time_after};
-use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PieceInput, StageWork, maker_of};
+use crate::path_time::{final_stages, stage_pool_of, time_to_first_event_ms};
+use crate::piece::{
+    ExpectedPieces, PieceBatch, PieceFault, PieceInput, StageWork, target_address_of,
+};
 use crate::pool_key::PoolKey;
 use crate::schedule::StageSchedule;
-use crate::stage_client::{Expectation, GatheredBatch, Home, PartWant};
+use crate::stage_client::{Expectation, FinishedBatch, HostLocation, PartitionRequirements};
 use crate::target::TargetBook;
 use crate::{Gateway, Refusal, RefusalReason};
 
@@ -21,7 +23,7 @@
 struct StageResults {
     gateway: Rc<Gateway>,
     service: String,
-    home: Home,
+    home: HostLocation,
     pool: PoolKey,
     handles: Vec<String>,
     /// About how large one of them is, in bytes.
@@ -35,7 +37,7 @@
             let home = self.home;
             self.gateway
                 .stages
-                .free(home, &self.pool, handles, self.bytes);
+                .release_results(home, &self.pool, handles, self.bytes);
         }
     }
 }
@@ -79,7 +81,7 @@
     pub(crate) fn is_worth_again(&self) -> bool {
         matches!(
             self.fault,
-            PieceFault::InputGone | PieceFault::Failed | PieceFault::Lost
+            PieceFault::InputGone | PieceFault::Failed | PieceFault::CoordinatorLost
         )
     }
 
@@ -142,7 +144,7 @@
     }
     Ok(RequestResults {
         stages: results,
-        taken: last_stages(ask),
+        taken: final_stages(ask),
     })
 }
 
@@ -162,7 +164,7 @@
     let later = stages.map(|(number, (stage, count))| {
         let comes = *count > 0 && (!stage.after.is_empty() || schedule.is_deferred(number));
         comes.then(|| {
-            gateway.stages.expect(ExpectedPieces {
+            gateway.stages.expect_pieces(ExpectedPieces {
                 pool: choose_part(gateway, ask, number, None),
                 rank: ask.rank,
                 pieces: *count,
@@ -176,7 +178,7 @@
 /// scarce at their targets.
 fn release_taken(ask: &Ask, results: &mut [Option<StageResults>], done: &[bool]) {
     let stages = &ask.route.stages;
-    let last = last_stages(ask);
+    let last = final_stages(ask);
     for (number, held) in results.iter_mut().enumerate() {
         let mut takers = (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
         if !last.contains(&number) && takers.all(|later| done[later]) {
@@ -207,7 +209,7 @@
         };
         let bytes = ask.route.stages[*number].result_bytes;
         for handle in &stage.handles {
-            if let Some(hall) = book.hall_at(&stage.service, maker_of(handle)) {
+            if let Some(hall) = book.hall_at(&stage.service, target_address_of(handle)) {
                 places.add(&hall, bytes);
             }
         }
@@ -231,7 +233,7 @@
     {
         return Some(hall.to_owned());
     }
-    let taken = stage.result_bytes >= HALL_BYTES && last_stages(ask).contains(&number);
+    let taken = stage.result_bytes >= HALL_BYTES && final_stages(ask).contains(&number);
     taken.then(|| target_hall.to_owned())
 }
 
@@ -248,7 +250,7 @@
     } else {
         PieceInput::Results(inputs)
     };
-    let after = time_after(gateway, ask)[number];
+    let after = time_to_first_event_ms(gateway, ask)[number];
     let wanted = ask
         .objective_left()
         .saturating_sub(Duration::from_secs_f64(after / 1_000.0));
@@ -256,26 +258,26 @@
         number: 0,
         pool: choose_part(gateway, ask, number, hall.as_deref()),
         rank: ask.rank,
-        first: stage.after.is_empty(),
-        wanted_ms: wanted.as_millis() as u64,
+        first_stage: stage.after.is_empty(),
+        objective_ms: wanted.as_millis() as u64,
         remaining_ms: ask.time_left().as_millis() as u64,
-        hall,
-        homes: ask.homes.to_told(),
+        preferred_hall: hall,
+        allowed_halls: ask.homes.to_told(),
         result_bytes: stage.result_bytes,
-        key: ask.subject().key,
-        apart: ask.apart.get(),
+        request_key: ask.subject().key,
+        isolated: ask.apart.get(),
         work: StageWork {
             request: ask.id.clone(),
             stage: number,
             input,
         },
-        count: ask.piece_counts[number],
+        piece_count: ask.piece_counts[number],
     };
-    let GatheredBatch {
+    let FinishedBatch {
         results,
-        home,
+        coordinator: home,
         pool,
-    } = gateway.stages.run(batch).await;
+    } = gateway.stages.run_batch(batch).await;
     let fault = results
         .iter()
         .find_map(|result| result.as_ref().err().copied());
@@ -303,12 +305,12 @@
 fn choose_part(gateway: &Gateway, ask: &Ask, number: usize, hall: Option<&str>) -> PoolKey {
     let table = gateway.table();
     let service = &ask.route.stages[number].service;
-    let want = PartWant {
-        spec: pool_of(table.as_deref(), service),
-        hall,
+    let want = PartitionRequirements {
+        spec: stage_pool_of(table.as_deref(), service),
+        preferred_hall: hall,
         rank: ask.rank,
         pieces: ask.piece_counts[number],
-        homes: &ask.homes,
+        allowed_halls: &ask.homes,
     };
-    gateway.stages.choose_part(service, &want)
+    gateway.stages.choose_partition(service, &want)
 }
--- a/crates/gateway/src/open_request.rs
+++ b/crates/gateway/src/open_request.rs
@@ -1,29 +1,29 @@
-//! How many requests are in flight, or wait for something.
+//! Counts of requests that are in flight or that wait.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The count of one entry host. Cheap to clone.
+/// A count of requests of one entry host. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct OpenCount(Rc<Cell<usize>>);
+pub(crate) struct OpenRequestCount(Rc<Cell<usize>>);
 
-impl OpenCount {
+impl OpenRequestCount {
     pub(crate) fn get(&self) -> usize {
         self.0.get()
     }
 }
 
-/// Counts a request until it is dropped.
-pub(crate) struct OpenRequest(OpenCount);
+/// Counts one request for as long as it exists.
+pub(crate) struct OpenRequestGuard(OpenRequestCount);
 
-impl OpenRequest {
-    pub(crate) fn new(count: &OpenCount) -> Self {
+impl OpenRequestGuard {
+    pub(crate) fn new(count: &OpenRequestCount) -> Self {
         count.0.set(count.0.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let count = &self.0.0;
         count.set(count.get() - 1);
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -1,4 +1,4 @@
-//! How long the stages of a request take, by the queues on its way as they are known now.
+//! Estimates how long the stages of a request take, by the present queues of the pools on its path.
 
 use linnet_routing::{RouteTable, StagePool};
 
@@ -6,85 +6,91 @@
 use crate::ask::Ask;
 use crate::wait_model::PathPlan;
 
-/// Time that a request takes for its stages, as far as is known.
+/// The estimated times of the stages of a request.
 pub(crate) struct PathTime {
-    /// When each stage will have ended, in milliseconds from now.
-    pub(crate) ends: Vec<f64>,
-    /// How long each stage takes from the submission of its pieces, in milliseconds.
-    pub(crate) spans: Vec<f64>,
-    /// What admission compares with the time that is left.
+    /// The end of each stage, in milliseconds from now.
+    pub(crate) stage_ends_ms: Vec<f64>,
+    /// The time of each stage from the submission of its pieces to its end, in milliseconds.
+    pub(crate) stage_times_ms: Vec<f64>,
+    /// The totals that admission compares with the time left.
     pub(crate) plan: PathPlan,
 }
 
-/// Returns how long the stages of a request would take if it began now.
-pub(crate) fn path_time(gateway: &Gateway, ask: &Ask) -> PathTime {
+/// Estimates how long the stages of a request would take if it started now.
+pub(crate) fn estimate_path_time(gateway: &Gateway, ask: &Ask) -> PathTime {
     let table = gateway.table();
     let stages = &ask.route.stages;
-    // End and waits of each stage. What waits at a later pool now is served meanwhile.
+    // For each stage its end, and the sum of the waits on the longest path to it. The present queue of a
+    // later pool shrinks while the earlier stages run, so their time is deducted from the wait.
     let mut ends: Vec<(f64, f64)> = Vec::with_capacity(stages.len());
-    let mut spans: Vec<f64> = Vec::with_capacity(stages.len());
+    let mut times: Vec<f64> = Vec::with_capacity(stages.len());
     for (number, stage) in stages.iter().enumerate() {
         let before = stage.after.iter().map(|before| ends[*before]);
-        let (start, waits) = before.fold((0.0, 0.0), longer);
+        let (start, waits) = before.fold((0.0, 0.0), later_end);
         let count = ask.piece_counts[number];
         let load = gateway.stages.load_of(&stage.service);
-        let pool = pool_of(table.as_deref(), &stage.service);
-        let own_ms = own_ms(pool, count);
+        let pool = stage_pool_of(table.as_deref(), &stage.service);
+        let call_ms = call_time_ms(pool, count);
         let wait = match (pool, load) {
             (Some(pool), Some(load)) if count > 0 => {
-                (load.wait_ms(pool, ask.rank, count) - start).max(0.0)
+                (load.expected_wait_ms(pool, ask.rank, count) - start).max(0.0)
             }
             _ => 0.0,
         };
-        ends.push((start + wait + own_ms, waits + wait));
-        spans.push(wait + own_ms);
+        ends.push((start + wait + call_ms, waits + wait));
+        times.push(wait + call_ms);
     }
-    let (end, waits) = ends.iter().copied().fold((0.0, 0.0), longer);
+    let (end, waits) = ends.iter().copied().fold((0.0, 0.0), later_end);
     PathTime {
-        ends: ends.into_iter().map(|(end, _)| end).collect(),
-        spans,
+        stage_ends_ms: ends.into_iter().map(|(end, _)| end).collect(),
+        stage_times_ms: times,
         plan: PathPlan {
             stages_ms: end - waits,
             waits_ms: waits,
-            reading_ms: reading_ms(gateway, ask),
+            reading_ms: prefill_ms(gateway, ask),
         },
     }
 }
 
-/// Returns the time from the end of each stage to the first event, where nothing waits, in
-/// milliseconds.
-pub(crate) fn time_after(gateway: &Gateway, ask: &Ask) -> Vec<f64> {
+/// Returns the time from the end of each stage to the first event of the response if nothing has to wait,
+/// in milliseconds.
+pub(crate) fn time_to_first_event_ms(gateway: &Gateway, ask: &Ask) -> Vec<f64> {
     let table = gateway.table();
     let stages = &ask.route.stages;
-    let mut after = vec![reading_ms(gateway, ask); stages.len()];
+    let mut after = vec![prefill_ms(gateway, ask); stages.len()];
     for (number, stage) in stages.iter().enumerate().rev() {
-        let pool = pool_of(table.as_deref(), &stage.service);
-        let whole = own_ms(pool, ask.piece_counts[number]) + after[number];
+        let pool = stage_pool_of(table.as_deref(), &stage.service);
+        let total = call_time_ms(pool, ask.piece_counts[number]) + after[number];
         for before in &stage.after {
-            after[*before] = after[*before].max(whole);
+            after[*before] = after[*before].max(total);
         }
     }
     after
 }
 
-/// Returns the settings of a stage pool, where the configuration has it.
-pub(crate) fn pool_of<'a>(table: Option<&'a RouteTable>, service: &str) -> Option<&'a StagePool> {
+/// Returns the settings of the stage pool of a service; `None` if the configuration has none.
+pub(crate) fn stage_pool_of<'a>(
+    table: Option<&'a RouteTable>,
+    service: &str,
+) -> Option<&'a StagePool> {
     table?.find_service(service)?.stage_pool.as_ref()
 }
 
-/// Returns the time of a call with so many pieces of one request, in milliseconds.
-fn own_ms(pool: Option<&StagePool>, count: u32) -> f64 {
+/// Returns the time of a call with the given number of pieces, at most a full batch, in milliseconds.
+fn call_time_ms(pool: Option<&StagePool>, count: u32) -> f64 {
     let pool = pool.filter(|_| count > 0);
     pool.map_or(0.0, |pool| {
         pool.call_time_ms(count.min(pool.batch) as usize)
     })
 }
 
-fn longer(a: (f64, f64), b: (f64, f64)) -> (f64, f64) {
+/// Returns the pair with the later end.
+fn later_end(a: (f64, f64), b: (f64, f64)) -> (f64, f64) {
     if b.0 > a.0 { b } else { a }
 }
 
-fn reading_ms(gateway: &Gateway, ask: &Ask) -> f64 {
+/// Returns the expected prefill time of a request's prompt, in milliseconds; 0 without a prompt.
+fn prefill_ms(gateway: &Gateway, ask: &Ask) -> f64 {
     ask.prompt.as_ref().map_or(0.0, |prompt| {
         let unshared = prompt.own_tokens();
         let engines = gateway.engines.borrow();
@@ -92,16 +98,16 @@
     })
 }
 
-/// Returns the stages that no stage with pieces comes after.
-pub(crate) fn last_stages(ask: &Ask) -> Vec<usize> {
+/// Returns the stages with pieces whose results no later stage with pieces uses.
+pub(crate) fn final_stages(ask: &Ask) -> Vec<usize> {
     let stages = &ask.route.stages;
-    let taken_by_later = |number: usize| {
+    let is_used_later = |number: usize| {
         let later = stages.iter().zip(&ask.piece_counts);
         later
             .into_iter()
             .any(|(stage, count)| *count > 0 && stage.after.contains(&number))
     };
     (0..stages.len())
-        .filter(|number| ask.piece_counts[*number] > 0 && !taken_by_later(*number))
+        .filter(|number| ask.piece_counts[*number] > 0 && !is_used_later(*number))
         .collect()
 }
--- a/crates/gateway/src/piece.rs
+++ b/crates/gateway/src/piece.rs
@@ -1,4 +1,4 @@
-//! Pieces of stages, and how busy the pools are that run them.
+//! Pieces, the units of work of a stage, and the load of the pools that run them.
 
 use std::collections::BTreeMap;
 
@@ -10,68 +10,68 @@
 use crate::ask::Rank;
 use crate::pool_key::PoolKey;
 
-/// What a piece works on.
+/// The input of a piece.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceInput {
-    /// A key that the caller gave.
+    /// A key from the caller's request.
     Key(String),
-    /// Handles of results of earlier stages.
+    /// Handles of the results of earlier stages.
     Results(Vec<String>),
 }
 
-/// What all pieces of one stage of one request share.
+/// The part of the work that all pieces of one stage of one request have in common.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageWork {
-    /// The request.
+    /// Id of the request.
     pub request: String,
-    /// The stage of its route, from 0.
+    /// Index of the stage in the request's route, from 0.
     pub stage: usize,
-    /// What its pieces work on.
+    /// Input of the pieces.
     pub input: PieceInput,
 }
 
-/// Why there is no result of a piece.
+/// The reason why a piece has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum PieceFault {
-    /// The time that was left had run out.
+    /// The deadline passed before the piece was run.
     #[display("late")]
-    Late,
-    /// A result that it works on is gone.
+    DeadlineExceeded,
+    /// An input result no longer exists.
     #[display("input gone")]
     InputGone,
-    /// The target has no memory for the result.
+    /// The target has no memory left for the result.
     #[display("no room")]
-    NoRoom,
-    /// The target did not take the call.
+    OutOfMemory,
+    /// The target did not accept the call.
     #[display("call not taken")]
-    NotTaken,
-    /// The target failed.
+    CallRejected,
+    /// The target failed to run the piece.
     #[display("failed")]
     Failed,
-    /// Targets ended while they worked on it.
+    /// Targets crashed while they ran the piece.
     #[display("its targets ended")]
-    TargetsEnded,
-    /// The queue is too long for the time that is left; nothing was started.
+    TargetsCrashed,
+    /// The queue is too long for the time left; nothing was started.
     #[display("queue too long")]
-    Refused,
-    /// The host that gathers the pieces could not be reached or was lost.
+    QueueTooLong,
+    /// The coordinator could not be reached, or its connection was lost.
     #[display("coordinator lost")]
-    Lost,
+    CoordinatorLost,
 }
 
-/// How busy the targets of a stage pool are, as its coordinator knows it.
+/// The load of a stage pool or partition, as its coordinator reports it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolLoad {
-    /// Pieces that wait or are expected, by rank.
+    /// Number of pieces that are queued or expected, by rank.
     pub waiting: Vec<(Rank, u32)>,
-    /// Targets that take calls.
+    /// Number of targets that accept calls.
     pub targets: u32,
-    /// Targets that are free now.
+    /// Number of targets that are idle now.
     pub free: u32,
 }
 
 impl PoolLoad {
-    /// Adds the load of another part of the same pool.
+    /// Adds the load of another partition of the same pool.
     pub fn add(&mut self, other: &Self) {
         let mut waiting: BTreeMap<Rank, u32> = self.waiting.iter().copied().collect();
         for (rank, count) in &other.waiting {
@@ -82,78 +82,80 @@
         self.free += other.free;
     }
 
-    /// Returns about how long pieces of a rank wait for their call, in milliseconds.
-    pub fn wait_ms(&self, pool: &StagePool, rank: Rank, pieces: u32) -> f64 {
-        let before = self.waiting.iter().filter(|(other, _)| *other <= rank);
-        let ahead: u32 = before.map(|(_, count)| count).sum();
+    /// Estimates how long new pieces of a rank wait until they are sent in a call, in milliseconds.
+    pub fn expected_wait_ms(&self, pool: &StagePool, rank: Rank, pieces: u32) -> f64 {
+        let same_or_higher = self.waiting.iter().filter(|(other, _)| *other <= rank);
+        let ahead: u32 = same_or_higher.map(|(_, count)| count).sum();
         if ahead == 0 && self.free > 0 {
             return 0.0;
         }
         let targets = self.targets.max(1);
-        let full_call = pool.call_time_ms(pool.batch as usize);
-        let a_round = (pool.batch * pool.slots * targets).max(1);
-        let next_end = full_call / f64::from(targets + 1);
-        next_end + f64::from((ahead + pieces) / a_round) * full_call
+        let full_call_ms = pool.call_time_ms(pool.batch as usize);
+        let pieces_per_round = (pool.batch * pool.slots * targets).max(1);
+        let next_free_ms = full_call_ms / f64::from(targets + 1);
+        next_free_ms + f64::from((ahead + pieces) / pieces_per_round) * full_call_ms
     }
 }
 
-/// What the calls of one host, and their results, take at a target of a pool.
+/// The capacity of one target that the calls and results of one coordinator occupy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetUse {
-    /// The target.
+pub struct TargetUsage {
+    /// Id of the target.
     pub target: String,
-    /// Bytes of results.
-    pub bytes: u64,
-    /// Time until the last of them expires, in milliseconds.
-    pub lasts_ms: u32,
-    /// Time until its call is expected to end, in milliseconds.
-    pub busy_ms: u32,
+    /// Memory taken by results, in bytes.
+    pub result_bytes: u64,
+    /// Time until the last of the results expires, in milliseconds.
+    pub expires_in_ms: u32,
+    /// Time until the running call is expected to end, in milliseconds.
+    pub busy_for_ms: u32,
 }
 
-/// Pieces that an admitted request will bring when its earlier stages are done.
+/// Pieces that an admitted request will submit once its earlier stages are done.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpectedPieces {
-    /// The pool, or the part of one, that will run them.
+    /// The pool or partition that will run them.
     pub pool: PoolKey,
     /// Rank of the request.
     pub rank: Rank,
-    /// How many there are.
+    /// Number of pieces.
     pub pieces: u32,
 }
 
 /// All pieces of one stage of one request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PieceBatch {
-    /// Number of the batch on its connection.
+    /// Number that identifies the batch on its connection.
     pub number: u64,
-    /// The pool, or the part of one, that runs them.
+    /// The pool or partition that runs the pieces.
     pub pool: PoolKey,
     /// Rank of the request.
     pub rank: Rank,
-    /// Whether no stage of the request has run yet, so that refusing it wastes nothing.
-    pub first: bool,
-    /// Time within which the batch has to be done for the request to meet its objective, in
+    /// Whether this is a first stage of the request: no work is wasted if the batch is refused.
+    pub first_stage: bool,
+    /// Time within which the batch must complete for the request to meet its objective, in
     /// milliseconds.
-    pub wanted_ms: u64,
-    /// Time until the request is given up, in milliseconds.
+    pub objective_ms: u64,
+    /// Time until the deadline of the request, in milliseconds.
     pub remaining_ms: u64,
-    /// The data hall from which or to which large results would cross, where that matters.
-    pub hall: Option<String>,
-    /// Halls in which the pieces may run; nothing where they may in all.
-    pub homes: Option<Vec<String>>,
-    /// About how large one result is, in bytes.
+    /// The data hall that holds large inputs or consumes large results; `None` if the location does
+    /// not matter.
+    pub preferred_hall: Option<String>,
+    /// Data halls in which the pieces may run; `None` for all.
+    pub allowed_halls: Option<Vec<String>>,
+    /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// By what the request is known when it comes again.
-    pub(crate) key: RequestKey,
-    /// Whether the request may end its targets, so that no other's pieces go with these.
-    pub(crate) apart: bool,
-    /// What the pieces share; sent once, since the handles of many results are long.
+    /// Identifies the request when a caller repeats it.
+    pub(crate) request_key: RequestKey,
+    /// Whether the request is suspected of crashing targets, so that its pieces share no call with
+    /// those of other requests.
+    pub(crate) isolated: bool,
+    /// What the pieces have in common. Sent once per batch, since the handles of many results are long.
     pub work: StageWork,
-    /// How many pieces there are, numbered from 0.
-    pub count: u32,
+    /// Number of pieces; they are numbered from 0.
+    pub piece_count: u32,
 }
 
-/// Returns the address of the target that made a result.
-pub(crate) fn maker_of(handle: &str) -> &str {
+/// Returns the address of the target that produced a result, the first part of its handle.
+pub(crate) fn target_address_of(handle: &str) -> &str {
     handle.split('/').next().unwrap_or_default()
 }
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -1,100 +1,106 @@
-//! What entry hosts tell each other of pieces and prompts.
+//! Messages between entry hosts about pieces, prompts and permits.
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
 use linnet_wire::MessageForm;
 use serde::{Deserialize, Serialize};
 
 use crate::engine::{PlaceAsk, PlaceFacts};
-use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUse};
+use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUsage};
 use crate::pool_key::PoolKey;
 use crate::rate_turn::{RateAnswer, RateAsk};
-use crate::stage_call::{CallEnd, StageCall, StageRelease};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease};
 use crate::turn::TurnAnswer;
 
-/// What an entry host sends to the one that gathers the pieces of a service.
+/// A request from one entry host to another: to the coordinator of a pool, the placer of a service, the
+/// issuer of permits, or a host that sends calls to nearby targets.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum PieceRequest {
-    /// Run these.
-    Run(PieceBatch),
-    /// The batch is not wanted any more.
-    Cancel(u64),
-    /// A request that was admitted will bring pieces later.
-    Expect {
+    /// Runs a batch of pieces.
+    RunBatch(PieceBatch),
+    /// Cancels a batch.
+    CancelBatch(u64),
+    /// Announces pieces that an admitted request will submit later.
+    ExpectPieces {
         number: u64,
         expected: ExpectedPieces,
     },
-    /// The pieces that were expected are there, or will not come.
-    Arrived(u64),
-    /// These results, each of about so many bytes, are not needed any more.
-    Free {
+    /// Ends an announcement: the pieces have been submitted or will not be.
+    EndExpectation(u64),
+    /// Releases results that are no longer needed, each of about `bytes` bytes.
+    ReleaseResults {
         service: String,
         handles: Vec<String>,
         bytes: u64,
     },
-    /// Say where a prompt would be placed now; changes nothing.
-    Plan { number: u64, ask: PlaceAsk },
-    /// Place a prompt on an engine.
-    Place { number: u64, ask: PlaceAsk },
-    /// The engine has read a prompt that was placed.
-    Read(u64),
-    /// A request that was placed has ended.
-    End(u64),
-    /// Send this call to its target and tell how it ended.
-    Call { number: u64, call: StageCall },
-    /// Tell a target that results are not needed any more.
-    Release(StageRelease),
-    /// This host could not reach an engine where a prompt was placed.
-    Unreachable { service: String, engine: String },
-    /// What this host holds against requests.
+    /// Asks on which engine a prompt would be placed now, without placing it.
+    PlanPlacement { number: u64, ask: PlaceAsk },
+    /// Places a prompt on an engine.
+    PlacePrompt { number: u64, ask: PlaceAsk },
+    /// Reports that the engine has finished the prefill of a placed prompt.
+    PrefillDone(u64),
+    /// Ends a placement, since its request has ended.
+    EndPlacement(u64),
+    /// Delegates a call: the receiver sends it to its target and replies with the outcome.
+    DelegateCall { number: u64, call: StageCall },
+    /// Delegates a release: the receiver asks a target to drop results that are no longer needed.
+    DelegateRelease(StageRelease),
+    /// Reports that the sender could not reach the engine on which a prompt was placed.
+    EngineUnreachable { service: String, engine: String },
+    /// Reports the sender's records of suspect requests.
     Suspects(Vec<SuspectRecord>),
-    /// Say whether a request may run now that may end its targets; `id` is that of the sending, for the log.
-    TakeTurn {
+    /// Asks for a run permit for a request suspected of crashing targets. `id` is the id of this
+    /// attempt, for the log.
+    AcquireRunPermit {
         number: u64,
         key: RequestKey,
         id: String,
     },
-    /// That request has ended, or does not wait any more.
-    EndTurn(u64),
-    /// A sign of life.
-    Alive,
-    /// Give leave to send to a target that names a rate.
-    TakeRate { number: u64, ask: RateAsk },
+    /// Releases a run permit, or withdraws the request for one.
+    ReleaseRunPermit(u64),
+    /// A heartbeat.
+    Heartbeat,
+    /// Asks for a permit to send to a target with a rate limit.
+    AcquireSendPermit { number: u64, ask: RateAsk },
 }
 
 impl PieceRequest {
-    /// Returns the first form after the first one that knows it.
-    pub(crate) fn first_known(&self) -> MessageForm {
+    /// Returns the oldest message version from the second on that has this request. For the first
+    /// version see [`crate::message_v1`].
+    pub(crate) fn min_message_version(&self) -> MessageForm {
         match self {
-            Self::TakeRate { .. } => MessageForm::Fourth,
+            Self::AcquireSendPermit { .. } => MessageForm::Fourth,
             _ => MessageForm::Second,
         }
     }
 }
 
-/// What the host that gathers pieces answers.
+/// A reply or report to the entry host that opened the connection.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum PieceReply {
-    /// Every piece of the batch has an outcome.
-    Done {
+    /// The outcome of each piece of a completed batch.
+    BatchDone {
         number: u64,
         results: Vec<Result<String, PieceFault>>,
     },
-    /// The engine for a prompt that was planned or placed; nothing where there is none.
+    /// The engine of a planned or placed prompt; `None` if no engine is available.
     Placed {
         number: u64,
         engine: Option<(String, PlaceFacts)>,
     },
-    /// Whether a request may run now.
-    Turn { number: u64, answer: TurnAnswer },
-    /// How a call ended that was sent for the other host.
-    Called { number: u64, end: CallEnd },
-    /// What this host uses of the targets of a pool; told to the hosts that would gather for the pool
-    /// if this one were lost.
-    Uses { pool: PoolKey, uses: Vec<TargetUse> },
-    /// A sign of life, with the load of the pools that this host gathers for.
-    Alive { loads: Vec<(PoolKey, PoolLoad)> },
-    /// Whether a request may go to a target that names a rate; told to hosts that asked.
-    Rate { number: u64, answer: RateAnswer },
+    /// Whether a run permit was issued.
+    RunPermit { number: u64, answer: TurnAnswer },
+    /// The outcome of a delegated call.
+    DelegatedCallEnded { number: u64, outcome: CallOutcome },
+    /// The sender's use of the targets of a pool, sent to the hosts that would become its coordinator if
+    /// the sender were lost.
+    TargetUsage {
+        pool: PoolKey,
+        usage: Vec<TargetUsage>,
+    },
+    /// A heartbeat with the load of the pools that the sender coordinates.
+    Heartbeat { loads: Vec<(PoolKey, PoolLoad)> },
+    /// Whether a send permit was issued for a target with a rate limit.
+    SendPermit { number: u64, answer: RateAnswer },
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -1,4 +1,5 @@
-//! The bytes of each message as they were shipped. They never change: a new form has lines of its own.
+//! Snapshots of the bytes of each message. Shipped lines never change: a new message version gets lines of its
+//! own.
 
 use std::net::SocketAddr;
 
@@ -10,7 +11,7 @@
 use crate::hall_bytes::HallBytes;
 use crate::load::ReportedLoad;
 use crate::piece::{PieceInput, StageWork};
-use crate::pool_key::PoolPart;
+use crate::pool_key::PoolPartition;
 use crate::rate_turn::RateSubject;
 use crate::stage_call::CallPart;
 
@@ -23,10 +24,10 @@
 fn pool() -> PoolKey {
     PoolKey {
         service: "stage".to_owned(),
-        part: Some(PoolPart {
+        partition: Some(PoolPartition {
             hall: "hall-1".to_owned(),
-            number: 1,
-            of: 2,
+            index: 1,
+            partition_count: 2,
         }),
     }
 }
@@ -49,16 +50,16 @@
         number: 300,
         pool: pool(),
         rank: RANK,
-        first: true,
-        wanted_ms: 900,
+        first_stage: true,
+        objective_ms: 900,
         remaining_ms: 8_000,
-        hall: Some("hall-1".to_owned()),
-        homes: Some(vec!["hall-1".to_owned()]),
+        preferred_hall: Some("hall-1".to_owned()),
+        allowed_halls: Some(vec!["hall-1".to_owned()]),
         result_bytes: 3_000_000,
-        key: RequestKey::new("acme", "GET", ["shop.example", "/once/1"], b"body"),
-        apart: true,
+        request_key: RequestKey::new("acme", "GET", ["shop.example", "/once/1"], b"body"),
+        isolated: true,
         work: work(),
-        count: 3,
+        piece_count: 3,
     }
 }
 
@@ -95,13 +96,13 @@
     record
 }
 
-/// One request of each kind.
+/// Returns a request of each kind.
 pub(crate) fn requests() -> Vec<PieceRequest> {
-    let key = batch().key;
+    let key = batch().request_key;
     vec![
-        PieceRequest::Run(batch()),
-        PieceRequest::Cancel(300),
-        PieceRequest::Expect {
+        PieceRequest::RunBatch(batch()),
+        PieceRequest::CancelBatch(300),
+        PieceRequest::ExpectPieces {
             number: 301,
             expected: ExpectedPieces {
                 pool: pool(),
@@ -109,23 +110,23 @@
                 pieces: 5,
             },
         },
-        PieceRequest::Arrived(301),
-        PieceRequest::Free {
+        PieceRequest::EndExpectation(301),
+        PieceRequest::ReleaseResults {
             service: "stage".to_owned(),
             handles: vec!["10.1.64.7:8080/91bd".to_owned()],
             bytes: 3_000_000,
         },
-        PieceRequest::Plan {
+        PieceRequest::PlanPlacement {
             number: 302,
             ask: place_ask(),
         },
-        PieceRequest::Place {
+        PieceRequest::PlacePrompt {
             number: 303,
             ask: place_ask(),
         },
-        PieceRequest::Read(303),
-        PieceRequest::End(303),
-        PieceRequest::Call {
+        PieceRequest::PrefillDone(303),
+        PieceRequest::EndPlacement(303),
+        PieceRequest::DelegateCall {
             number: 304,
             call: StageCall {
                 target: "i-1".to_owned(),
@@ -135,27 +136,27 @@
                     numbers: vec![0, 2],
                     remaining_ms: 900,
                 }],
-                bound_ms: 1_500,
+                timeout_ms: 1_500,
             },
         },
-        PieceRequest::Release(StageRelease {
+        PieceRequest::DelegateRelease(StageRelease {
             target: "i-1".to_owned(),
             address: address(),
             handles: vec!["10.1.64.7:8080/91bd".to_owned()],
         }),
-        PieceRequest::Unreachable {
+        PieceRequest::EngineUnreachable {
             service: "engine".to_owned(),
             engine: "i-1".to_owned(),
         },
         PieceRequest::Suspects(vec![suspect()]),
-        PieceRequest::TakeTurn {
+        PieceRequest::AcquireRunPermit {
             number: 305,
             key,
             id: "a1".to_owned(),
         },
-        PieceRequest::EndTurn(305),
-        PieceRequest::Alive,
-        PieceRequest::TakeRate {
+        PieceRequest::ReleaseRunPermit(305),
+        PieceRequest::Heartbeat,
+        PieceRequest::AcquireSendPermit {
             number: 306,
             ask: RateAsk {
                 subject: RateSubject::Target(RateWord {
@@ -168,7 +169,7 @@
                 more: 1,
             },
         },
-        PieceRequest::TakeRate {
+        PieceRequest::AcquireSendPermit {
             number: 307,
             ask: RateAsk {
                 subject: RateSubject::Service("engine".to_owned(), NamedRate::new(40.0)),
@@ -180,52 +181,55 @@
 }
 
 const FAULTS: [PieceFault; 8] = [
-    PieceFault::Late,
+    PieceFault::DeadlineExceeded,
     PieceFault::InputGone,
-    PieceFault::NoRoom,
-    PieceFault::NotTaken,
+    PieceFault::OutOfMemory,
+    PieceFault::CallRejected,
     PieceFault::Failed,
-    PieceFault::TargetsEnded,
-    PieceFault::Refused,
-    PieceFault::Lost,
+    PieceFault::TargetsCrashed,
+    PieceFault::QueueTooLong,
+    PieceFault::CoordinatorLost,
 ];
 
 fn outcomes() -> Vec<Result<String, PieceFault>> {
     let faults = FAULTS.into_iter().map(Err);
-    let made = Ok("10.1.64.7:8080/91bd".to_owned());
-    [made].into_iter().chain(faults).collect()
+    let success = Ok("10.1.64.7:8080/91bd".to_owned());
+    [success].into_iter().chain(faults).collect()
 }
 
-/// One reply of each kind, and of each end of a call.
+/// Returns a reply of each kind, and one for each outcome of a call.
 pub(crate) fn replies() -> Vec<PieceReply> {
     let load = ReportedLoad {
         running: 1,
         waiting: 2,
     };
-    let ends = [
-        CallEnd::Answered(outcomes(), Some(load)),
-        CallEnd::Busy,
-        CallEnd::OtherTarget,
-        CallEnd::Failed("why".to_owned()),
-        CallEnd::Broke("why".to_owned()),
-        CallEnd::Ended("why".to_owned()),
-        CallEnd::SenderLost,
+    let outcomes_of_calls = [
+        CallOutcome::Answered(outcomes(), Some(load)),
+        CallOutcome::Busy,
+        CallOutcome::OtherTarget,
+        CallOutcome::Failed("why".to_owned()),
+        CallOutcome::ConnectionBroken("why".to_owned()),
+        CallOutcome::TargetCrashed("why".to_owned()),
+        CallOutcome::SenderLost,
     ];
-    let called = ends
+    let calls = outcomes_of_calls
         .into_iter()
-        .map(|end| PieceReply::Called { number: 304, end });
+        .map(|outcome| PieceReply::DelegatedCallEnded {
+            number: 304,
+            outcome,
+        });
     let facts = PlaceFacts {
         held: 800,
         ahead: 70_000,
         expected_ms: 40,
     };
     let answers = [TurnAnswer::Granted, TurnAnswer::Busy, TurnAnswer::Held];
-    let turns = answers.into_iter().map(|answer| PieceReply::Turn {
+    let run_permits = answers.into_iter().map(|answer| PieceReply::RunPermit {
         number: 305,
         answer,
     });
     let others = [
-        PieceReply::Done {
+        PieceReply::BatchDone {
             number: 300,
             results: outcomes(),
         },
@@ -233,16 +237,16 @@
             number: 303,
             engine: Some(("i-1".to_owned(), facts)),
         },
-        PieceReply::Uses {
+        PieceReply::TargetUsage {
             pool: pool(),
-            uses: vec![TargetUse {
+            usage: vec![TargetUsage {
                 target: "i-1".to_owned(),
-                bytes: 3_000_000,
-                lasts_ms: 4_000,
-                busy_ms: 150,
+                result_bytes: 3_000_000,
+                expires_in_ms: 4_000,
+                busy_for_ms: 150,
             }],
         },
-        PieceReply::Alive {
+        PieceReply::Heartbeat {
             loads: vec![(
                 pool(),
                 PoolLoad {
@@ -252,24 +256,26 @@
                 },
             )],
         },
-        PieceReply::Alive { loads: Vec::new() },
+        PieceReply::Heartbeat { loads: Vec::new() },
     ];
     let granted = RateAnswer::Granted {
         wait_ms: 150,
         more: 1,
         next_ms: 550,
     };
-    let rates = [granted, RateAnswer::Later(700)];
-    let rates = rates.into_iter().map(|answer| PieceReply::Rate {
-        number: 306,
-        answer,
-    });
-    let all = others.into_iter().chain(called).chain(turns).chain(rates);
-    all.collect()
+    let send_permits = [granted, RateAnswer::Later(700)];
+    let send_permits = send_permits
+        .into_iter()
+        .map(|answer| PieceReply::SendPermit {
+            number: 306,
+            answer,
+        });
+    let all = others.into_iter().chain(calls);
+    all.chain(run_permits).chain(send_permits).collect()
 }
 
 #[test]
-fn messages_between_entry_hosts_are_as_they_were_shipped() {
+fn message_bytes_match_the_shipped_format() {
     let requests = requests();
     let replies = replies();
     let requests = requests.iter().map(|one| format!("request {}", hex(one)));
--- a/crates/gateway/src/pool_key.rs
+++ b/crates/gateway/src/pool_key.rs
@@ -1,8 +1,8 @@
-//! Parts of stage pools.
+//! Partitions of stage pools and of engine pools.
 //!
-//! One entry host gathers the pieces for a pool, which fills calls best. What it sends and decides
-//! grows with the pool, so a large one is split into parts by data hall, and a large hall again, each
-//! with a host of its own.
+//! A single coordinator per pool fills calls best, but its traffic and work grow with the pool. A large
+//! pool is therefore partitioned by data hall, and a large hall again; each partition has a coordinator of
+//! its own.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,177 +12,181 @@
 use crate::ask::Prompt;
 use crate::rendezvous;
 
-/// The most targets for which one host gathers pieces.
-const MAX_PART_TARGETS: usize = 24;
+/// Maximum number of targets in a pool with a single coordinator; larger pools are partitioned.
+const MAX_PARTITION_TARGETS: usize = 24;
 
-/// A part of the targets of one data hall.
+/// A partition of the targets of one data hall.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PoolPart {
-    /// The hall.
+pub struct PoolPartition {
+    /// The data hall.
     pub hall: String,
-    /// Which of its parts, from 0.
-    pub number: u16,
-    /// How many parts the hall has.
-    pub of: u16,
+    /// Index of the partition in its hall, from 0.
+    pub index: u16,
+    /// Number of partitions in the hall.
+    pub partition_count: u16,
 }
 
-/// A stage pool, or a part of one.
+/// Identifies a pool or a partition of one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PoolKey {
-    /// The service whose targets are meant.
+    /// The service that the targets belong to.
     pub service: String,
-    /// The part; nothing for all of them.
-    pub part: Option<PoolPart>,
+    /// The partition; `None` for the complete pool.
+    pub partition: Option<PoolPartition>,
 }
 
 impl PoolKey {
-    /// Names all targets of a service.
+    /// Returns the key of all targets of a service.
     pub fn whole(service: &str) -> Self {
         Self {
             service: service.to_owned(),
-            part: None,
+            partition: None,
         }
     }
 
-    /// Returns the data hall of the part.
+    /// Returns the data hall of the partition; `None` for a complete pool.
     pub(crate) fn hall(&self) -> Option<&str> {
-        self.part.as_ref().map(|part| part.hall.as_str())
+        self.partition.as_ref().map(|one| one.hall.as_str())
     }
 
-    /// Says whether a target belongs to it. This follows from the key alone, so that a part that was
-    /// made when the pool had another size still has its targets.
-    pub(crate) fn holds(&self, record: &TargetRecord) -> bool {
-        record.service == self.service && self.holds_target(&record.hall, &record.id)
+    /// Returns whether a target belongs to the pool. The answer follows from the key alone, so a partition
+    /// that was formed when the pool had another size keeps its targets.
+    pub(crate) fn contains(&self, record: &TargetRecord) -> bool {
+        record.service == self.service && self.contains_target(&record.hall, &record.id)
     }
 
-    /// Says whether a target of its service belongs to it, by the target's hall and identity.
-    pub(crate) fn holds_target(&self, hall: &str, id: &str) -> bool {
-        self.part
-            .as_ref()
-            .is_none_or(|part| part.hall == hall && part.number == part_number(hall, id, part.of))
+    /// Returns whether a target of the service, given by hall and id, belongs to the pool.
+    pub(crate) fn contains_target(&self, hall: &str, id: &str) -> bool {
+        self.partition.as_ref().is_none_or(|one| {
+            one.hall == hall && one.index == partition_index(hall, id, one.partition_count)
+        })
     }
 
-    /// Returns the text by which hosts are ranked for it.
+    /// Returns the label for which entry hosts are ranked by rendezvous hashing.
     pub(crate) fn label(&self) -> String {
-        match &self.part {
+        match &self.partition {
             None => self.service.clone(),
-            Some(part) => format!("{}/{}/{}", self.service, part.hall, part.number),
+            Some(one) => format!("{}/{}/{}", self.service, one.hall, one.index),
         }
     }
 }
 
-/// The most engines among which one host places prompts: it looks at each of them for each prompt.
-const MAX_PLACED_TARGETS: u32 = 192;
-
-/// Names the engines among which a prompt is placed: all of a service, or a part of one hall where they are many. The
-/// prompts with the same shared parts come to the same engines, which hold them then.
-pub(crate) fn place_key(service: &str, halls: &[(String, u32)], prompt: &Prompt) -> PoolKey {
-    let all: u32 = halls.iter().map(|(_, count)| count).sum();
-    if all <= MAX_PLACED_TARGETS {
+/// Maximum number of engines with a single placer, which examines each of them for every prompt.
+const MAX_PLACER_TARGETS: u32 = 192;
+
+/// Returns the key of the engines among which a prompt is placed: all engines of a service, or a partition of one
+/// hall if there are many. Prompts with the same shared parts map to the same engines, which then have these cached.
+pub(crate) fn placement_pool_key(
+    service: &str,
+    halls: &[(String, u32)],
+    prompt: &Prompt,
+) -> PoolKey {
+    let total: u32 = halls.iter().map(|(_, count)| count).sum();
+    if total <= MAX_PLACER_TARGETS {
         return PoolKey::whole(service);
     }
-    let key = prompt.place_score();
-    let parts = halls.iter().flat_map(|(hall, count)| {
-        let of = count.div_ceil(MAX_PLACED_TARGETS) as u16;
-        let weight = f64::from(*count) / f64::from(of);
-        (0..of).map(move |number| {
-            let part = PoolPart {
+    let affinity = prompt.place_score();
+    let partitions = halls.iter().flat_map(|(hall, count)| {
+        let partition_count = count.div_ceil(MAX_PLACER_TARGETS) as u16;
+        let weight = f64::from(*count) / f64::from(partition_count);
+        (0..partition_count).map(move |index| {
+            let partition = PoolPartition {
                 hall: hall.clone(),
-                number,
-                of,
+                index,
+                partition_count,
             };
-            let label = format!("{hall}/{number}");
-            (key.weighted_score(&label, weight), part)
+            let label = format!("{hall}/{index}");
+            (affinity.weighted_score(&label, weight), partition)
         })
     });
-    let first = parts.max_by(|a, b| a.0.total_cmp(&b.0));
+    let best = partitions.max_by(|a, b| a.0.total_cmp(&b.0));
     PoolKey {
         service: service.to_owned(),
-        part: first.map(|(_, part)| part),
+        partition: best.map(|(_, partition)| partition),
     }
 }
 
-/// Returns in which of so many parts of its hall a target is.
-fn part_number(hall: &str, id: &str, of: u16) -> u16 {
-    (rendezvous::score(hall, id) % u64::from(of.max(1))) as u16
+/// Returns the index of the partition of its hall that a target belongs to.
+fn partition_index(hall: &str, id: &str, partition_count: u16) -> u16 {
+    (rendezvous::score(hall, id) % u64::from(partition_count.max(1))) as u16
 }
 
-/// The parts of every pool, with the number of their targets.
+/// The partitions of every pool, each with its number of targets.
 #[derive(Debug, Default)]
 pub(crate) struct PoolMap {
-    parts: HashMap<String, Vec<(PoolKey, u32)>>,
+    partitions: HashMap<String, Vec<(PoolKey, u32)>>,
 }
 
 impl PoolMap {
-    /// Splits the pools of these targets, each given by its service, hall and identity.
+    /// Partitions the pools of these targets, each given by service, hall and id.
     pub(crate) fn new<'a>(targets: impl Iterator<Item = (&'a str, &'a str, &'a str)>) -> Self {
-        let mut by_service: BTreeMap<&str, HallTargets<'_>> = BTreeMap::new();
+        let mut by_service: BTreeMap<&str, TargetsByHall<'_>> = BTreeMap::new();
         for (service, hall, id) in targets {
             let halls = by_service.entry(service).or_default();
             halls.entry(hall).or_default().push(id);
         }
-        let parts = by_service
+        let partitions = by_service
             .into_iter()
-            .map(|(service, halls)| (service.to_owned(), split(service, &halls)));
+            .map(|(service, halls)| (service.to_owned(), split_pool(service, &halls)));
         Self {
-            parts: parts.collect(),
+            partitions: partitions.collect(),
         }
     }
 
-    /// Takes the pool of one service anew, from the hall and identity of each of its targets.
-    pub(crate) fn replace<'a>(
+    /// Replaces the partitions of one service, given the hall and id of each of its targets.
+    pub(crate) fn replace_service<'a>(
         &mut self,
         service: &str,
         targets: impl Iterator<Item = (&'a str, &'a str)>,
     ) {
-        let mut halls = HallTargets::new();
+        let mut halls = TargetsByHall::new();
         for (hall, id) in targets {
             halls.entry(hall).or_default().push(id);
         }
         match halls.is_empty() {
-            true => self.parts.remove(service),
+            true => self.partitions.remove(service),
             false => self
-                .parts
-                .insert(service.to_owned(), split(service, &halls)),
+                .partitions
+                .insert(service.to_owned(), split_pool(service, &halls)),
         };
     }
 
-    /// Returns the parts of a pool.
-    pub(crate) fn parts_of(&self, service: &str) -> &[(PoolKey, u32)] {
-        self.parts.get(service).map_or(&[], Vec::as_slice)
+    /// Returns the partitions of the pool of a service.
+    pub(crate) fn partitions_of(&self, service: &str) -> &[(PoolKey, u32)] {
+        self.partitions.get(service).map_or(&[], Vec::as_slice)
     }
 }
 
-/// The targets of one service by hall.
-type HallTargets<'a> = BTreeMap<&'a str, Vec<&'a str>>;
+/// Ids of the targets of one service, by hall.
+type TargetsByHall<'a> = BTreeMap<&'a str, Vec<&'a str>>;
 
-fn split(service: &str, halls: &HallTargets<'_>) -> Vec<(PoolKey, u32)> {
-    let all: usize = halls.values().map(Vec::len).sum();
-    if all <= MAX_PART_TARGETS {
-        return vec![(PoolKey::whole(service), all as u32)];
+fn split_pool(service: &str, halls: &TargetsByHall<'_>) -> Vec<(PoolKey, u32)> {
+    let total: usize = halls.values().map(Vec::len).sum();
+    if total <= MAX_PARTITION_TARGETS {
+        return vec![(PoolKey::whole(service), total as u32)];
     }
-    let parts = halls.iter().flat_map(|(hall, ids)| {
-        let of = ids.len().div_ceil(MAX_PART_TARGETS) as u16;
-        let key = move |number| PoolKey {
+    let partitions = halls.iter().flat_map(|(hall, ids)| {
+        let partition_count = ids.len().div_ceil(MAX_PARTITION_TARGETS) as u16;
+        let key = move |index| PoolKey {
             service: service.to_owned(),
-            part: Some(PoolPart {
+            partition: Some(PoolPartition {
                 hall: (*hall).to_owned(),
-                number,
-                of,
+                index,
+                partition_count,
             }),
         };
-        let counts = count_parts(hall, ids, of).into_iter();
-        (0..of).map(key).zip(counts)
+        let counts = partition_sizes(hall, ids, partition_count).into_iter();
+        (0..partition_count).map(key).zip(counts)
     });
-    parts.filter(|(_, count)| *count > 0).collect()
+    partitions.filter(|(_, count)| *count > 0).collect()
 }
 
-/// Counts the targets in each of so many parts of a hall, in one walk over them: a walk for each part would take a
-/// time that grows with the square of the pool.
-fn count_parts(hall: &str, ids: &[&str], of: u16) -> Vec<u32> {
-    let mut counts = vec![0; usize::from(of)];
+/// Counts the targets in each partition of a hall in a single pass: a pass for each partition would take time
+/// quadratic in the size of the pool.
+fn partition_sizes(hall: &str, ids: &[&str], partition_count: u16) -> Vec<u32> {
+    let mut counts = vec![0; usize::from(partition_count)];
     for id in ids {
-        counts[usize::from(part_number(hall, id, of))] += 1;
+        counts[usize::from(partition_index(hall, id, partition_count))] += 1;
     }
     counts
 }
--- a/crates/gateway/src/pool_key/tests.rs
+++ b/crates/gateway/src/pool_key/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::ask::PromptPart;
 
-/// Targets of one service: so many in each hall.
+/// Returns targets of one service, with the given number in each hall.
 fn records(halls: &[usize]) -> Vec<TargetRecord> {
     let mut records = Vec::new();
     for (hall, count) in halls.iter().enumerate() {
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn each_target_belongs_to_exactly_one_part_and_no_part_is_large() {
-    // Targets by hall, and how many parts there are.
+fn each_target_belongs_to_exactly_one_partition() {
+    // Number of targets by hall, and the expected number of partitions.
     let cases: [(&[usize], usize); 7] = [
         (&[2, 2, 1], 1),
         (&[24], 1),
@@ -45,25 +45,25 @@
         (&[7, 7, 7, 7], 4),
         (&[0, 25], 2),
     ];
-    for (halls, parts) in cases {
+    for (halls, expected) in cases {
         let records = records(halls);
         let map = map(&records);
-        let keys = map.parts_of("stage");
-        assert_eq!(keys.len(), parts, "{halls:?}");
+        let keys = map.partitions_of("stage");
+        assert_eq!(keys.len(), expected, "{halls:?}");
         for record in &records {
-            let holders = keys.iter().filter(|(key, _)| key.holds(record)).count();
-            assert_eq!(holders, 1, "{halls:?} {}", record.id);
+            let containing = keys.iter().filter(|(key, _)| key.contains(record)).count();
+            assert_eq!(containing, 1, "{halls:?} {}", record.id);
         }
         let total: u32 = keys.iter().map(|(_, count)| count).sum();
         assert_eq!(total as usize, records.len());
     }
-    assert!(PoolMap::default().parts_of("stage").is_empty());
+    assert!(PoolMap::default().partitions_of("stage").is_empty());
 }
 
 #[test]
 fn a_large_hall_is_split_about_evenly() {
     let map = map(&records(&[192]));
-    let counts: Vec<u32> = map.parts_of("stage").iter().map(|part| part.1).collect();
+    let counts: Vec<u32> = map.partitions_of("stage").iter().map(|one| one.1).collect();
     assert_eq!(counts.len(), 8);
     assert!(
         counts.iter().all(|count| (10..=40).contains(count)),
@@ -72,29 +72,29 @@
 }
 
 #[test]
-fn the_key_of_a_whole_pool_holds_its_targets_also_after_the_pool_was_split() {
+fn the_key_of_a_complete_pool_contains_its_targets_after_the_pool_was_partitioned() {
     let records = records(&[18, 18]);
     let whole = PoolKey::whole("stage");
-    assert!(records.iter().all(|record| whole.holds(record)));
-    assert!(!PoolKey::whole("other").holds(&records[0]));
+    assert!(records.iter().all(|record| whole.contains(record)));
+    assert!(!PoolKey::whole("other").contains(&records[0]));
 }
 
-/// What is counted in one walk is what each part holds, also when one pool is taken anew.
+/// Guards the single-pass count against `PoolKey::contains`, also after a pool was replaced.
 #[test]
-fn each_part_is_counted_with_the_targets_that_it_holds() {
+fn the_size_of_each_partition_is_the_number_of_targets_that_it_contains() {
     let records = records(&[30, 0, 100, 7]);
     let mut map = map(&records);
     let targets = records.iter();
-    map.replace(
+    map.replace_service(
         "stage",
         targets.map(|one| (one.hall.as_str(), one.id.as_str())),
     );
-    for (key, count) in map.parts_of("stage") {
-        let held = records.iter().filter(|record| key.holds(record)).count();
-        assert_eq!(*count as usize, held, "{key:?}");
+    for (key, count) in map.partitions_of("stage") {
+        let contained = records.iter().filter(|record| key.contains(record)).count();
+        assert_eq!(*count as usize, contained, "{key:?}");
     }
-    map.replace("stage", std::iter::empty());
-    assert!(map.parts_of("stage").is_empty());
+    map.replace_service("stage", std::iter::empty());
+    assert!(map.partitions_of("stage").is_empty());
 }
 
 fn prompt(shared: &str, tokens_in: u64) -> Prompt {
@@ -119,26 +119,27 @@
         .collect()
 }
 
-/// What one host looks at for a prompt, and how many prompts it places, must not grow with the fleet.
+/// The work of one placer must not grow with the fleet: neither the engines that it examines for a prompt nor its
+/// share of the prompts.
 #[test]
-fn the_engines_and_prompts_of_one_placer_are_bounded_however_many_there_are() {
+fn the_engines_and_prompts_of_one_placer_are_bounded_in_large_fleets() {
     for engines in [100, 1_000, 5_715, 20_000] {
         let halls = halls(engines);
         let mut placed: BTreeMap<PoolKey, u32> = BTreeMap::new();
         const PROMPTS: u32 = 40_000;
         for number in 0..PROMPTS {
-            let key = place_key("engine", &halls, &prompt(&number.to_string(), 5));
+            let key = placement_pool_key("engine", &halls, &prompt(&number.to_string(), 5));
             *placed.entry(key).or_default() += 1;
         }
         let most = placed.values().max().copied().unwrap();
         let even = PROMPTS / placed.len() as u32;
         assert!(most <= even * 3 / 2, "{engines}: {most} of {even}");
         for key in placed.keys() {
-            let Some(part) = &key.part else {
-                assert!(engines <= MAX_PLACED_TARGETS);
+            let Some(partition) = &key.partition else {
+                assert!(engines <= MAX_PLACER_TARGETS);
                 continue;
             };
-            assert!(engines / 5 / u32::from(part.of) <= MAX_PLACED_TARGETS);
+            assert!(engines / 5 / u32::from(partition.partition_count) <= MAX_PLACER_TARGETS);
         }
     }
 }
@@ -146,17 +147,18 @@
 #[test]
 fn prompts_with_the_same_shared_part_go_to_the_same_engines_and_others_are_spread() {
     let halls = halls(5_000);
-    let key = |shared: &str, tokens| place_key("engine", &halls, &prompt(shared, tokens));
+    let key = |shared: &str, tokens| placement_pool_key("engine", &halls, &prompt(shared, tokens));
     assert_eq!(key("a", 1), key("a", 900));
     let spread: std::collections::BTreeSet<PoolKey> =
         (0..200).map(|tokens| key("", tokens)).collect();
     assert!(spread.len() > 15, "{}", spread.len());
-    // A few engines more or less move few prompts.
+    // Adding an engine moves few prompts.
     let mut other = halls.clone();
     other[0].1 += 1;
     let moved = (0..500).filter(|number| {
         let prompt = prompt(&format!("p{number}"), 1);
-        place_key("engine", &halls, &prompt) != place_key("engine", &other, &prompt)
+        placement_pool_key("engine", &halls, &prompt)
+            != placement_pool_key("engine", &other, &prompt)
     });
     let moved = moved.count();
     assert!(moved < 10, "{moved}");
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -18,7 +18,7 @@
 use crate::events::last_event_id;
 use crate::forward::take_repeat;
 use crate::graph::RequestResults;
-use crate::rollouts::AnswerQuality;
+use crate::rollouts::ResponseQuality;
 use crate::target::Chosen;
 use crate::turn::{RunTurn, take_turn};
 use crate::upstream::is_break;
@@ -126,7 +126,7 @@
         self.gateway.note_target_failure(service, target, cause);
         let route = &self.ask.route.name;
         self.gateway
-            .count_answer(service, target, route, AnswerQuality::Failed);
+            .count_response(service, target, route, ResponseQuality::Failed);
         while self.ask.route.may_repeat()
             && self.attempts < self.ask.route.max_attempts
             && take_turn(&self.gateway, &self.ask, &mut self.turn)
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs on an entry host: the shares of versions, and what their answers are like.
+//! Roll-outs on an entry host: the shares of versions, and statistics of their responses.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,75 +15,77 @@
 use crate::coordinator::DueCall;
 use crate::engine::PlaceFacts;
 use crate::piece::PieceFault;
-use crate::stage_call::CallEnd;
+use crate::stage_call::CallOutcome;
 use crate::target::Chosen;
 use crate::version_split::VersionSplit;
 
-/// Times of prompts and of calls with pieces are counted as a part of what was expected, in hundredths: engines that
-/// started lately hold fewer shared parts, and calls differ in their pieces.
-const EXPECTED: f64 = 100.0;
+/// Times of prompts and of calls are recorded relative to the expected time, in hundredths: engines that started
+/// recently have fewer shared parts cached, and calls differ in their pieces.
+const EXPECTED_TIME_SCALE: f64 = 100.0;
 
-/// Added to expected and real times of prompts, so that short ones say little, in milliseconds.
+/// Added to the expected and the measured time of prompts, so that short ones have little weight, in milliseconds.
 const PROMPT_BASE_MS: f64 = 120.0;
 
-/// The route under which calls with pieces are counted.
-const CALLS: &str = "calls";
+/// The route name under which calls with pieces are counted.
+const CALLS_ROUTE: &str = "calls";
 
-/// What this host knows of roll-outs.
+/// The roll-outs in force, and the responses of the versions that this host has counted.
 #[derive(Default)]
-pub(crate) struct RolloutWatch {
-    book: RefCell<RolloutBook>,
+pub(crate) struct RolloutTracker {
+    current: RefCell<RolloutBook>,
     tally: RefCell<RolloutTally>,
-    /// Whether any control host is heard.
-    hears: Cell<bool>,
+    /// Whether this host is connected to a control host.
+    is_connected: Cell<bool>,
 }
 
-/// What an answer, or the lack of one, says of its target.
-pub(crate) enum AnswerQuality {
-    /// It failed.
+/// The quality of a response, or of the lack of one, as evidence about its target.
+pub(crate) enum ResponseQuality {
+    /// The attempt failed.
     Failed,
-    /// It was good, and took a time that says something of the target.
-    Took(f64),
-    /// It was good; its time says nothing.
+    /// The response was good and its time is significant: in milliseconds, or in hundredths of the expected time.
+    Timed(f64),
+    /// The response was good; its time is not significant.
     Good,
 }
 
-impl AnswerQuality {
-    /// Returns the quality of an answer that took a part of what was expected.
+impl ResponseQuality {
+    /// Returns the quality of a good response by the ratio of its time to the expected time.
     fn of_ratio(took_ms: f64, expected_ms: f64) -> Self {
-        Self::Took(took_ms / expected_ms.max(1.0) * EXPECTED)
+        Self::Timed(took_ms / expected_ms.max(1.0) * EXPECTED_TIME_SCALE)
     }
 
-    fn of_call(call: &DueCall, end: &CallEnd, took: Duration) -> Option<Self> {
-        match end {
-            CallEnd::Busy | CallEnd::OtherTarget | CallEnd::SenderLost => None,
-            CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::Ended(_) => Some(Self::Failed),
-            CallEnd::Answered(made, _) if made.contains(&Err(PieceFault::Failed)) => {
+    fn of_call(call: &DueCall, outcome: &CallOutcome, took: Duration) -> Option<Self> {
+        match outcome {
+            CallOutcome::Busy | CallOutcome::OtherTarget | CallOutcome::SenderLost => None,
+            CallOutcome::Failed(_)
+            | CallOutcome::ConnectionBroken(_)
+            | CallOutcome::TargetCrashed(_) => Some(Self::Failed),
+            CallOutcome::Answered(results, _) if results.contains(&Err(PieceFault::Failed)) => {
                 Some(Self::Failed)
             }
-            // One that was sent ahead waited for another one.
-            CallEnd::Answered(..) if call.is_ahead() => Some(Self::Good),
-            CallEnd::Answered(..) => Some(Self::of_ratio(
+            // The time of an overlapping call includes the wait for the call before it.
+            CallOutcome::Answered(..) if call.is_ahead() => Some(Self::Good),
+            CallOutcome::Answered(..) => Some(Self::of_ratio(
                 took.as_secs_f64() * 1_000.0,
                 call.expected.as_secs_f64() * 1_000.0,
             )),
         }
     }
 
-    fn of_end(
+    fn of_attempt(
         ask: &Ask,
-        end: &AttemptEnd,
+        outcome: &AttemptEnd,
         took: Duration,
         facts: Option<PlaceFacts>,
     ) -> Option<Self> {
         let took_ms = took.as_secs_f64() * 1_000.0;
-        match end {
-            // Nothing ran, which says how full a target is.
+        match outcome {
+            // Nothing ran: this reflects the load of the target, not its version.
             AttemptEnd::NotRun { .. } | AttemptEnd::Withheld => None,
             AttemptEnd::MayHaveRun { .. } => Some(Self::Failed),
             AttemptEnd::Whole(status, ..) if status.is_server_error() => Some(Self::Failed),
             AttemptEnd::Whole(..) if ask.route.kind != RouteKind::Streaming => {
-                Some(Self::Took(took_ms))
+                Some(Self::Timed(took_ms))
             }
             AttemptEnd::Whole(..) => Some(Self::Good),
             AttemptEnd::Events(_) => Some(match facts {
@@ -91,89 +93,94 @@
                     took_ms + PROMPT_BASE_MS,
                     f64::from(facts.expected_ms) + PROMPT_BASE_MS,
                 ),
-                None => Self::Took(took_ms),
+                None => Self::Timed(took_ms),
             }),
         }
     }
 }
 
 impl Gateway {
-    /// Returns what this host counts for roll-outs, for the control hosts.
+    /// Returns a source of this host's response counts, which are reported to the control hosts.
     pub fn count_source(self: &Rc<Self>) -> CountSource {
         let gateway = self.clone();
         Box::new(move || {
             let targets = gateway.targets.borrow();
             let tally = gateway.rollouts.tally.borrow();
-            tally.counts(&gateway.rollouts.book.borrow(), |service, version| {
+            tally.counts(&gateway.rollouts.current.borrow(), |service, version| {
                 targets.open_beside(service, version)
             })
         })
     }
 
-    /// Takes what control hosts told of roll-outs, and whether any is heard; says whether that is news.
+    /// Applies the roll-outs that the control hosts announced, and whether any of them is connected. Returns
+    /// whether anything changed.
     pub(crate) fn refresh_rollouts(&self) -> bool {
         let view = self.view.borrow();
-        let (told, hears) = (view.rollouts(), view.is_connected());
-        let heard = self.rollouts.hears.replace(hears);
-        if *self.rollouts.book.borrow() == *told && heard == hears {
+        let (rollouts, is_connected) = (view.rollouts(), view.is_connected());
+        let was_connected = self.rollouts.is_connected.replace(is_connected);
+        if *self.rollouts.current.borrow() == *rollouts && was_connected == is_connected {
             return false;
         }
-        self.note_rollouts(told, hears);
-        self.rollouts.book.replace(told.clone());
-        self.rollouts.tally.borrow_mut().set_book(told);
-        let splits = VersionSplit::all_of(told, hears);
+        self.record_rollouts(rollouts, is_connected);
+        self.rollouts.current.replace(rollouts.clone());
+        self.rollouts.tally.borrow_mut().set_book(rollouts);
+        let splits = VersionSplit::all_in_progress(rollouts, is_connected);
         self.metrics.rollouts_open.set(splits.len() as i64);
         self.coordinator.set_splits(&splits);
         self.targets.borrow_mut().set_splits(splits);
         true
     }
 
-    fn note_rollouts(&self, told: &RolloutBook, hears: bool) {
-        let known = self.rollouts.book.borrow();
-        for (service, record) in told.all_newest() {
+    /// Records an event for each roll-out that is in progress or has changed.
+    fn record_rollouts(&self, rollouts: &RolloutBook, is_connected: bool) {
+        let known = self.rollouts.current.borrow();
+        for (service, record) in rollouts.all_newest() {
             if known.newest(service) == Some(record) && !record.is_in_progress() {
                 continue;
             }
             let detail = format!(
-                "service={service} version={} revision={} step={} permille={} state={} heard={hears}",
+                "service={service} version={} revision={} step={} permille={} state={} heard={is_connected}",
                 record.version, record.revision, record.step, record.permille, record.state
             );
             self.note(EventCode::RolloutInForce, &detail);
         }
     }
 
-    /// Counts how an attempt at a target ended.
+    /// Counts the outcome of an attempt at a target.
     pub(crate) fn count_attempt(
         &self,
         ask: &Ask,
         (service, chosen): (&str, &Chosen),
-        end: &AttemptEnd,
+        outcome: &AttemptEnd,
         took: Duration,
         facts: Option<PlaceFacts>,
     ) {
-        if let Some(quality) = AnswerQuality::of_end(ask, end, took, facts) {
-            self.count_answer(service, &chosen.id, &ask.route.name, quality);
+        if let Some(quality) = ResponseQuality::of_attempt(ask, outcome, took, facts) {
+            self.count_response(service, &chosen.id, &ask.route.name, quality);
         }
     }
 
-    /// Counts a call with pieces.
-    pub(crate) fn count_call(&self, call: &DueCall, end: &CallEnd, took: Duration) {
-        if let Some(quality) = AnswerQuality::of_call(call, end, took) {
-            self.count_answer(&call.pool.service, &call.target, CALLS, quality);
+    /// Counts the outcome of a call with pieces.
+    pub(crate) fn count_call(&self, call: &DueCall, outcome: &CallOutcome, took: Duration) {
+        if let Some(quality) = ResponseQuality::of_call(call, outcome, took) {
+            self.count_response(&call.pool.service, &call.target, CALLS_ROUTE, quality);
         }
     }
 
-    /// Counts an answer of a target, where a version of its service is rolled out. The times of one that is cold say
-    /// nothing of its version.
-    pub(crate) fn count_answer(
+    /// Counts a response of a target if a version of its service is being rolled out. The time is ignored while the
+    /// target is cold, since it does not depend on the version then.
+    pub(crate) fn count_response(
         &self,
         service: &str,
         target: &str,
         route: &str,
-        quality: AnswerQuality,
+        quality: ResponseQuality,
     ) {
-        let book = self.rollouts.book.borrow();
-        if book.newest(service).is_none_or(|one| !one.is_in_progress()) {
+        let rollouts = self.rollouts.current.borrow();
+        if rollouts
+            .newest(service)
+            .is_none_or(|one| !one.is_in_progress())
+        {
             return;
         }
         let targets = self.targets.borrow();
@@ -181,12 +188,12 @@
             return;
         };
         let is_cold = targets.is_cold(service, target, Instant::now());
-        let answered = match quality {
-            AnswerQuality::Failed => None,
-            AnswerQuality::Took(time_ms) if !is_cold => Some(Some(time_ms)),
-            AnswerQuality::Took(_) | AnswerQuality::Good => Some(None),
+        let response = match quality {
+            ResponseQuality::Failed => None,
+            ResponseQuality::Timed(time_ms) if !is_cold => Some(Some(time_ms)),
+            ResponseQuality::Timed(_) | ResponseQuality::Good => Some(None),
         };
         let mut tally = self.rollouts.tally.borrow_mut();
-        tally.note(&book, service, (route, version), answered);
+        tally.note(&rollouts, service, (route, version), response);
     }
 }
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -10,7 +10,7 @@
 use crate::Gateway;
 use crate::ask::Ask;
 use crate::coordinator::HALL_BYTES;
-use crate::path_time::{last_stages, path_time};
+use crate::path_time::{estimate_path_time, final_stages};
 
 /// Part of its own time by which a deferred stage starts earlier than planned, since calls to its
 /// targets do not begin at once, and a span beside it.
@@ -37,8 +37,8 @@
 impl StageSchedule {
     /// Plans the stages of a request that starts now.
     pub(crate) fn new(gateway: &Gateway, ask: &Ask) -> Self {
-        let path = path_time(gateway, ask);
-        let last = last_stages(ask);
+        let path = estimate_path_time(gateway, ask);
+        let last = final_stages(ask);
         let stages = ask.route.stages.iter().enumerate();
         let deferrable: Vec<usize> = stages
             .filter(|(number, stage)| {
@@ -46,7 +46,12 @@
             })
             .map(|(number, _)| number)
             .collect();
-        Self::plan(&deferrable, path.ends, &path.spans, Instant::now())
+        Self::plan(
+            &deferrable,
+            path.stage_ends_ms,
+            &path.stage_times_ms,
+            Instant::now(),
+        )
     }
 
     /// Plans stages that end after `ends` and take `spans`, in milliseconds, of which some may be
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! The callers' port.
+//! The port for callers.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -19,16 +19,16 @@
 use crate::answer::refusal_answer;
 use crate::ask::{Ask, read_ask, read_time};
 use crate::forward::forward;
-use crate::open_request::OpenRequest;
+use crate::open_request::OpenRequestGuard;
 use crate::{AnswerBody, Gateway, Refusal, RefusalReason};
 
-/// The least buffer that the HTTP library takes for a head, in bytes.
-const LEAST_HEAD_BUFFER: usize = 8 * 1024;
+/// Minimum size of the head buffer that the HTTP library accepts.
+const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
-/// When a caller should come back to a host that has no configuration.
+/// Value of the retry-after header in responses of a host that has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Serves callers until `stop` says that connections should end, and then until they have ended.
+/// Accepts connections of callers until `stop` becomes true.
 pub async fn serve_callers(
     gateway: Rc<Gateway>,
     listener: TcpListener,
@@ -41,7 +41,7 @@
                     let _ = socket.set_nodelay(true);
                     ntex::rt::spawn(serve_connection(gateway.clone(), socket, stop.clone()));
                 }
-                // Out of descriptors: waiting lets others end.
+                // Out of file descriptors: wait for other connections to close.
                 Err(_) => sleep(Duration::from_millis(20)).await,
             },
             _ = stop.changed() => {}
@@ -56,20 +56,20 @@
 ) {
     let table = gateway.table();
     let limits = table.map_or_else(Default::default, |table| table.config().limits.clone());
-    let serving = gateway.clone();
+    let service_gateway = gateway.clone();
     let service = service_fn(move |request| {
-        let gateway = serving.clone();
-        async move { Ok::<_, Infallible>(handle(gateway, request).await) }
+        let gateway = service_gateway.clone();
+        async move { Ok::<_, Infallible>(handle_request(gateway, request).await) }
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_HEAD_BUFFER))
+        .max_buf_size(limits.max_header_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(socket), service);
     let mut connection = std::pin::pin!(connection);
     loop {
         tokio::select! {
-            // A caller that left or broke a rule of the protocol ends its connection only.
+            // A disconnect or a protocol error of the caller ends only its own connection.
             _ = connection.as_mut() => return,
             changed = stop.changed() => {
                 if changed.is_err() || *stop.borrow() {
@@ -82,11 +82,11 @@
     }
 }
 
-async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
-    let open = OpenRequest::new(&gateway.open_requests);
-    match take_request(&gateway, request).await {
+async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+    let open_guard = OpenRequestGuard::new(&gateway.open_requests);
+    match read_request(&gateway, request).await {
         Ok(mut ask) => {
-            ask.open = Some(open);
+            ask.open = Some(open_guard);
             forward(gateway, ask).await
         }
         Err((id, refusal)) => {
@@ -98,11 +98,12 @@
     }
 }
 
-async fn take_request(
+/// Reads and checks a request; a refusal comes with the request's id.
+async fn read_request(
     gateway: &Gateway,
     request: Request<Incoming>,
 ) -> Result<Ask, (String, Refusal)> {
-    let arrived = Instant::now();
+    let arrived_at = Instant::now();
     let (head, body) = request.into_parts();
     let names = &gateway.config.dialect.headers;
     let id = head.headers.get(&names.request_id);
@@ -110,13 +111,13 @@
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default()
         .to_owned();
-    let patience = gateway.start_patience(read_time(&head.headers, &names.deadline_ms));
-    let Some(table) = gateway.table_within(patience).await else {
+    let max_wait = gateway.start_patience(read_time(&head.headers, &names.deadline_ms));
+    let Some(table) = gateway.table_within(max_wait).await else {
         let refusal = Refusal::new(RefusalReason::NotReady, "no configuration yet")
             .with_retry_after(NOT_READY_RETRY_AFTER);
         return Err((id, refusal));
     };
-    let mut ask = read_ask(&table, names, &gateway.config.halls, head, arrived)
+    let mut ask = read_ask(&table, names, &gateway.config.halls, head, arrived_at)
         .map_err(|refusal| (id.clone(), refusal))?;
     ask.body = read_body(body, table.config().limits.max_body_bytes, &ask)
         .await
@@ -124,17 +125,17 @@
     Ok(ask)
 }
 
-async fn read_body(body: Incoming, most: usize, ask: &Ask) -> Result<Bytes, Refusal> {
-    match timeout(ask.time_left(), Limited::new(body, most).collect()).await {
+async fn read_body(body: Incoming, max_bytes: usize, ask: &Ask) -> Result<Bytes, Refusal> {
+    match timeout(ask.time_left(), Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            let detail = format!("body over {most} bytes");
+            let detail = format!("body over {max_bytes} bytes");
             Err(Refusal::new(RefusalReason::BodyTooLarge, detail))
         }
         Ok(Err(error)) => Err(Refusal::new(RefusalReason::BadRequest, error.to_string())),
         Err(_) => Err(Refusal::new(
             RefusalReason::Overloaded,
-            "the body did not come in time",
+            "the body did not arrive before the deadline",
         )),
     }
 }
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -1,4 +1,4 @@
-//! The port for pieces of other entry hosts.
+//! The server side of connections between entry hosts: pieces, prompts, permits and delegated calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,16 +14,18 @@
 use crate::Gateway;
 use crate::coordinator::{BatchKey, ExpectKey};
 use crate::engine::{PlaceAsk, PlacementKey};
-use crate::first_form::{FirstRequest, queue_reply};
+use crate::message_v1::{PieceRequestV1, queue_reply};
 use crate::peer_queue::send_waiting;
 use crate::piece::PieceBatch;
 use crate::piece_message::{PieceReply, PieceRequest};
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallEnd, StageCall, StageRelease};
-use crate::stage_client::{ALIVE_PERIOD, IDLE_PERIOD, IDLE_SILENCE_LIMIT, SILENCE_LIMIT};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease};
+use crate::stage_client::{
+    HEARTBEAT_INTERVAL, IDLE_HEARTBEAT_INTERVAL, IDLE_SILENCE_TIMEOUT, SILENCE_TIMEOUT,
+};
 use crate::turn::TurnAnswer;
 
-/// Serves the pieces of another entry host until it is lost; what it still waits for is withdrawn.
+/// Serves the requests of another entry host until its connection is lost, and then cancels what it has pending.
 ///
 /// # Errors
 ///
@@ -35,79 +37,79 @@
 ) -> Result<(), WireError> {
     let (replies, queue) = mpsc::unbounded_channel();
     let peer = reader.peer().to_owned();
-    let (told, form) = watch::channel(reader.form());
+    let (version_sender, version) = watch::channel(reader.form());
     let session = PieceSession::new(gateway, replies.clone());
     let work = session.work.clone();
     tokio::select! {
-        () = tell_uses(gateway, &peer, replies) => Ok(()),
-        ended = take_requests(session, told, reader) => ended,
-        ended = send_replies(gateway, &work, form, queue, writer) => ended,
+        () = report_usage(gateway, &peer, replies) => Ok(()),
+        ended = receive_requests(session, version_sender, reader) => ended,
+        ended = send_replies(gateway, &work, version, queue, writer) => ended,
     }
 }
 
-async fn take_requests(
+async fn receive_requests(
     mut session: PieceSession,
-    told: watch::Sender<Option<MessageForm>>,
+    version_sender: watch::Sender<Option<MessageForm>>,
     reader: PeerReader,
 ) -> Result<(), WireError> {
     let mut reader = reader;
     loop {
-        reader = reader.with_silence_limit(session.work.silence_limit());
-        let known = reader.form();
-        let request = reader.receive_formed::<_, FirstRequest>().await?;
-        if let (None, Some(form)) = (known, reader.form()) {
-            session.note_form(reader.peer(), form);
-            told.send_replace(Some(form));
+        reader = reader.with_silence_limit(session.work.silence_timeout());
+        let known_version = reader.form();
+        let request = reader.receive_formed::<_, PieceRequestV1>().await?;
+        if let (None, Some(version)) = (known_version, reader.form()) {
+            session.record_peer_version(reader.peer(), version);
+            version_sender.send_replace(Some(version));
         }
-        session.take(request);
+        session.handle_request(request);
     }
 }
 
-/// What another entry host waits for here.
+/// The work for which another entry host awaits a reply.
 #[derive(Default)]
 struct SessionWork {
-    /// Its batches, by the numbers that it gave.
+    /// Its batches, by the numbers that it assigned.
     batches: RefCell<HashMap<u64, BatchKey>>,
-    /// Calls that are sent in its place.
-    calls: Cell<usize>,
+    /// Number of calls that it delegated to this host.
+    delegated_calls: Cell<usize>,
 }
 
 impl SessionWork {
     fn is_empty(&self) -> bool {
-        self.batches.borrow().is_empty() && self.calls.get() == 0
+        self.batches.borrow().is_empty() && self.delegated_calls.get() == 0
     }
 
-    /// Returns the time between two signs of life to the other host.
-    fn alive_period(&self) -> Duration {
+    /// Returns the interval of heartbeats to the other host.
+    fn heartbeat_interval(&self) -> Duration {
         if self.is_empty() {
-            IDLE_PERIOD
+            IDLE_HEARTBEAT_INTERVAL
         } else {
-            ALIVE_PERIOD
+            HEARTBEAT_INTERVAL
         }
     }
 
-    /// Returns for how long the other host may be silent. What a lost host has waiting here takes the
-    /// place of others' work.
-    fn silence_limit(&self) -> Duration {
+    /// Returns how long the other host may be silent. The timeout is short while it has work here, since the
+    /// work of a lost host takes capacity from others.
+    fn silence_timeout(&self) -> Duration {
         if self.is_empty() {
-            IDLE_SILENCE_LIMIT
+            IDLE_SILENCE_TIMEOUT
         } else {
-            SILENCE_LIMIT
+            SILENCE_TIMEOUT
         }
     }
 }
 
-/// What another entry host has going on here, by the numbers that it gave; given back when that host
-/// is lost.
+/// Everything that another entry host has begun here, by the numbers that it assigned. All of it is ended when the
+/// session is dropped, that is when the connection is lost.
 struct PieceSession {
     gateway: Rc<Gateway>,
     replies: mpsc::UnboundedSender<PieceReply>,
     work: Rc<SessionWork>,
     placements: HashMap<u64, PlacementKey>,
-    /// Pieces that it said will come.
+    /// Its announcements of pieces.
     expectations: HashMap<u64, ExpectKey>,
-    /// Requests that may end their targets and run there now.
-    turns: HashMap<u64, RequestKey>,
+    /// The requests to which it holds run permits.
+    run_permits: HashMap<u64, RequestKey>,
 }
 
 impl PieceSession {
@@ -118,47 +120,49 @@
             work: Rc::default(),
             placements: HashMap::new(),
             expectations: HashMap::new(),
-            turns: HashMap::new(),
+            run_permits: HashMap::new(),
         }
     }
 
-    /// Notes the form that the other host speaks, which it did not announce.
-    fn note_form(&self, peer: &str, form: MessageForm) {
-        let detail = format!("peer={peer} form={form}");
+    /// Records the message version of a host that did not announce one.
+    fn record_peer_version(&self, peer: &str, version: MessageForm) {
+        let detail = format!("peer={peer} form={version}");
         self.gateway.note(EventCode::PeerEarlier, &detail);
     }
 
-    fn take(&mut self, request: PieceRequest) {
+    fn handle_request(&mut self, request: PieceRequest) {
         match request {
-            PieceRequest::Run(batch) => self.run_batch(batch),
-            PieceRequest::Cancel(number) => self.cancel_batch(number),
-            PieceRequest::Free {
+            PieceRequest::RunBatch(batch) => self.run_batch(batch),
+            PieceRequest::CancelBatch(number) => self.cancel_batch(number),
+            PieceRequest::ReleaseResults {
                 service,
                 handles,
                 bytes,
             } => self.gateway.coordinator.free(&service, handles, bytes),
-            PieceRequest::Expect { number, expected } => {
+            PieceRequest::ExpectPieces { number, expected } => {
                 let key = self.gateway.coordinator.expect(expected);
                 self.expectations.insert(number, key);
             }
-            PieceRequest::Arrived(number) => self.end_expectation(number),
-            PieceRequest::Plan { number, ask } => self.plan(number, &ask),
-            PieceRequest::Place { number, ask } => self.place(number, &ask),
-            PieceRequest::Read(number) => self.note_read(number),
-            PieceRequest::End(number) => self.end_placement(number),
-            PieceRequest::Call { number, call } => self.send_call(number, call),
-            PieceRequest::Release(release) => self.send_release(release),
-            PieceRequest::Unreachable { service, engine } => {
+            PieceRequest::EndExpectation(number) => self.end_expectation(number),
+            PieceRequest::PlanPlacement { number, ask } => self.plan_placement(number, &ask),
+            PieceRequest::PlacePrompt { number, ask } => self.place_prompt(number, &ask),
+            PieceRequest::PrefillDone(number) => self.record_prefill_done(number),
+            PieceRequest::EndPlacement(number) => self.end_placement(number),
+            PieceRequest::DelegateCall { number, call } => self.send_delegated_call(number, call),
+            PieceRequest::DelegateRelease(release) => self.send_delegated_release(release),
+            PieceRequest::EngineUnreachable { service, engine } => {
                 let mut targets = self.gateway.targets.borrow_mut();
                 targets.take_unreachable(&service, &engine, Instant::now());
             }
             PieceRequest::Suspects(records) => self.gateway.take_suspects(&records),
-            PieceRequest::TakeTurn { number, key, id } => self.grant_turn(number, key, &id),
-            PieceRequest::EndTurn(number) => self.end_turn(number),
-            PieceRequest::Alive => {}
-            PieceRequest::TakeRate { number, ask } => {
+            PieceRequest::AcquireRunPermit { number, key, id } => {
+                self.issue_run_permit(number, key, &id)
+            }
+            PieceRequest::ReleaseRunPermit(number) => self.release_run_permit(number),
+            PieceRequest::Heartbeat => {}
+            PieceRequest::AcquireSendPermit { number, ask } => {
                 let answer = self.gateway.answer_rate(&ask);
-                let _ = self.replies.send(PieceReply::Rate { number, answer });
+                let _ = self.replies.send(PieceReply::SendPermit { number, answer });
             }
         }
     }
@@ -166,14 +170,14 @@
     fn run_batch(&self, batch: PieceBatch) {
         let (number, pool) = (batch.number, batch.pool.clone());
         let (replies, work) = (self.replies.clone(), self.work.clone());
-        let telling = self.gateway.clone();
+        let gateway = self.gateway.clone();
         let key = self.gateway.coordinator.submit(batch, move |results| {
             work.batches.borrow_mut().remove(&number);
-            let _ = replies.send(PieceReply::Done { number, results });
-            let loads = telling.coordinator.loads();
-            let load = loads.iter().filter(|(told, _)| *told == pool);
+            let _ = replies.send(PieceReply::BatchDone { number, results });
+            let loads = gateway.coordinator.loads();
+            let load = loads.iter().filter(|(key, _)| *key == pool);
             let loads = load.cloned().collect();
-            let _ = replies.send(PieceReply::Alive { loads });
+            let _ = replies.send(PieceReply::Heartbeat { loads });
         });
         if let Some(key) = key {
             self.work.batches.borrow_mut().insert(number, key);
@@ -193,7 +197,7 @@
         }
     }
 
-    fn plan(&self, number: u64, ask: &PlaceAsk) {
+    fn plan_placement(&self, number: u64, ask: &PlaceAsk) {
         let book = self.gateway.targets.borrow();
         let engines = self.gateway.engines.borrow();
         let planned = engines.plan(&book, ask, Instant::now());
@@ -201,7 +205,7 @@
         let _ = self.replies.send(PieceReply::Placed { number, engine });
     }
 
-    fn place(&mut self, number: u64, ask: &PlaceAsk) {
+    fn place_prompt(&mut self, number: u64, ask: &PlaceAsk) {
         let placed = {
             let book = self.gateway.targets.borrow();
             let mut engines = self.gateway.engines.borrow_mut();
@@ -214,7 +218,7 @@
         let _ = self.replies.send(PieceReply::Placed { number, engine });
     }
 
-    fn note_read(&self, number: u64) {
+    fn record_prefill_done(&self, number: u64) {
         if let Some(key) = self.placements.get(&number) {
             let mut engines = self.gateway.engines.borrow_mut();
             engines.note_read(*key, Instant::now());
@@ -227,31 +231,31 @@
         }
     }
 
-    fn grant_turn(&mut self, number: u64, key: RequestKey, id: &str) {
+    fn issue_run_permit(&mut self, number: u64, key: RequestKey, id: &str) {
         let answer = self.gateway.grant_turn(key, id);
         if answer == TurnAnswer::Granted {
-            self.turns.insert(number, key);
+            self.run_permits.insert(number, key);
         }
-        let _ = self.replies.send(PieceReply::Turn { number, answer });
+        let _ = self.replies.send(PieceReply::RunPermit { number, answer });
     }
 
-    fn end_turn(&mut self, number: u64) {
-        if let Some(key) = self.turns.remove(&number) {
+    fn release_run_permit(&mut self, number: u64) {
+        if let Some(key) = self.run_permits.remove(&number) {
             self.gateway.suspects.end_turn(key);
         }
     }
 
-    fn send_call(&self, number: u64, call: StageCall) {
+    fn send_delegated_call(&self, number: u64, call: StageCall) {
         let (gateway, replies) = (self.gateway.clone(), self.replies.clone());
         let work = self.work.clone();
-        work.calls.set(work.calls.get() + 1);
+        work.delegated_calls.set(work.delegated_calls.get() + 1);
         ntex::rt::spawn(async move {
             send_for_peer(gateway, number, call, replies).await;
-            work.calls.set(work.calls.get() - 1);
+            work.delegated_calls.set(work.delegated_calls.get() - 1);
         });
     }
 
-    fn send_release(&self, release: StageRelease) {
+    fn send_delegated_release(&self, release: StageRelease) {
         let gateway = self.gateway.clone();
         ntex::rt::spawn(async move {
             gateway.stage_caller().send_release(&release).await;
@@ -264,12 +268,12 @@
         let mut engines = self.gateway.engines.borrow_mut();
         self.placements.values().for_each(|key| engines.end(*key));
         drop(engines);
-        let turns = self.turns.values();
-        turns.for_each(|key| self.gateway.suspects.end_turn(*key));
+        let run_permits = self.run_permits.values();
+        run_permits.for_each(|key| self.gateway.suspects.end_turn(*key));
         let coordinator = &self.gateway.coordinator;
         let expected = self.expectations.values();
         expected.for_each(|key| coordinator.arrived(*key));
-        // Taken out first: what a cancelled batch wakes looks at the others.
+        // The map is drained before any batch is cancelled, since cancelling runs code that borrows it.
         let batches: Vec<BatchKey> = self
             .work
             .batches
@@ -281,43 +285,44 @@
     }
 }
 
-/// Sends a call for another host, for as long as that host waits for its end.
+/// Sends a delegated call, and the outcome to the coordinator. Stops if the coordinator's connection is lost.
 async fn send_for_peer(
     gateway: Rc<Gateway>,
     number: u64,
     call: StageCall,
     replies: mpsc::UnboundedSender<PieceReply>,
 ) {
-    let bound = Duration::from_millis(call.bound_ms);
+    let max_wait = Duration::from_millis(call.timeout_ms);
     let sending = gateway.stage_caller().send_call(&call);
-    let end = tokio::select! {
-        end = timeout(bound, sending) => end,
+    let outcome = tokio::select! {
+        outcome = timeout(max_wait, sending) => outcome,
         () = replies.closed() => return,
     };
-    let too_late = |_| CallEnd::Failed(format!("no answer within {} ms", bound.as_millis()));
-    let end = end.unwrap_or_else(too_late);
-    // A host that is gone needs no answer.
-    let _ = replies.send(PieceReply::Called { number, end });
+    let timed_out =
+        |_| CallOutcome::Failed(format!("no response within {} ms", max_wait.as_millis()));
+    let outcome = outcome.unwrap_or_else(timed_out);
+    // Sending fails only if the connection was lost; then nobody waits for the reply.
+    let _ = replies.send(PieceReply::DelegatedCallEnded { number, outcome });
 }
 
-/// Tells another host what this one uses of the targets of the pools that the other would gather
-/// for next.
-async fn tell_uses(gateway: &Gateway, peer: &str, replies: mpsc::UnboundedSender<PieceReply>) {
-    let mut told: Vec<PoolKey> = Vec::new();
+/// Reports to another host this host's use of the targets of the pools for which the other is a successor as
+/// coordinator.
+async fn report_usage(gateway: &Gateway, peer: &str, replies: mpsc::UnboundedSender<PieceReply>) {
+    let mut reported: Vec<PoolKey> = Vec::new();
     loop {
-        sleep(ALIVE_PERIOD).await;
-        let would_gather = |pool: &PoolKey| {
+        sleep(HEARTBEAT_INTERVAL).await;
+        let is_successor = |pool: &PoolKey| {
             let successors = gateway.stages.successors(pool);
             successors.iter().any(|name| name == peer)
         };
-        let mut uses = gateway.coordinator.uses(would_gather);
-        let now: Vec<PoolKey> = uses.iter().map(|(pool, _)| pool.clone()).collect();
-        // What was told before and is used no more is told once more, as nothing.
-        let ended = told.into_iter().filter(|pool| !now.contains(pool));
-        uses.extend(ended.map(|pool| (pool, Vec::new())));
-        told = now;
-        for (pool, uses) in uses {
-            let _ = replies.send(PieceReply::Uses { pool, uses });
+        let mut reports = gateway.coordinator.uses(is_successor);
+        let in_use: Vec<PoolKey> = reports.iter().map(|(pool, _)| pool.clone()).collect();
+        // A pool that is no longer in use is reported once more, as empty.
+        let ended = reported.into_iter().filter(|pool| !in_use.contains(pool));
+        reports.extend(ended.map(|pool| (pool, Vec::new())));
+        reported = in_use;
+        for (pool, usage) in reports {
+            let _ = replies.send(PieceReply::TargetUsage { pool, usage });
         }
     }
 }
@@ -325,20 +330,24 @@
 async fn send_replies(
     gateway: &Gateway,
     work: &SessionWork,
-    mut form: watch::Receiver<Option<MessageForm>>,
+    mut version: watch::Receiver<Option<MessageForm>>,
     mut queue: mpsc::UnboundedReceiver<PieceReply>,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
-    // Whoever takes the requests is gone, and with it the other host, where none came.
-    let Ok(Some(form)) = form.wait_for(Option::is_some).await.map(|form| *form) else {
+    // The sender of the version is dropped when the connection ends before the first request.
+    let Ok(Some(version)) = version
+        .wait_for(Option::is_some)
+        .await
+        .map(|version| *version)
+    else {
         return Ok(());
     };
-    let put = |writer: &mut PeerWriter, reply: &PieceReply| queue_reply(writer, form, reply);
+    let put = |writer: &mut PeerWriter, reply: &PieceReply| queue_reply(writer, version, reply);
     loop {
-        let reply = match timeout(work.alive_period(), queue.recv()).await {
+        let reply = match timeout(work.heartbeat_interval(), queue.recv()).await {
             Ok(Some(reply)) => reply,
             Ok(None) => return Ok(()),
-            Err(_) => PieceReply::Alive {
+            Err(_) => PieceReply::Heartbeat {
                 loads: gateway.coordinator.loads().to_vec(),
             },
         };
--- a/crates/gateway/src/serve_pieces/tests.rs
+++ b/crates/gateway/src/serve_pieces/tests.rs
@@ -1,4 +1,4 @@
-//! What gathering and placing cost a host, by the number of hosts that use it.
+//! Measures the cost of the roles of coordinator and placer by the number of hosts that use them.
 
 mod fleet;
 mod role_cost;
--- a/crates/gateway/src/serve_pieces/tests/fleet.rs
+++ b/crates/gateway/src/serve_pieces/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A light fleet around one entry host: other entry hosts that hand it pieces and prompts, and stage
+//! A light-weight fleet around one entry host: other entry hosts that send it pieces and prompts, and stage
 //! targets that answer its calls. All but the host itself run on a thread of their own.
 
 use std::net::SocketAddr;
@@ -18,35 +18,35 @@
 use crate::piece::{ExpectedPieces, PieceBatch, PieceInput, StageWork};
 use crate::piece_message::{PieceReply, PieceRequest};
 use crate::pool_key::PoolKey;
-use crate::stage_client::IDLE_PERIOD;
+use crate::stage_client::IDLE_HEARTBEAT_INTERVAL;
 
 pub(super) const STAGE: &str = "stage";
 pub(super) const ENGINES: &str = "engines";
 
-/// Pieces of one request, and results that each of them takes.
+/// Number of pieces of one request, and of input results of each piece.
 pub(super) const PIECES: u32 = 16;
 const INPUTS: usize = 8;
 
-/// Time that a call takes beside its pieces, and for each of them.
+/// Fixed time of a call, and time of each piece in it.
 pub(super) const CALL_MS: f64 = 150.0;
 pub(super) const PIECE_MS: f64 = 1.3;
 
-/// Time until an engine has read a prompt, and until its request has ended.
-const READ_TIME: Duration = Duration::from_millis(150);
-const RUN_TIME: Duration = Duration::from_millis(500);
+/// Time of the prefill on an engine, and of the rest of the request.
+const PREFILL_TIME: Duration = Duration::from_millis(150);
+const GENERATION_TIME: Duration = Duration::from_millis(500);
 
-/// Shared parts that prompts are drawn from.
-const PARTS: u32 = 700;
+/// Number of shared prompt parts from which the prompts are drawn.
+const SHARED_PART_COUNT: u32 = 700;
 
-/// What the other hosts ask of the one that is measured.
+/// The role of the measured host for the other hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
-    /// Gather the pieces of a pool.
-    Gather,
-    /// Place prompts on engines.
-    Place,
-    /// Nothing: signs of life only.
-    Rest,
+    /// It is the coordinator of a pool.
+    Coordinator,
+    /// It places prompts on engines.
+    Placer,
+    /// It has no role; only heartbeats are exchanged.
+    Idle,
 }
 
 pub(super) fn identity(name: &str) -> PeerIdentity {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Answers calls of stage targets, each after the time that its pieces take.
+/// Answers calls as a stage target, each after the time that its pieces take.
 pub(super) async fn run_target(listener: TcpListener) {
     while let Ok((socket, _)) = listener.accept().await {
         tokio::spawn(answer_calls(socket));
@@ -66,47 +66,47 @@
 
 async fn answer_calls(mut socket: TcpStream) -> std::io::Result<()> {
     let address = socket.local_addr()?;
-    let mut taken = Vec::new();
-    let mut made = 0_u64;
+    let mut buffer = Vec::new();
+    let mut result_count = 0_u64;
     loop {
-        let (head, body) = read_call(&mut socket, &mut taken).await?;
-        let answer = if head.starts_with("POST /run") {
+        let (head, body) = read_call(&mut socket, &mut buffer).await?;
+        let response_body = if head.starts_with("POST /run") {
             let pieces = body.split(|byte| *byte == b'\n').count() - 1;
             sleep(Duration::from_secs_f64(
                 (CALL_MS + PIECE_MS * pieces as f64) / 1e3,
             ))
             .await;
-            let handles =
-                (0..pieces).map(|piece| format!("{address}/{:012x}\n", made + piece as u64));
+            let handles = (0..pieces)
+                .map(|piece| format!("{address}/{:012x}\n", result_count + piece as u64));
             let handles: String = handles.collect();
-            made += pieces as u64;
+            result_count += pieces as u64;
             handles
         } else {
             "{}".to_owned()
         };
         let head = format!(
             "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
-            answer.len()
+            response_body.len()
         );
-        socket.write_all((head + &answer).as_bytes()).await?;
+        socket.write_all((head + &response_body).as_bytes()).await?;
     }
 }
 
 async fn read_call(
     socket: &mut TcpStream,
-    taken: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
 ) -> std::io::Result<(String, Vec<u8>)> {
     loop {
-        if let Some(end) = taken.windows(4).position(|four| four == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&taken[..end]).into_owned();
+        if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
             let length = head
                 .lines()
                 .find_map(|line| line.strip_prefix("content-length: "))
                 .and_then(|value| value.trim().parse::<usize>().ok())
                 .unwrap_or(0);
-            if taken.len() >= end + 4 + length {
-                let body = taken[end + 4..end + 4 + length].to_vec();
-                taken.drain(..end + 4 + length);
+            if buffer.len() >= end + 4 + length {
+                let body = buffer[end + 4..end + 4 + length].to_vec();
+                buffer.drain(..end + 4 + length);
                 return Ok((head, body));
             }
         }
@@ -115,11 +115,11 @@
         if count == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
-        taken.extend_from_slice(&bytes[..count]);
+        buffer.extend_from_slice(&bytes[..count]);
     }
 }
 
-/// Asks the host at `address` for its role, `per_s` times a second on the mean.
+/// Sends requests for a role to the host at `address`, `per_s` of them a second on average.
 pub(super) async fn run_peer(number: usize, address: SocketAddr, role: Role, per_s: f64) {
     let me = identity(&format!("host-{number}"));
     let Ok((reader, mut writer)) = connect_peer(&me, address).await else {
@@ -129,14 +129,14 @@
         return;
     }
     let (requests, mut queue) = mpsc::unbounded_channel::<PieceRequest>();
-    tokio::spawn(take_replies(reader, requests.clone()));
-    tokio::spawn(ask_on(requests, role, per_s, number as u64));
+    tokio::spawn(receive_replies(reader, requests.clone()));
+    tokio::spawn(send_requests(requests, role, per_s, number as u64));
     loop {
-        let request = tokio::time::timeout(IDLE_PERIOD, queue.recv()).await;
+        let request = tokio::time::timeout(IDLE_HEARTBEAT_INTERVAL, queue.recv()).await;
         let request = match request {
             Ok(Some(request)) => request,
             Ok(None) => return,
-            Err(_) => PieceRequest::Alive,
+            Err(_) => PieceRequest::Heartbeat,
         };
         if writer.send(&request).await.is_err() {
             return;
@@ -144,10 +144,15 @@
     }
 }
 
-async fn ask_on(requests: mpsc::UnboundedSender<PieceRequest>, role: Role, per_s: f64, seed: u64) {
+async fn send_requests(
+    requests: mpsc::UnboundedSender<PieceRequest>,
+    role: Role,
+    per_s: f64,
+    seed: u64,
+) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut number = 0;
-    if role == Role::Rest {
+    if role == Role::Idle {
         return;
     }
     loop {
@@ -155,11 +160,13 @@
         sleep(Duration::from_secs_f64(gap_s)).await;
         number += 1;
         let sent = match role {
-            Role::Gather => batch_requests(number).map(|request| requests.send(request).is_ok()),
+            Role::Coordinator => {
+                batch_requests(number).map(|request| requests.send(request).is_ok())
+            }
             _ => [
                 true,
                 true,
-                send_place(&requests, number, random.u32(0..PARTS)),
+                send_place(&requests, number, random.u32(0..SHARED_PART_COUNT)),
             ],
         };
         if sent.contains(&false) {
@@ -170,11 +177,12 @@
 
 fn send_place(requests: &mpsc::UnboundedSender<PieceRequest>, number: u64, part: u32) -> bool {
     let ask = place_ask(part);
-    requests.send(PieceRequest::Place { number, ask }).is_ok()
+    requests
+        .send(PieceRequest::PlacePrompt { number, ask })
+        .is_ok()
 }
 
-/// What a host sends for a stage of one request: that pieces will come, that they are there, and the
-/// pieces.
+/// The messages of a host for one stage of a request: the announcement of pieces, its end, and the batch.
 fn batch_requests(number: u64) -> [PieceRequest; 3] {
     let rank = Rank {
         first: 1,
@@ -190,25 +198,25 @@
         number,
         pool: PoolKey::whole(STAGE),
         rank,
-        first: false,
-        wanted_ms: 1_500,
+        first_stage: false,
+        objective_ms: 1_500,
         remaining_ms: 6_000,
-        hall: None,
-        homes: None,
+        preferred_hall: None,
+        allowed_halls: None,
         result_bytes: 6_000,
-        key: RequestKey::default(),
-        apart: false,
+        request_key: RequestKey::default(),
+        isolated: false,
         work: StageWork {
             request: format!("{number:016x}"),
             stage: 2,
             input: PieceInput::Results((0..INPUTS as u64).map(handle).collect()),
         },
-        count: PIECES,
+        piece_count: PIECES,
     };
     [
-        PieceRequest::Expect { number, expected },
-        PieceRequest::Arrived(number),
-        PieceRequest::Run(batch),
+        PieceRequest::ExpectPieces { number, expected },
+        PieceRequest::EndExpectation(number),
+        PieceRequest::RunBatch(batch),
     ]
 }
 
@@ -232,24 +240,24 @@
     }
 }
 
-async fn take_replies(mut reader: PeerReader, requests: mpsc::UnboundedSender<PieceRequest>) {
+async fn receive_replies(mut reader: PeerReader, requests: mpsc::UnboundedSender<PieceRequest>) {
     while let Ok(reply) = reader.receive::<PieceReply>().await {
         match reply {
-            PieceReply::Done { results, .. } => {
-                let free = PieceRequest::Free {
+            PieceReply::BatchDone { results, .. } => {
+                let release = PieceRequest::ReleaseResults {
                     service: STAGE.to_owned(),
                     handles: results.into_iter().flatten().collect(),
                     bytes: 6_000,
                 };
-                let _ = requests.send(free);
+                let _ = requests.send(release);
             }
             PieceReply::Placed { number, .. } => {
                 let requests = requests.clone();
                 tokio::spawn(async move {
-                    sleep(READ_TIME).await;
-                    let _ = requests.send(PieceRequest::Read(number));
-                    sleep(RUN_TIME).await;
-                    let _ = requests.send(PieceRequest::End(number));
+                    sleep(PREFILL_TIME).await;
+                    let _ = requests.send(PieceRequest::PrefillDone(number));
+                    sleep(GENERATION_TIME).await;
+                    let _ = requests.send(PieceRequest::EndPlacement(number));
                 });
             }
             _ => {}
--- a/crates/gateway/src/serve_pieces/tests/role_cost.rs
+++ b/crates/gateway/src/serve_pieces/tests/role_cost.rs
@@ -1,4 +1,4 @@
-//! The processor that gathering and placing take, measured on the thread of the host alone.
+//! The CPU use of the roles of coordinator and placer, measured on the thread of the host alone.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,20 +20,20 @@
 use crate::piece::PieceInput;
 use crate::{Dialect, Gateway, GatewayConfig, serve_pieces};
 
-/// Entry hosts that use the one that is measured.
-const FLEETS: [usize; 3] = [75, 295, 1_000];
+/// Numbers of entry hosts that use the measured one.
+const FLEET_SIZES: [usize; 3] = [75, 295, 1_000];
 
-/// Requests that they bring together in a second: a pool of 22 targets at nine tenths of what it makes,
-/// and the prompts of 500 requests a second, each in a burst.
+/// Total requests a second of all hosts: batches for a pool of 22 targets at nine tenths of its capacity, and
+/// the prompts of 500 requests a second, in bursts.
 const BATCHES_PER_S: f64 = 380.0;
 const PROMPTS_PER_S: f64 = 700.0;
 
 const STAGE_TARGETS: usize = 22;
 const ENGINE_TARGETS: usize = 140;
 
-/// Time until the load is steady, and for which it is measured.
-const WARM_UP: Duration = Duration::from_secs(3);
-const MEASURED: Duration = Duration::from_secs(5);
+/// Time until the load is steady, and duration of the measurement.
+const WARM_UP_TIME: Duration = Duration::from_secs(3);
+const MEASURED_TIME: Duration = Duration::from_secs(5);
 
 fn encode_run(items: &[StageItem<'_>]) -> Vec<u8> {
     let line = |item: &StageItem<'_>| {
@@ -143,8 +143,8 @@
     stages.chain(engines).collect()
 }
 
-/// Nanoseconds that this thread has run, and how often it was put to rest.
-fn thread_time() -> (u64, u64) {
+/// Returns the CPU time of this thread in nanoseconds, and the number of its time slices.
+fn thread_cpu_time() -> (u64, u64) {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let mut numbers = text.split_whitespace().filter_map(|word| word.parse().ok());
     let ran = numbers.next().unwrap_or(0);
@@ -153,7 +153,7 @@
 
 /// Starts the other hosts and the targets on a thread of their own; returns the targets.
 fn start_fleet(hosts: usize, address: SocketAddr, role: Role, per_s: f64) -> Vec<SocketAddr> {
-    let (told, targets) = std::sync::mpsc::channel();
+    let (sender, targets) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -166,11 +166,11 @@
                 addresses.push(listener.local_addr().unwrap());
                 tokio::spawn(run_target(listener));
             }
-            told.send(addresses).unwrap();
+            sender.send(addresses).unwrap();
             for number in 0..hosts {
                 tokio::spawn(run_peer(number, address, role, per_s / hosts as f64));
             }
-            sleep(WARM_UP + MEASURED + Duration::from_secs(1)).await;
+            sleep(WARM_UP_TIME + MEASURED_TIME + Duration::from_secs(1)).await;
         });
     });
     targets.recv().unwrap()
@@ -201,39 +201,39 @@
         ..DirectoryUpdate::default()
     };
     gateway.take_update(SocketAddr::from(([127, 0, 0, 2], 1)), update);
-    sleep(WARM_UP).await;
-    let (before, rests) = thread_time();
+    sleep(WARM_UP_TIME).await;
+    let (before, slices) = thread_cpu_time();
     let (messages, bytes) = (PEER_TRAFFIC.messages(), PEER_TRAFFIC.sent());
-    let began = std::time::Instant::now();
-    sleep(MEASURED).await;
-    let took = began.elapsed().as_secs_f64();
-    let (after, rests_after) = thread_time();
-    let core = (after - before) as f64 / 1e9 / took;
+    let started = std::time::Instant::now();
+    sleep(MEASURED_TIME).await;
+    let took = started.elapsed().as_secs_f64();
+    let (after, slices_after) = thread_cpu_time();
+    let cores = (after - before) as f64 / 1e9 / took;
     let units = match role {
-        Role::Gather => per_s * f64::from(PIECES),
+        Role::Coordinator => per_s * f64::from(PIECES),
         _ => per_s,
     };
     println!(
-        "{hosts}, {role:?}, {core:.3}, {:.1}, {:.0}, {:.0}, {:.0}",
-        core * 1e6 / units,
-        (rests_after - rests) as f64 / took,
+        "{hosts}, {role:?}, {cores:.3}, {:.1}, {:.0}, {:.0}, {:.0}",
+        cores * 1e6 / units,
+        (slices_after - slices) as f64 / took,
         // Both ends of each message are in this process.
         (PEER_TRAFFIC.messages() - messages) as f64 / took,
         (PEER_TRAFFIC.sent() - bytes) as f64 / took / 1e3,
     );
 }
 
-/// Prints what each role costs: `cargo test --release -p linnet-gateway -- --ignored --nocapture
-/// what_a_role_costs`.
+/// Prints the cost of each role: `cargo test --release -p linnet-gateway -- --ignored --nocapture
+/// measure_role_cost`.
 #[test]
 #[ignore = "measures"]
-fn what_a_role_costs() {
-    println!("hosts, role, cores, us a piece or prompt, rests/s, messages/s, KB/s sent");
-    for hosts in FLEETS {
+fn measure_role_cost() {
+    println!("hosts, role, cores, us a piece or prompt, slices/s, messages/s, KB/s sent");
+    for hosts in FLEET_SIZES {
         for (role, per_s) in [
-            (Role::Rest, 1.0),
-            (Role::Gather, BATCHES_PER_S),
-            (Role::Place, PROMPTS_PER_S),
+            (Role::Idle, 1.0),
+            (Role::Coordinator, BATCHES_PER_S),
+            (Role::Placer, PROMPTS_PER_S),
         ] {
             let system = ntex::rt::System::new("measured", ntex::rt::DefaultRuntime);
             system.block_on(measure(hosts, role, per_s));
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -1,7 +1,7 @@
-//! One call to a stage target, as it travels between entry hosts, and how it is sent.
+//! Calls to stage targets: their form between entry hosts, and the client that sends them.
 //!
-//! The body of a call names the inputs of each of its pieces. Between entry hosts they travel once for
-//! all pieces of a request, which is a tenth of that.
+//! The body of a call to a target repeats the inputs for every piece. Between entry hosts the inputs are
+//! sent once for all pieces of a request, which takes a tenth of the bytes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,37 +26,41 @@
 use crate::target_ask::TargetStanding;
 use crate::upstream::{SendError, UpstreamPool};
 
-/// About what a piece takes in the body of a call beside its inputs, in bytes: its names and numbers.
-const PIECE_BYTES: usize = 90;
+/// Approximate size of a piece in the body of a call without its inputs: field names and numbers.
+const PIECE_OVERHEAD_BYTES: usize = 90;
 
-/// About what the punctuation around one input takes, in bytes.
-const INPUT_BYTES: usize = 3;
+/// Approximate size of the punctuation around one input.
+const INPUT_OVERHEAD_BYTES: usize = 3;
 
-/// How long a call waits for leave by the rate of its target: it is sent by the same rate, as exactly as timers are.
-const CALL_PATIENCE: Duration = Duration::from_millis(20);
+/// Timeout for the send permit of a call. Calls are already scheduled by the rate limit of their target, so a
+/// permit is late only by the inaccuracy of timers.
+const SEND_PERMIT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How long a release of results or a question for a report may take.
-const WORD_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of requests that run no pieces: releases of results and queries of free memory.
+const CONTROL_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Pieces of one stage of one request in a call.
+/// The pieces of one stage of one request in a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CallPart {
-    /// What they share.
+    /// What the pieces have in common.
     pub(crate) work: StageWork,
-    /// Which pieces of the stage they are.
+    /// Numbers of the pieces within their stage.
     pub(crate) numbers: Vec<u32>,
-    /// Time that is left for them, in milliseconds.
+    /// Time until the deadline of their request, in milliseconds.
     pub(crate) remaining_ms: u64,
 }
 
 impl CallPart {
-    /// Returns about how many bytes it takes in the body of a call.
-    fn body_bytes(&self) -> usize {
-        let inputs = match &self.work.input {
-            PieceInput::Key(key) => key.len() + INPUT_BYTES,
-            PieceInput::Results(handles) => handles.iter().map(|one| one.len() + INPUT_BYTES).sum(),
+    /// Estimates the size of this part in the body of a call.
+    fn estimated_body_bytes(&self) -> usize {
+        let input_bytes = match &self.work.input {
+            PieceInput::Key(key) => key.len() + INPUT_OVERHEAD_BYTES,
+            PieceInput::Results(handles) => handles
+                .iter()
+                .map(|one| one.len() + INPUT_OVERHEAD_BYTES)
+                .sum(),
         };
-        self.numbers.len() * (PIECE_BYTES + inputs)
+        self.numbers.len() * (PIECE_OVERHEAD_BYTES + input_bytes)
     }
 
     fn items(&self) -> impl Iterator<Item = StageItem<'_>> {
@@ -71,58 +75,58 @@
 /// A call to a stage target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StageCall {
-    /// The target that is meant.
+    /// Id of the target.
     pub(crate) target: String,
-    /// Where it is.
+    /// Address of the target.
     pub(crate) address: SocketAddr,
-    /// What it is to make, in the order of the results.
+    /// The pieces, in the order of the results in the response.
     pub(crate) parts: Vec<CallPart>,
-    /// Time after which nobody waits for the answer, in milliseconds.
-    pub(crate) bound_ms: u64,
+    /// Time after which the coordinator no longer waits for the response, in milliseconds.
+    pub(crate) timeout_ms: u64,
 }
 
 impl StageCall {
-    /// Returns about how many bytes its body takes.
-    pub(crate) fn body_bytes(&self) -> usize {
-        self.parts.iter().map(CallPart::body_bytes).sum()
+    /// Estimates the size of the body of this call.
+    pub(crate) fn estimated_body_bytes(&self) -> usize {
+        self.parts.iter().map(CallPart::estimated_body_bytes).sum()
     }
 
-    fn pieces(&self) -> usize {
+    fn piece_count(&self) -> usize {
         self.parts.iter().map(|part| part.numbers.len()).sum()
     }
 }
 
-/// Results at one stage target that are not needed any more.
+/// A release of results at one stage target that are no longer needed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StageRelease {
-    /// The target that holds them.
+    /// Id of the target that stores the results.
     pub(crate) target: String,
-    /// Where it is.
+    /// Address of the target.
     pub(crate) address: SocketAddr,
-    /// Their handles.
+    /// Handles of the results.
     pub(crate) handles: Vec<String>,
 }
 
-/// How a call ended as a whole.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum CallEnd {
-    /// An outcome for each piece, and the load that the target told with it.
+pub(crate) enum CallOutcome {
+    /// The target responded: the outcome of each piece, and the load that the target reported.
     Answered(Vec<Result<String, PieceFault>>, Option<ReportedLoad>),
-    /// The target did not run it and is busy.
+    /// The target is busy and did not run the call.
     Busy,
-    /// Another start of a target is at the address.
+    /// Another incarnation of a target serves the address.
     OtherTarget,
-    /// No usable answer.
+    /// There was no usable response.
     Failed(String),
-    /// The target broke the connection. Whoever gathers finds out whether it has ended.
-    Broke(String),
-    /// The target has ended.
-    Ended(String),
-    /// The entry host that was to send it was lost, so that nothing is known of the target.
+    /// The target closed the connection. The coordinator probes whether it crashed.
+    ConnectionBroken(String),
+    /// The target crashed.
+    TargetCrashed(String),
+    /// The entry host to which the call was delegated was lost; the state of the target is unknown.
     SenderLost,
 }
 
-/// Calls stage targets. Cheap to clone.
+/// Client that sends requests to stage targets. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct StageCaller {
     dialect: Dialect,
@@ -139,56 +143,62 @@
         }
     }
 
-    /// Sends a call to its target and takes the answer.
-    pub(crate) async fn send_call(&self, call: &StageCall) -> CallEnd {
+    /// Sends a call to its target and returns the outcome.
+    pub(crate) async fn send_call(&self, call: &StageCall) -> CallOutcome {
         let (targets, names) = (&self.dialect.targets, &self.dialect.headers);
         let items: Vec<StageItem<'_>> = call.parts.iter().flat_map(CallPart::items).collect();
-        let longest = call.parts.iter().map(|part| part.remaining_ms).max();
+        let max_remaining_ms = call.parts.iter().map(|part| part.remaining_ms).max();
         let body = (targets.encode_stage_run)(&items);
         let request = Request::post(targets.stage_run_path)
             .header(header::HOST, call.address.to_string())
             .header(header::CONTENT_TYPE, "application/json")
-            .header(&names.deadline_ms, longest.unwrap_or(0))
+            .header(&names.deadline_ms, max_remaining_ms.unwrap_or(0))
             .header(&names.expect_target, &call.target)
             .body(Full::new(Bytes::from(body)));
         let request = match request {
             Ok(request) => request,
-            Err(error) => return CallEnd::Failed(error.to_string()),
+            Err(error) => return CallOutcome::Failed(error.to_string()),
         };
-        let sent = self.exchange(&call.target, call.address, request, SendKind::Work);
-        let (head, body) = match sent.await {
-            Ok(answered) => answered,
-            // Whoever gathers lets its pieces wait, or gives them to another target.
-            Err(SendError::Withheld) => return CallEnd::Busy,
-            Err(SendError::MayHaveRun { cause, broke: true }) => return CallEnd::Broke(cause),
-            Err(error) => return CallEnd::Failed(error.to_string()),
+        let response = self.send_request(&call.target, call.address, request, SendKind::Work);
+        let (head, body) = match response.await {
+            Ok(response) => response,
+            // The coordinator requeues the pieces or sends them to another target.
+            Err(SendError::Withheld) => return CallOutcome::Busy,
+            Err(SendError::MayHaveRun { cause, broke: true }) => {
+                return CallOutcome::ConnectionBroken(cause);
+            }
+            Err(error) => return CallOutcome::Failed(error.to_string()),
         };
         if head.status == targets.other_target {
-            return CallEnd::OtherTarget;
+            return CallOutcome::OtherTarget;
         }
         if head.headers.contains_key(&names.not_run) {
-            return CallEnd::Busy;
+            return CallOutcome::Busy;
         }
         if !head.status.is_success() {
-            return CallEnd::Failed(format!("status {}", head.status.as_u16()));
+            return CallOutcome::Failed(format!("status {}", head.status.as_u16()));
         }
         match (targets.decode_stage_run)(&body) {
-            Some(results) if results.len() == call.pieces() => {
+            Some(results) if results.len() == call.piece_count() => {
                 let load = ReportedLoad::read(&head.headers, &names.load);
-                CallEnd::Answered(results, load)
+                CallOutcome::Answered(results, load)
             }
-            Some(results) => CallEnd::Failed(format!("{} results", results.len())),
-            None => CallEnd::Failed("no answer in the dialect".to_owned()),
+            Some(results) => CallOutcome::Failed(format!(
+                "{} results for {} pieces",
+                results.len(),
+                call.piece_count()
+            )),
+            None => CallOutcome::Failed("response body could not be decoded".to_owned()),
         }
     }
 
-    /// Says whether a target takes calls of this host.
-    pub(crate) fn standing(&self, target: &str) -> TargetStanding {
+    /// Returns whether a target accepts calls from this host now.
+    pub(crate) fn availability(&self, target: &str) -> TargetStanding {
         self.notices.standing(target, BootInstant::now())
     }
 
-    /// Tells a target that results are not needed any more. A lost word costs only the time until the
-    /// results expire by themselves, so one that the target does not want now is not kept for it.
+    /// Asks a target to drop results that are no longer needed. A release that is lost or withheld is not
+    /// repeated: the results expire anyway, only later.
     pub(crate) async fn send_release(&self, release: &StageRelease) {
         let targets = &self.dialect.targets;
         let body = (targets.encode_stage_free)(&release.handles);
@@ -200,34 +210,44 @@
             return;
         };
         let (target, address) = (&release.target, release.address);
-        let sent = self.exchange(target, address, request, SendKind::Word);
-        let _ = timeout(WORD_TIMEOUT, sent).await;
+        let response = self.send_request(target, address, request, SendKind::Word);
+        let _ = timeout(CONTROL_REQUEST_TIMEOUT, response).await;
     }
 
-    /// Asks a target how many bytes it has free for results; nothing where it does not tell in time.
-    pub(crate) async fn ask_free_bytes(&self, target: &str, address: SocketAddr) -> Option<u64> {
+    /// Asks a target how much memory it has free for results, in bytes; `None` if it does not respond in
+    /// time.
+    pub(crate) async fn query_free_bytes(&self, target: &str, address: SocketAddr) -> Option<u64> {
         let targets = &self.dialect.targets;
         let request = Request::get(targets.report_path)
             .header(header::HOST, address.to_string())
             .body(Full::new(Bytes::new()))
             .ok()?;
-        let asked = self.exchange(target, address, request, SendKind::Word);
-        let (_, body) = timeout(WORD_TIMEOUT, asked).await.ok()?.ok()?;
+        let response = self.send_request(target, address, request, SendKind::Word);
+        let (_, body) = timeout(CONTROL_REQUEST_TIMEOUT, response)
+            .await
+            .ok()?
+            .ok()?;
         (targets.decode_free_bytes)(&body)
     }
 
-    /// Sends a request to a target, and takes what its answer says of the target.
-    async fn exchange(
+    /// Sends a request to a target, and records the notice that the response headers carry.
+    async fn send_request(
         &self,
         target: &str,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         kind: SendKind,
     ) -> Result<(Parts, Bytes), SendError> {
-        let asked = BootInstant::now();
+        let sent_at = BootInstant::now();
         let permit = match kind {
-            SendKind::Work => self.notices.rates.take_permit(target, CALL_PATIENCE).await,
-            // None is worth a request of those that the target takes.
+            SendKind::Work => {
+                self.notices
+                    .rates
+                    .take_permit(target, SEND_PERMIT_TIMEOUT)
+                    .await
+            }
+            // Control requests take no permit from the rate limit of the target; the gate withholds them
+            // while there is one.
             SendKind::Word => Some(SendPermit::FREE),
         };
         let Some(permit) = permit else {
@@ -237,7 +257,7 @@
         let gate = self.notices.gate(target, kind).with_permit(permit);
         let (head, body) = self.upstream.exchange(address, request, gate).await?;
         let notice = read_notice(&self.dialect, &head, None);
-        self.notices.note(target, notice, asked);
+        self.notices.note(target, notice, sent_at);
         Ok((head, body))
     }
 }
--- a/crates/gateway/src/stage_call/tests.rs
+++ b/crates/gateway/src/stage_call/tests.rs
@@ -14,13 +14,16 @@
 }
 
 #[test]
-fn between_hosts_a_call_is_a_small_part_of_its_body() {
+fn an_encoded_call_between_hosts_is_less_than_a_tenth_of_its_http_body() {
     let call = StageCall {
         target: "i-7f3a91c2".to_owned(),
         address: SocketAddr::from(([10, 1, 64, 9], 8080)),
         parts: vec![part(16, 8); 6],
-        bound_ms: 1_500,
+        timeout_ms: 1_500,
     };
-    let travels = postcard::to_allocvec(&call).unwrap().len();
-    assert!(travels * 10 < call.body_bytes(), "{travels} bytes");
+    let encoded = postcard::to_allocvec(&call).unwrap().len();
+    assert!(
+        encoded * 10 < call.estimated_body_bytes(),
+        "{encoded} bytes"
+    );
 }
