--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -1,14 +1,15 @@
-//! Hands batches of pieces to the entry host that gathers them for their service.
+//! Client of the roles that entry hosts have for each other: coordinators of pools, placers of prompts,
+//! issuers of permits and senders of delegated calls.
 
-mod cut_halls;
 mod guard;
 mod link;
 mod link_state;
-mod parts;
+mod partitions;
 mod place;
-mod rate_ask;
+mod run_permit;
+mod send_permit;
 mod sender;
-mod turn_ask;
+mod unreachable_halls;
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -30,64 +31,64 @@
 use crate::target::TargetBook;
 
 pub(crate) use guard::{Expectation, Placement};
-pub(crate) use parts::PartWant;
-pub(crate) use rate_ask::RateHost;
+pub(crate) use partitions::PartitionRequirements;
+pub(crate) use send_permit::SendPermitHost;
 
-use guard::{ExpectedAt, LocalBatch, RemoteBatch};
+use guard::{ExpectationHandle, LocalBatchGuard, RemoteBatchGuard};
 use link::run_link;
 use link_state::{Link, LinkState};
 
-/// Between two signs of life, and the silence after which a side is taken as lost, on a connection on
-/// which something is waited for.
-pub(crate) const ALIVE_PERIOD: Duration = Duration::from_millis(150);
-pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(550);
+/// Heartbeat interval, and silence after which the peer counts as lost, on a connection with pending
+/// requests.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(550);
 
-/// The same while nothing is waited for. A host that gathers or places for 300 others has most of its
-/// connections in this state at any moment; at the shorter period their signs of life are 4,000
-/// messages a second, in and out. On three days of a fleet of 75 the mean processor of an entry host
-/// fell from 0.0092, 0.0121 and 0.0107 cores to 0.0086, 0.0110 and 0.0099.
-pub(crate) const IDLE_PERIOD: Duration = Duration::from_millis(400);
-pub(crate) const IDLE_SILENCE_LIMIT: Duration = Duration::from_millis(1_200);
+/// The same on a connection without pending requests. A coordinator or placer for 300 hosts has most of
+/// its connections in this state; at the shorter interval their heartbeats are 4,000 messages a second, in
+/// and out. In a fleet of 75 hosts, on three days, the longer interval reduced the mean CPU use of an entry
+/// host from 0.0092, 0.0121 and 0.0107 cores to 0.0086, 0.0110 and 0.0099.
+pub(crate) const IDLE_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+pub(crate) const IDLE_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How long a connection is kept that nothing needs. Signs of life on it cost both ends more in that time than it takes
-/// to open another one; without an end to it a host would come to be connected with every host that gathers or places.
-const UNUSED_KEPT: Duration = Duration::from_secs(4);
+/// Time after which an unused connection is closed. By then its heartbeats have cost both ends more than opening
+/// another connection does; without this timeout a host would end up connected to every coordinator and placer.
+const UNUSED_LINK_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long a connection may take to open before requests go to another host meanwhile.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
+/// How long requests may wait for a connection to open; after that they go to another host.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Wait before a host that was lost is called again.
-const RECONNECT_WAIT: Duration = Duration::from_millis(400);
+/// Delay before reconnecting to a host whose connection was lost.
+const RECONNECT_DELAY: Duration = Duration::from_millis(400);
 
-/// How often a batch is handed out before it counts as lost.
-const MAX_HANDOUTS: u32 = 3;
+/// Maximum number of attempts to have a batch run.
+const MAX_BATCH_ATTEMPTS: u32 = 3;
 
-/// How many hosts are told what the one that gathers for a pool uses.
-const SUCCESSORS: usize = 2;
+/// Number of hosts to which the coordinator of a pool reports its use of the targets.
+const SUCCESSOR_COUNT: usize = 2;
 
-type Results = Vec<Result<String, PieceFault>>;
+type PieceResults = Vec<Result<String, PieceFault>>;
 
-/// A batch that has ended.
-pub(crate) struct GatheredBatch {
+/// A batch that has completed or failed.
+pub(crate) struct FinishedBatch {
     /// The outcome of each piece.
-    pub(crate) results: Results,
-    /// Where its results are released.
-    pub(crate) home: Home,
-    /// The pool, or the part of one, that ran it.
+    pub(crate) results: PieceResults,
+    /// The coordinator that ran the batch, where its results are released.
+    pub(crate) coordinator: HostLocation,
+    /// The pool or partition that ran the batch.
     pub(crate) pool: PoolKey,
 }
 
-/// Ranks a host for a pool: the highest gathers for it.
-fn rank_of(pool: &PoolKey, label: &str, name: &str, hall: &str) -> (bool, u64) {
+/// Returns the rank of a host for a pool; the host with the highest rank is its coordinator.
+fn coordinator_rank(pool: &PoolKey, label: &str, name: &str, hall: &str) -> (bool, u64) {
     let same_hall = pool.hall() == Some(hall);
     (same_hall, rendezvous::score(label, name))
 }
 
-/// Returns the hosts that should gather for a pool rather than the host `name`, the best first. For
-/// the part of a hall the hosts of that hall come first, since they reach its targets longest. A host
-/// that is stopping gathers for itself only where there is no other: the others have left it, and
-/// two that gather for one pool are in each other's way.
-fn hosts_before<'a>(
+/// Returns the hosts that rank before the host `name` as coordinator of a pool, the best first. For a
+/// partition the hosts of its hall come first, since they are the last to lose contact with its targets. A
+/// stopping host coordinates only if there is no other: the others no longer choose it, and two
+/// coordinators of one pool compete for its targets.
+fn better_coordinators<'a>(
     pool: &PoolKey,
     name: &str,
     hall: &str,
@@ -95,63 +96,65 @@
     hosts: impl Iterator<Item = &'a GatewayRecord>,
 ) -> Vec<&'a GatewayRecord> {
     let label = pool.label();
-    let own = rank_of(pool, &label, name, hall);
-    let others = hosts.filter(|one| one.name != name && !one.stopping);
-    let ranked = others.map(|one| (rank_of(pool, &label, &one.name, &one.hall), one));
-    let mut before: Vec<_> = ranked.filter(|(rank, _)| stopping || *rank > own).collect();
-    before.sort_by_key(|(rank, one)| Reverse((*rank, one.peer)));
-    before.into_iter().map(|(_, one)| one).collect()
+    let own = coordinator_rank(pool, &label, name, hall);
+    let candidates = hosts.filter(|one| one.name != name && !one.stopping);
+    let ranked = candidates.map(|one| (coordinator_rank(pool, &label, &one.name, &one.hall), one));
+    let mut better: Vec<_> = ranked.filter(|(rank, _)| stopping || *rank > own).collect();
+    better.sort_by_key(|(rank, one)| Reverse((*rank, one.peer)));
+    better.into_iter().map(|(_, one)| one).collect()
 }
 
-fn is_unreachable(results: &Results) -> bool {
+/// Returns whether every piece failed since its targets or coordinator could not be reached.
+fn all_unreachable(results: &PieceResults) -> bool {
     let unreachable = |result: &Result<String, PieceFault>| {
-        matches!(result, Err(PieceFault::Failed | PieceFault::Lost))
+        matches!(
+            result,
+            Err(PieceFault::Failed | PieceFault::CoordinatorLost)
+        )
     };
     !results.is_empty() && results.iter().all(unreachable)
 }
 
-/// Where a batch was gathered; its results are released there.
+/// The entry host that has a role for a pool, such as its coordinator or placer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Home {
-    /// On this host.
-    Here,
-    /// On another entry host.
+pub(crate) enum HostLocation {
+    /// This host.
+    Local,
+    /// Another entry host, by the address of its peer port.
     Remote(SocketAddr),
 }
 
 #[derive(Default)]
 struct ClientState {
-    gateways: Vec<GatewayRecord>,
+    entry_hosts: Vec<GatewayRecord>,
     links: HashMap<SocketAddr, Link>,
-    next_batch: u64,
-    /// Whether this host is about to end.
+    next_number: u64,
+    /// Whether this host is about to stop.
     stopping: bool,
-    /// What the coordinators told of their pools, and when.
+    /// The loads that coordinators reported, with the time of the report.
     loads: HashMap<PoolKey, (PoolLoad, Instant)>,
-    /// How large pools are split.
+    /// The partitions of each pool.
     pools: PoolMap,
-    /// Parts whose targets could not be reached, and until when they are passed over.
-    avoided: HashMap<PoolKey, Instant>,
-    /// What [`StageClient::successors`] found for the entry hosts that are known now.
+    /// Pools and partitions whose targets could not be reached, and until when they are avoided.
+    avoided_until: HashMap<PoolKey, Instant>,
+    /// Cached results of [`StageClient::successors`] for the known entry hosts.
     successors: HashMap<PoolKey, Rc<[String]>>,
-    /// The hosts that should gather for a pool rather than this one, the best first. Ranking 300 hosts
-    /// takes 36 microseconds, with the halls out of reach, and 0.1 where both are kept
-    /// (`measure_ranks_of_hosts`, release build); a request asks for the host of each part of each pool
-    /// on its way several times.
-    ranked: HashMap<PoolKey, Rc<[GatewayRecord]>>,
-    /// Halls that are out of reach, and when they were worked out; nothing where a connection has
-    /// changed since.
-    cut_halls: Option<(Rc<BTreeSet<String>>, Instant)>,
-    /// Whether a host is known that no control host names any more.
-    keeps_unnamed: bool,
+    /// Cached results of [`StageClient::better_coordinators`]. A request looks up the coordinator of each
+    /// partition of each pool on its path several times. Ranking 300 hosts and finding the unreachable
+    /// halls takes 36 microseconds, and 0.1 from the caches (`measure_coordinator_ranking`, release build).
+    better_coordinators: HashMap<PoolKey, Rc<[GatewayRecord]>>,
+    /// Cached unreachable halls and the time of their computation; `None` if a connection has changed since.
+    unreachable_halls: Option<(Rc<BTreeSet<String>>, Instant)>,
+    /// Whether a host is known that no control host lists any more.
+    keeps_unlisted_hosts: bool,
 }
 
 impl ClientState {
-    /// Forgets what was worked out from the hosts that were known before.
-    fn forget_ranks(&mut self) {
+    /// Clears everything that is computed from the list of entry hosts.
+    fn clear_rankings(&mut self) {
         self.successors.clear();
-        self.ranked.clear();
-        self.cut_halls = None;
+        self.better_coordinators.clear();
+        self.unreachable_halls = None;
     }
 
     fn is_up(&self, address: SocketAddr) -> bool {
@@ -160,7 +163,7 @@
     }
 }
 
-/// The way to the hosts that gather pieces. Cheap to clone.
+/// Connections to the other entry hosts, and the choice of the host for each role. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct StageClient {
     identity: PeerIdentity,
@@ -187,119 +190,131 @@
             engines,
             state: Rc::default(),
         };
-        let (calling, releasing) = (client.clone(), client.clone());
+        let (call_client, release_client) = (client.clone(), client.clone());
         coordinator.set_share(SendingShare {
-            call: Box::new(move |call, hall| calling.share_call(call, hall)),
-            release: Box::new(move |release, hall| releasing.share_release(release, hall)),
+            call: Box::new(move |call, hall| call_client.delegate_call(call, hall)),
+            release: Box::new(move |release, hall| release_client.delegate_release(release, hall)),
         });
         client
     }
 
-    /// Takes the entry hosts that the control hosts hear. One that they lost while this host still
-    /// reaches it stays: otherwise hosts that lost the control hosts and those that did not would
-    /// gather pieces at different places.
-    pub(crate) fn set_gateways(&self, gateways: Vec<GatewayRecord>) {
+    /// Sets the entry hosts that the control hosts list. An unlisted host to which a connection is up is
+    /// kept: otherwise hosts that lost the control hosts and hosts that did not would choose different
+    /// coordinators.
+    pub(crate) fn set_entry_hosts(&self, listed_hosts: Vec<GatewayRecord>) {
         let mut state = self.state.borrow_mut();
-        let named: HashSet<&str> = gateways.iter().map(|one| one.name.as_str()).collect();
-        let former_all = std::mem::take(&mut state.gateways);
-        let unnamed = former_all.iter();
-        let unnamed = unnamed.filter(|record| !named.contains(record.name.as_str()));
-        let reached: Vec<GatewayRecord> = unnamed
+        let listed: HashSet<&str> = listed_hosts.iter().map(|one| one.name.as_str()).collect();
+        let former_hosts = std::mem::take(&mut state.entry_hosts);
+        let unlisted = former_hosts.iter();
+        let unlisted = unlisted.filter(|record| !listed.contains(record.name.as_str()));
+        let reached: Vec<GatewayRecord> = unlisted
             .filter(|record| state.is_up(record.peer))
             .cloned()
             .collect();
-        state.keeps_unnamed = !reached.is_empty();
-        let known: Vec<GatewayRecord> = gateways.into_iter().chain(reached).collect();
-        if known != former_all {
-            state.forget_ranks();
+        state.keeps_unlisted_hosts = !reached.is_empty();
+        let known: Vec<GatewayRecord> = listed_hosts.into_iter().chain(reached).collect();
+        if known != former_hosts {
+            state.clear_rankings();
         }
-        state.gateways = known;
+        state.entry_hosts = known;
     }
 
-    /// Says whether a host is known only since this one reaches it. The list has to be looked at again
-    /// then, since such a host may be lost without a word of the control hosts.
-    pub(crate) fn keeps_unnamed(&self) -> bool {
-        self.state.borrow().keeps_unnamed
+    /// Returns whether a host is kept only because a connection to it is up. The list must then be
+    /// recomputed regularly, since the control hosts do not report the loss of such a host.
+    pub(crate) fn keeps_unlisted_hosts(&self) -> bool {
+        self.state.borrow().keeps_unlisted_hosts
     }
 
-    /// Takes the targets that take work.
+    /// Sets the targets that accept work, and partitions their pools.
     pub(crate) fn set_targets(&self, book: &TargetBook) {
         let pools = PoolMap::new(book.all());
         self.state.borrow_mut().pools = pools;
     }
 
-    /// Takes the targets of some services that take work, as others have not changed.
+    /// Replaces the targets that accept work of some services; those of the others have not changed.
     pub(crate) fn update_targets(&self, book: &TargetBook, services: &BTreeSet<&str>) {
         let mut state = self.state.borrow_mut();
         for service in services {
             let targets = book.of_service(service);
             let targets = targets.map(|one| (one.hall.as_str(), one.id.as_str()));
-            state.pools.replace(service, targets);
+            state.pools.replace_service(service, targets);
         }
     }
 
-    /// Leaves gathering and placing to other hosts from now on, since this one is about to end.
+    /// Leaves the roles of coordinator and placer to other hosts from now on, since this one is about to stop.
     pub(crate) fn begin_stop(&self) {
         let mut state = self.state.borrow_mut();
         state.stopping = true;
-        state.forget_ranks();
+        state.clear_rankings();
     }
 
-    /// Returns how many entry hosts are known, this one among them.
-    pub(crate) fn gateway_count(&self) -> usize {
+    /// Returns the number of known entry hosts, including this one.
+    pub(crate) fn entry_host_count(&self) -> usize {
         let state = self.state.borrow();
-        let others = state.gateways.iter().filter(|one| one.name != self.name);
+        let others = state.entry_hosts.iter().filter(|one| one.name != self.name);
         others.count() + 1
     }
 
-    /// Runs a batch.
-    pub(crate) async fn run(&self, mut batch: PieceBatch) -> GatheredBatch {
-        let mut last = vec![Err(PieceFault::Lost); batch.count as usize];
-        for handout in 1..=MAX_HANDOUTS {
-            // The last try depends on nobody else.
-            let home = if handout == MAX_HANDOUTS {
-                Home::Here
+    /// Runs a batch at the coordinator of its pool. If no piece could be run there, tries another
+    /// partition; if the coordinator was lost, tries its successor.
+    pub(crate) async fn run_batch(&self, mut batch: PieceBatch) -> FinishedBatch {
+        let mut last = vec![Err(PieceFault::CoordinatorLost); batch.piece_count as usize];
+        for attempt in 1..=MAX_BATCH_ATTEMPTS {
+            // The last attempt does not depend on another coordinator.
+            let coordinator = if attempt == MAX_BATCH_ATTEMPTS {
+                HostLocation::Local
             } else {
-                self.home_of(&batch.pool)
+                self.coordinator_of(&batch.pool)
             };
-            let results = match home {
-                Home::Here => self.run_here(batch.clone()).await,
-                Home::Remote(address) => {
+            let results = match coordinator {
+                HostLocation::Local => self.run_locally(batch.clone()).await,
+                HostLocation::Remote(address) => {
                     batch.number = self.next_number();
-                    self.run_at(address, batch.clone()).await
+                    self.run_remotely(address, batch.clone()).await
                 }
             };
-            // Without results the link was lost, and with it what was handed out on it.
+            // No results: the connection was lost, and the coordinator cancels the batch.
             let Some(results) = results else {
                 continue;
             };
-            if handout == MAX_HANDOUTS || !is_unreachable(&results) || !self.move_on(&mut batch) {
-                return GatheredBatch {
+            if attempt == MAX_BATCH_ATTEMPTS
+                || !all_unreachable(&results)
+                || !self.move_to_other_partition(&mut batch)
+            {
+                return FinishedBatch {
                     results,
-                    home,
+                    coordinator,
                     pool: batch.pool,
                 };
             }
             last = results;
         }
-        GatheredBatch {
+        FinishedBatch {
             results: last,
-            home: Home::Here,
+            coordinator: HostLocation::Local,
             pool: batch.pool,
         }
     }
 
-    /// Releases results where they were gathered; where that host was lost, at the one that gathers
-    /// for the pool now.
-    pub(crate) fn free(&self, home: Home, pool: &PoolKey, handles: Vec<String>, bytes: u64) {
-        let gathered_at = match home {
-            Home::Remote(address) if !self.state.borrow().is_up(address) => self.home_of(pool),
-            home => home,
+    /// Releases results at the coordinator that ran their batch, or at the present coordinator of the pool
+    /// if that host was lost.
+    pub(crate) fn release_results(
+        &self,
+        coordinator: HostLocation,
+        pool: &PoolKey,
+        handles: Vec<String>,
+        bytes: u64,
+    ) {
+        let receiver = match coordinator {
+            HostLocation::Remote(address) if !self.state.borrow().is_up(address) => {
+                self.coordinator_of(pool)
+            }
+            coordinator => coordinator,
         };
-        match gathered_at {
-            Home::Here => self.coordinator.free(&pool.service, handles, bytes),
-            Home::Remote(address) => {
-                let request = PieceRequest::Free {
+        match receiver {
+            HostLocation::Local => self.coordinator.free(&pool.service, handles, bytes),
+            HostLocation::Remote(address) => {
+                let request = PieceRequest::ReleaseResults {
                     service: pool.service.clone(),
                     handles,
                     bytes,
@@ -309,54 +324,61 @@
         }
     }
 
-    /// Returns the hosts that would gather for a pool if this one were lost, the first ones.
+    /// Returns the names of the hosts that are next in line as coordinator of a pool if this one were lost.
     pub(crate) fn successors(&self, pool: &PoolKey) -> Rc<[String]> {
         let mut state = self.state.borrow_mut();
-        if let Some(known) = state.successors.get(pool) {
-            return known.clone();
+        if let Some(cached) = state.successors.get(pool) {
+            return cached.clone();
         }
         let label = pool.label();
-        let others = state.gateways.iter();
+        let others = state.entry_hosts.iter();
         let others = others.filter(|one| one.name != self.name && !one.stopping);
         let mut ranked: Vec<((bool, u64), &str)> = others
             .map(|one| {
                 (
-                    rank_of(pool, &label, &one.name, &one.hall),
+                    coordinator_rank(pool, &label, &one.name, &one.hall),
                     one.name.as_str(),
                 )
             })
             .collect();
         ranked.sort_by(|a, b| b.cmp(a));
-        let first = ranked.into_iter().take(SUCCESSORS);
-        let found: Rc<[String]> = first.map(|(_, name)| name.to_owned()).collect();
-        state.successors.insert(pool.clone(), found.clone());
-        found
+        let first = ranked.into_iter().take(SUCCESSOR_COUNT);
+        let successors: Rc<[String]> = first.map(|(_, name)| name.to_owned()).collect();
+        state.successors.insert(pool.clone(), successors.clone());
+        successors
     }
 
-    // Every host ranks the others alike, so they meet at the same one while they hear the same. A
-    // host that cannot be reached is passed over until it was reached again in the background.
-    fn home_of(&self, pool: &PoolKey) -> Home {
-        let cut = self.cut_halls();
-        let candidates = self.ranked_hosts(pool);
-        let mut candidates = candidates.iter().filter(|one| !cut.contains(&one.hall));
-        let reached = candidates.find(|one| self.is_reachable(one.peer));
-        reached.map_or(Home::Here, |one| Home::Remote(one.peer))
+    /// Returns the coordinator or placer of a pool. All hosts with the same list of entry hosts rank these
+    /// alike, so they choose the same one. A host that cannot be reached is skipped until a connection to
+    /// it has been opened in the background.
+    fn coordinator_of(&self, pool: &PoolKey) -> HostLocation {
+        let unreachable = self.unreachable_halls();
+        let candidates = self.better_coordinators(pool);
+        let mut candidates = candidates
+            .iter()
+            .filter(|one| !unreachable.contains(&one.hall));
+        let chosen = candidates.find(|one| self.connect_or_check(one.peer));
+        chosen.map_or(HostLocation::Local, |one| HostLocation::Remote(one.peer))
     }
 
-    /// Returns the hosts that should gather for a pool rather than this one, the best first.
-    fn ranked_hosts(&self, pool: &PoolKey) -> Rc<[GatewayRecord]> {
+    /// Returns the hosts that rank before this one as coordinator of a pool, the best first.
+    fn better_coordinators(&self, pool: &PoolKey) -> Rc<[GatewayRecord]> {
         let mut state = self.state.borrow_mut();
-        if let Some(known) = state.ranked.get(pool) {
-            return known.clone();
+        if let Some(cached) = state.better_coordinators.get(pool) {
+            return cached.clone();
         }
-        let others = state.gateways.iter();
-        let before = hosts_before(pool, &self.name, &self.hall, state.stopping, others);
-        let ranked: Rc<[GatewayRecord]> = before.into_iter().cloned().collect();
-        state.ranked.insert(pool.clone(), ranked.clone());
+        let others = state.entry_hosts.iter();
+        let better = better_coordinators(pool, &self.name, &self.hall, state.stopping, others);
+        let ranked: Rc<[GatewayRecord]> = better.into_iter().cloned().collect();
+        state
+            .better_coordinators
+            .insert(pool.clone(), ranked.clone());
         ranked
     }
 
-    fn is_reachable(&self, address: SocketAddr) -> bool {
+    /// Returns whether requests may be sent to a host: its connection is up, or has only just begun to open.
+    /// Opens a connection if there is none.
+    fn connect_or_check(&self, address: SocketAddr) -> bool {
         let mut state = self.state.borrow_mut();
         let link = state
             .links
@@ -364,30 +386,30 @@
             .or_insert_with(|| self.start_link(address));
         match link.state {
             LinkState::Up => true,
-            LinkState::Opening(since) => since.elapsed() < CONNECT_PATIENCE,
+            LinkState::Opening(since) => since.elapsed() < CONNECT_TIMEOUT,
             LinkState::Lost => false,
         }
     }
 
     fn next_number(&self) -> u64 {
         let mut state = self.state.borrow_mut();
-        state.next_batch += 1;
-        state.next_batch
+        state.next_number += 1;
+        state.next_number
     }
 
-    async fn run_here(&self, batch: PieceBatch) -> Option<Results> {
+    async fn run_locally(&self, batch: PieceBatch) -> Option<PieceResults> {
         let (done, results) = oneshot::channel();
         let key = self.coordinator.submit(batch, move |results| {
             let _ = done.send(results);
         });
-        let _guard = key.map(|key| LocalBatch {
+        let _guard = key.map(|key| LocalBatchGuard {
             coordinator: self.coordinator.clone(),
             key,
         });
         results.await.ok()
     }
 
-    async fn run_at(&self, address: SocketAddr, batch: PieceBatch) -> Option<Results> {
+    async fn run_remotely(&self, address: SocketAddr, batch: PieceBatch) -> Option<PieceResults> {
         let (done, results) = oneshot::channel();
         let number = batch.number;
         {
@@ -396,11 +418,11 @@
                 .links
                 .entry(address)
                 .or_insert_with(|| self.start_link(address));
-            link.send(PieceRequest::Run(batch), |link| {
-                link.waiting.insert(number, done);
+            link.send(PieceRequest::RunBatch(batch), |link| {
+                link.pending_batches.insert(number, done);
             });
         }
-        let _guard = RemoteBatch {
+        let _guard = RemoteBatchGuard {
             client: self.clone(),
             address,
             number,
@@ -413,57 +435,57 @@
         ntex::rt::spawn(run_link(self.clone(), address, queue));
         Link {
             state: LinkState::Opening(Instant::now()),
-            form: MessageForm::NEWEST,
-            heard: Instant::now(),
-            used: Instant::now(),
-            held: 0,
+            message_version: MessageForm::NEWEST,
+            last_received: Instant::now(),
+            last_used: Instant::now(),
+            remote_holds: 0,
             outgoing,
-            waiting: HashMap::new(),
-            placing: HashMap::new(),
-            calling: HashMap::new(),
-            turns: HashMap::new(),
-            rates: HashMap::new(),
+            pending_batches: HashMap::new(),
+            pending_placements: HashMap::new(),
+            pending_calls: HashMap::new(),
+            pending_run_permits: HashMap::new(),
+            pending_send_permits: HashMap::new(),
         }
     }
 
-    fn knows(&self, address: SocketAddr) -> bool {
+    fn is_known(&self, address: SocketAddr) -> bool {
         let state = self.state.borrow();
-        state.gateways.iter().any(|one| one.peer == address)
+        state.entry_hosts.iter().any(|one| one.peer == address)
     }
 
-    /// Notes that a link is up, and which form the other side speaks.
-    fn mark_up(&self, address: SocketAddr, form: MessageForm) {
+    /// Records that a connection is up, and the message version of the peer.
+    fn mark_link_up(&self, address: SocketAddr, version: MessageForm) {
         if let Some(link) = self.state.borrow_mut().links.get_mut(&address) {
-            link.form = form;
+            link.message_version = version;
         }
-        self.mark(address, LinkState::Up);
+        self.set_link_state(address, LinkState::Up);
     }
 
-    /// Says whether a host speaks a form or a later one, as far as that is known.
-    fn speaks(&self, address: SocketAddr, form: MessageForm) -> bool {
+    /// Returns whether a host supports a message version. Without a connection to it the newest is assumed.
+    fn supports(&self, address: SocketAddr, version: MessageForm) -> bool {
         let state = self.state.borrow();
         let link = state.links.get(&address);
-        link.is_none_or(|link| link.form >= form)
+        link.is_none_or(|link| link.message_version >= version)
     }
 
-    /// Notes where a link stands. The batches on one that was lost are dropped, which lets their
-    /// requests try another host.
-    fn mark(&self, address: SocketAddr, to: LinkState) {
+    /// Sets the state of a connection. If it was lost, drops all pending replies, so that their requests
+    /// try another host.
+    fn set_link_state(&self, address: SocketAddr, new_state: LinkState) {
         let dropped = {
             let mut state = self.state.borrow_mut();
-            state.cut_halls = None;
+            state.unreachable_halls = None;
             let Some(link) = state.links.get_mut(&address) else {
                 return;
             };
-            link.state = to;
-            link.heard = Instant::now();
-            if to == LinkState::Lost {
-                let placing = std::mem::take(&mut link.placing);
-                let calling = std::mem::take(&mut link.calling);
-                let turns = std::mem::take(&mut link.turns);
-                let rates = std::mem::take(&mut link.rates);
-                let waiting = std::mem::take(&mut link.waiting);
-                (waiting, placing, calling, turns, rates)
+            link.state = new_state;
+            link.last_received = Instant::now();
+            if new_state == LinkState::Lost {
+                let placements = std::mem::take(&mut link.pending_placements);
+                let calls = std::mem::take(&mut link.pending_calls);
+                let run_permits = std::mem::take(&mut link.pending_run_permits);
+                let send_permits = std::mem::take(&mut link.pending_send_permits);
+                let batches = std::mem::take(&mut link.pending_batches);
+                (batches, placements, calls, run_permits, send_permits)
             } else {
                 Default::default()
             }
@@ -471,76 +493,82 @@
         drop(dropped);
     }
 
-    /// Tells the host that gathers the pieces of a service that some will come.
-    pub(crate) fn expect(&self, expected: ExpectedPieces) -> Expectation {
-        let home = match self.home_of(&expected.pool) {
-            Home::Here => ExpectedAt::Here(self.coordinator.expect(expected)),
-            Home::Remote(address) => {
+    /// Announces pieces that will be submitted later to the coordinator of their pool.
+    pub(crate) fn expect_pieces(&self, expected: ExpectedPieces) -> Expectation {
+        let handle = match self.coordinator_of(&expected.pool) {
+            HostLocation::Local => ExpectationHandle::Local(self.coordinator.expect(expected)),
+            HostLocation::Remote(address) => {
                 let number = self.next_number();
-                self.send_to(address, PieceRequest::Expect { number, expected }, |_| {});
-                ExpectedAt::Remote(address, number)
+                self.send_to(
+                    address,
+                    PieceRequest::ExpectPieces { number, expected },
+                    |_| {},
+                );
+                ExpectationHandle::Remote(address, number)
             }
         };
         Expectation {
             client: self.clone(),
-            home,
+            handle,
         }
     }
 
-    fn send_to(&self, address: SocketAddr, request: PieceRequest, note: impl FnOnce(&mut Link)) {
+    /// Sends a request on an existing connection, and lets `record` store what waits for the reply.
+    /// Without a connection the request is dropped.
+    fn send_to(&self, address: SocketAddr, request: PieceRequest, record: impl FnOnce(&mut Link)) {
         let mut state = self.state.borrow_mut();
         if let Some(link) = state.links.get_mut(&address) {
-            link.send(request, note);
+            link.send(request, record);
         }
     }
 
-    fn note_heard(&self, address: SocketAddr) {
+    fn record_received(&self, address: SocketAddr) {
         let mut state = self.state.borrow_mut();
         if let Some(link) = state.links.get_mut(&address) {
-            link.heard = Instant::now();
+            link.last_received = Instant::now();
         }
     }
 
-    /// Returns the time until the next sign of life is due to another host; nothing where that host is
-    /// silent although something is waited for.
-    fn next_sign(&self, address: SocketAddr) -> Option<Duration> {
+    /// Returns the time after which a heartbeat is due if nothing else is sent; `None` if the peer is
+    /// silent although requests are pending.
+    fn heartbeat_interval(&self, address: SocketAddr) -> Option<Duration> {
         let state = self.state.borrow();
         let link = state.links.get(&address)?;
         if link.is_silent(Instant::now()) {
             return None;
         }
-        Some(if link.is_waited_on() {
-            ALIVE_PERIOD
+        Some(if link.has_pending() {
+            HEARTBEAT_INTERVAL
         } else {
-            IDLE_PERIOD
+            IDLE_HEARTBEAT_INTERVAL
         })
     }
 
-    /// Takes a connection out that nothing has needed for a while; says whether it was one.
-    fn take_unused(&self, address: SocketAddr) -> bool {
+    /// Removes a connection that has not been used for [`UNUSED_LINK_TIMEOUT`]; returns whether it did.
+    fn remove_if_unused(&self, address: SocketAddr) -> bool {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
         let link = state.links.get(&address);
-        let unused = link.is_some_and(|link| link.is_unused(UNUSED_KEPT, now));
+        let unused = link.is_some_and(|link| link.is_unused(UNUSED_LINK_TIMEOUT, now));
         if unused {
             state.links.remove(&address);
-            state.cut_halls = None;
+            state.unreachable_halls = None;
         }
         unused
     }
 
-    fn take_loads(&self, loads: Vec<(PoolKey, PoolLoad)>) {
+    fn store_loads(&self, loads: Vec<(PoolKey, PoolLoad)>) {
         let now = Instant::now();
         let loads = loads.into_iter().map(|(pool, load)| (pool, (load, now)));
         self.state.borrow_mut().loads.extend(loads);
     }
 
-    fn take_done(&self, address: SocketAddr, number: u64, results: Results) {
+    fn complete_batch(&self, address: SocketAddr, number: u64, results: PieceResults) {
         let mut state = self.state.borrow_mut();
         let waiter = state
             .links
             .get_mut(&address)
-            .and_then(|link| link.waiting.remove(&number));
+            .and_then(|link| link.pending_batches.remove(&number));
         if let Some(waiter) = waiter {
             let _ = waiter.send(results);
         }
--- a/crates/gateway/src/stage_client/guard.rs
+++ b/crates/gateway/src/stage_client/guard.rs
@@ -1,4 +1,4 @@
-//! What a request has begun at a coordinator or placer, ended when it is dropped.
+//! Guards that end what a request has begun at a coordinator or placer when they are dropped.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,71 +9,73 @@
 use crate::engine::{PlaceFacts, PlacementKey};
 use crate::piece_message::PieceRequest;
 
+/// Identifies announced pieces at their coordinator.
 #[derive(Clone, Copy)]
-pub(super) enum ExpectedAt {
-    Here(ExpectKey),
+pub(super) enum ExpectationHandle {
+    Local(ExpectKey),
     Remote(SocketAddr, u64),
 }
 
-/// Pieces that are expected somewhere until this is dropped.
+/// Ends the announcement of pieces at their coordinator when it is dropped.
 pub(crate) struct Expectation {
     pub(super) client: StageClient,
-    pub(super) home: ExpectedAt,
+    pub(super) handle: ExpectationHandle,
 }
 
 impl Drop for Expectation {
     fn drop(&mut self) {
-        match self.home {
-            ExpectedAt::Here(key) => self.client.coordinator.arrived(key),
-            ExpectedAt::Remote(address, number) => {
+        match self.handle {
+            ExpectationHandle::Local(key) => self.client.coordinator.arrived(key),
+            ExpectationHandle::Remote(address, number) => {
                 self.client
-                    .send_to(address, PieceRequest::Arrived(number), |_| {});
+                    .send_to(address, PieceRequest::EndExpectation(number), |_| {});
             }
         }
     }
 }
 
+/// Identifies a placement at its placer.
 #[derive(Clone, Copy)]
-pub(super) enum PlacedAt {
-    Here(PlacementKey),
+pub(super) enum PlacementHandle {
+    Local(PlacementKey),
     Remote(SocketAddr, u64),
 }
 
-/// A prompt that was placed on an engine; it counts there until this is dropped.
+/// The placement of a prompt on an engine; it counts towards the load of the engine until this is dropped.
 pub(crate) struct Placement {
     pub(super) client: StageClient,
-    pub(super) home: PlacedAt,
-    /// What decided it; nothing where the placer did not answer in time.
+    pub(super) handle: PlacementHandle,
+    /// The estimate behind the choice; `None` until the placer replies.
     pub(super) facts: Option<PlaceFacts>,
 }
 
 impl Placement {
-    /// Returns what decided it.
+    /// Returns the estimate by which the placer chose the engine.
     pub(crate) fn facts(&self) -> Option<PlaceFacts> {
         self.facts
     }
 
-    /// Tells the host that placed it that the engine cannot be reached.
-    pub(crate) fn note_unreachable(&self, service: &str, engine: &str) {
-        if let PlacedAt::Remote(address, _) = self.home {
-            let word = PieceRequest::Unreachable {
+    /// Reports to the placer, if that is another host, that the engine cannot be reached.
+    pub(crate) fn report_unreachable(&self, service: &str, engine: &str) {
+        if let PlacementHandle::Remote(address, _) = self.handle {
+            let report = PieceRequest::EngineUnreachable {
                 service: service.to_owned(),
                 engine: engine.to_owned(),
             };
-            self.client.send_to(address, word, |_| {});
+            self.client.send_to(address, report, |_| {});
         }
     }
 
-    /// Notes that the engine has read the prompt.
-    pub(crate) fn note_read(&self) {
-        match self.home {
-            PlacedAt::Here(key) => {
+    /// Reports to the placer that the engine has finished the prefill of the prompt.
+    pub(crate) fn report_prefill_done(&self) {
+        match self.handle {
+            PlacementHandle::Local(key) => {
                 let mut engines = self.client.engines.borrow_mut();
                 engines.note_read(key, Instant::now());
             }
-            PlacedAt::Remote(address, number) => {
+            PlacementHandle::Remote(address, number) => {
                 self.client
-                    .send_to(address, PieceRequest::Read(number), |_| {});
+                    .send_to(address, PieceRequest::PrefillDone(number), |_| {});
             }
         }
     }
@@ -81,45 +83,45 @@
 
 impl Drop for Placement {
     fn drop(&mut self) {
-        match self.home {
-            PlacedAt::Here(key) => self.client.engines.borrow_mut().end(key),
-            PlacedAt::Remote(address, number) => {
+        match self.handle {
+            PlacementHandle::Local(key) => self.client.engines.borrow_mut().end(key),
+            PlacementHandle::Remote(address, number) => {
                 self.client
-                    .send_to(address, PieceRequest::End(number), |link| {
-                        link.placing.remove(&number);
+                    .send_to(address, PieceRequest::EndPlacement(number), |link| {
+                        link.pending_placements.remove(&number);
                     });
             }
         }
     }
 }
 
-/// Withdraws a batch of this host when its request ends before it.
-pub(super) struct LocalBatch {
+/// Cancels a batch at this host when its request ends first.
+pub(super) struct LocalBatchGuard {
     pub(super) coordinator: Rc<Coordinator>,
     pub(super) key: BatchKey,
 }
 
-impl Drop for LocalBatch {
+impl Drop for LocalBatchGuard {
     fn drop(&mut self) {
         self.coordinator.cancel(self.key);
     }
 }
 
-/// Withdraws a batch at another host when its request ends before it.
-pub(super) struct RemoteBatch {
+/// Cancels a batch at another host when its request ends first.
+pub(super) struct RemoteBatchGuard {
     pub(super) client: StageClient,
     pub(super) address: SocketAddr,
     pub(super) number: u64,
 }
 
-impl Drop for RemoteBatch {
+impl Drop for RemoteBatchGuard {
     fn drop(&mut self) {
         let mut state = self.client.state.borrow_mut();
         let Some(link) = state.links.get_mut(&self.address) else {
             return;
         };
-        if link.waiting.remove(&self.number).is_some() {
-            let _ = link.outgoing.send(PieceRequest::Cancel(self.number));
+        if link.pending_batches.remove(&self.number).is_some() {
+            let _ = link.outgoing.send(PieceRequest::CancelBatch(self.number));
         }
     }
 }
--- a/crates/gateway/src/stage_client/link.rs
+++ b/crates/gateway/src/stage_client/link.rs
@@ -1,4 +1,4 @@
-//! A connection to another entry host that gathers pieces or places prompts.
+//! The task that runs one connection to another entry host.
 
 use std::net::SocketAddr;
 
@@ -7,110 +7,121 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-use super::{IDLE_SILENCE_LIMIT, LinkState, RECONNECT_WAIT, SILENCE_LIMIT, StageClient};
-use crate::first_form::{FirstReply, queue_request};
+use super::{IDLE_SILENCE_TIMEOUT, LinkState, RECONNECT_DELAY, SILENCE_TIMEOUT, StageClient};
+use crate::message_v1::{PieceReplyV1, queue_request};
 use crate::peer_queue::send_waiting;
 use crate::piece_message::{PieceReply, PieceRequest};
 
-/// How a connection ended, where it did not fail.
+/// The reason why a connection ended without an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LinkEnd {
-    /// The other side is lost, or was silent.
+    /// The peer was silent, or could not be reached in time.
     Lost,
-    /// Nothing needed it, and it is forgotten.
+    /// The connection was unused and has been removed.
     Unused,
 }
 
-/// Keeps a connection to an entry host open for as long as that host is known and something needs it.
+/// Keeps a connection to an entry host open while that host is known and the connection is in use.
 pub(super) async fn run_link(
     client: StageClient,
     address: SocketAddr,
     mut queue: mpsc::UnboundedReceiver<PieceRequest>,
 ) {
-    while client.knows(address) {
-        // Why it failed says nothing that its being lost does not.
-        if let Ok(LinkEnd::Unused) = exchange(&client, address, &mut queue).await {
+    while client.is_known(address) {
+        // An error is handled like any other loss of the connection.
+        if let Ok(LinkEnd::Unused) = run_connection(&client, address, &mut queue).await {
             return;
         }
-        client.mark(address, LinkState::Lost);
-        // What waits for this host goes to another one.
+        client.set_link_state(address, LinkState::Lost);
+        // Discards queued requests. Their reply channels were dropped just now, so the senders try another
+        // host.
         while queue.try_recv().is_ok() {}
-        sleep(RECONNECT_WAIT).await;
+        sleep(RECONNECT_DELAY).await;
     }
     let link = {
         let mut state = client.state.borrow_mut();
-        state.cut_halls = None;
+        state.unreachable_halls = None;
         state.links.remove(&address)
     };
     drop(link);
 }
 
-async fn exchange(
+async fn run_connection(
     client: &StageClient,
     address: SocketAddr,
     queue: &mut mpsc::UnboundedReceiver<PieceRequest>,
 ) -> Result<LinkEnd, WireError> {
-    let Ok(connected) = timeout(SILENCE_LIMIT, connect_peer(&client.identity, address)).await
+    let Ok(connected) = timeout(SILENCE_TIMEOUT, connect_peer(&client.identity, address)).await
     else {
         return Ok(LinkEnd::Lost);
     };
     let (reader, mut writer) = connected?;
-    let mut reader = reader.with_silence_limit(IDLE_SILENCE_LIMIT);
+    let mut reader = reader.with_silence_limit(IDLE_SILENCE_TIMEOUT);
     writer.send(&PeerGreeting::Pieces).await?;
-    let form = match reader.form() {
-        Some(form) => form,
-        None => first_sign(client, address, &mut reader).await?,
+    let version = match reader.form() {
+        Some(version) => version,
+        None => detect_message_version(client, address, &mut reader).await?,
     };
-    client.mark_up(address, form);
+    client.mark_link_up(address, version);
     tokio::select! {
-        ended = take_replies(client, address, reader) => ended.map(|()| LinkEnd::Lost),
-        ended = send_queued(client, address, form, queue, writer) => ended,
+        ended = receive_replies(client, address, reader) => ended.map(|()| LinkEnd::Lost),
+        ended = send_queued(client, address, version, queue, writer) => ended,
     }
 }
 
-/// Waits for the first sign of life of a host that announced no form, which tells it. Such a host sends one
-/// within 400 ms; requests wait for it, or go elsewhere.
-async fn first_sign(
+/// Detects the message version of a host that announced none by its first message. Such a host sends a
+/// heartbeat within 400 ms; until then requests wait or go to another host.
+async fn detect_message_version(
     client: &StageClient,
     address: SocketAddr,
     reader: &mut PeerReader,
 ) -> Result<MessageForm, WireError> {
     loop {
-        take_reply(client, address, reader).await?;
-        if let Some(form) = reader.form() {
-            let detail = format!("peer={} form={form}", reader.peer());
+        receive_reply(client, address, reader).await?;
+        if let Some(version) = reader.form() {
+            let detail = format!("peer={} form={version}", reader.peer());
             let recorder = &client.coordinator.recorder;
             recorder.record(EventCode::PeerEarlier, &address.to_string(), detail);
-            return Ok(form);
+            return Ok(version);
         }
     }
 }
 
-async fn take_replies(
+async fn receive_replies(
     client: &StageClient,
     address: SocketAddr,
     mut reader: PeerReader,
 ) -> Result<(), WireError> {
     loop {
-        take_reply(client, address, &mut reader).await?;
+        receive_reply(client, address, &mut reader).await?;
     }
 }
 
-async fn take_reply(
+async fn receive_reply(
     client: &StageClient,
     address: SocketAddr,
     reader: &mut PeerReader,
 ) -> Result<(), WireError> {
-    let reply = reader.receive_formed::<_, FirstReply>().await?;
-    client.note_heard(address);
+    let reply = reader.receive_formed::<_, PieceReplyV1>().await?;
+    client.record_received(address);
     match reply {
-        PieceReply::Done { number, results } => client.take_done(address, number, results),
-        PieceReply::Placed { number, engine } => client.take_placed(address, number, engine),
-        PieceReply::Called { number, end } => client.take_called(address, number, end),
-        PieceReply::Rate { number, answer } => client.take_rate_answer(address, number, answer),
-        PieceReply::Turn { number, answer } => client.take_turn_answer(address, number, answer),
-        PieceReply::Uses { pool, uses } => client.coordinator.set_uses(reader.peer(), &pool, &uses),
-        PieceReply::Alive { loads } => client.take_loads(loads),
+        PieceReply::BatchDone { number, results } => {
+            client.complete_batch(address, number, results)
+        }
+        PieceReply::Placed { number, engine } => client.complete_placement(address, number, engine),
+        PieceReply::DelegatedCallEnded { number, outcome } => {
+            client.complete_call(address, number, outcome)
+        }
+        PieceReply::SendPermit { number, answer } => {
+            client.complete_send_permit(address, number, answer)
+        }
+        PieceReply::RunPermit { number, answer } => {
+            client.complete_run_permit(address, number, answer)
+        }
+        PieceReply::TargetUsage { pool, usage } => {
+            client.coordinator.set_uses(reader.peer(), &pool, &usage)
+        }
+        PieceReply::Heartbeat { loads } => client.store_loads(loads),
     }
     Ok(())
 }
@@ -118,19 +129,19 @@
 async fn send_queued(
     client: &StageClient,
     address: SocketAddr,
-    form: MessageForm,
+    version: MessageForm,
     queue: &mut mpsc::UnboundedReceiver<PieceRequest>,
     mut writer: PeerWriter,
 ) -> Result<LinkEnd, WireError> {
     let put =
-        |writer: &mut PeerWriter, request: &PieceRequest| queue_request(writer, form, request);
-    // Ends once the other side is silent, which ends the connection.
-    while let Some(period) = client.next_sign(address) {
-        let request = match timeout(period, queue.recv()).await {
+        |writer: &mut PeerWriter, request: &PieceRequest| queue_request(writer, version, request);
+    // The loop, and with it the connection, ends once the peer is silent while requests are pending.
+    while let Some(interval) = client.heartbeat_interval(address) {
+        let request = match timeout(interval, queue.recv()).await {
             Ok(Some(request)) => request,
             Ok(None) => return Ok(LinkEnd::Lost),
-            Err(_) if client.take_unused(address) => return Ok(LinkEnd::Unused),
-            Err(_) => PieceRequest::Alive,
+            Err(_) if client.remove_if_unused(address) => return Ok(LinkEnd::Unused),
+            Err(_) => PieceRequest::Heartbeat,
         };
         send_waiting(&request, queue, &mut writer, put).await?;
     }
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -1,4 +1,4 @@
-//! Where a connection to another entry host stands, and whether the other side is silent.
+//! The state of a connection to another entry host, and the detection of a silent peer.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,101 +6,102 @@
 use linnet_wire::MessageForm;
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Results, SILENCE_LIMIT};
+use super::{PieceResults, SILENCE_TIMEOUT};
 use crate::engine::PlaceFacts;
 use crate::piece_message::PieceRequest;
 use crate::rate_turn::RateAnswer;
-use crate::stage_call::CallEnd;
+use crate::stage_call::CallOutcome;
 use crate::turn::TurnAnswer;
 
-/// Where a connection to another entry host stands.
+/// The state of a connection to another entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkState {
-    /// It is being opened for the first time, since then.
+    /// The first attempt to open the connection has been running since then.
     Opening(Instant),
-    /// It is up.
+    /// The connection is up.
     Up,
-    /// It was lost, or could not be opened; it is tried again in the background.
+    /// The connection was lost or could not be opened; it is retried in the background.
     Lost,
 }
 
-/// A connection to another entry host, and what is waited for on it.
+/// A connection to another entry host and the requests that await a reply on it, by their numbers.
 pub(super) struct Link {
     pub(super) state: LinkState,
-    /// The form of messages that the other side spoke last.
-    pub(super) form: MessageForm,
-    /// When the other side was heard last, or something was first waited for since.
-    pub(super) heard: Instant,
-    /// When something was sent last, beside signs of life.
-    pub(super) used: Instant,
-    /// What this host has begun at the other side and not ended: placements, expected pieces, turns.
-    pub(super) held: u32,
+    /// The message version of the peer; the newest until the peer has announced one.
+    pub(super) message_version: MessageForm,
+    /// The time of the last message from the peer, or of the first pending request if that is later.
+    pub(super) last_received: Instant,
+    /// The time of the last message to the peer other than a heartbeat.
+    pub(super) last_used: Instant,
+    /// Number of placements, announcements and run permits at the peer that this host has not ended.
+    pub(super) remote_holds: u32,
     pub(super) outgoing: mpsc::UnboundedSender<PieceRequest>,
-    pub(super) waiting: HashMap<u64, oneshot::Sender<Results>>,
-    pub(super) placing: HashMap<u64, oneshot::Sender<Option<(String, PlaceFacts)>>>,
-    /// Calls that this host has the other one send.
-    pub(super) calling: HashMap<u64, oneshot::Sender<CallEnd>>,
-    /// Questions whether a request may run.
-    pub(super) turns: HashMap<u64, oneshot::Sender<TurnAnswer>>,
-    /// Questions whether a request may go to a target that names a rate.
-    pub(super) rates: HashMap<u64, oneshot::Sender<RateAnswer>>,
+    pub(super) pending_batches: HashMap<u64, oneshot::Sender<PieceResults>>,
+    pub(super) pending_placements: HashMap<u64, oneshot::Sender<Option<(String, PlaceFacts)>>>,
+    /// Calls that are delegated to the peer.
+    pub(super) pending_calls: HashMap<u64, oneshot::Sender<CallOutcome>>,
+    pub(super) pending_run_permits: HashMap<u64, oneshot::Sender<TurnAnswer>>,
+    pub(super) pending_send_permits: HashMap<u64, oneshot::Sender<RateAnswer>>,
 }
 
 impl Link {
-    /// Says whether something is waited for.
-    pub(super) fn is_waited_on(&self) -> bool {
-        !self.waiting.is_empty()
-            || !self.placing.is_empty()
-            || !self.calling.is_empty()
-            || !self.turns.is_empty()
-            || !self.rates.is_empty()
+    /// Returns whether a request awaits a reply.
+    pub(super) fn has_pending(&self) -> bool {
+        !self.pending_batches.is_empty()
+            || !self.pending_placements.is_empty()
+            || !self.pending_calls.is_empty()
+            || !self.pending_run_permits.is_empty()
+            || !self.pending_send_permits.is_empty()
     }
 
-    /// Sends a request whose answer `note` lets wait. While nothing was waited for the other side had
-    /// reason to be silent, so its silence counts from now.
-    pub(super) fn send(&mut self, request: PieceRequest, note: impl FnOnce(&mut Self)) {
-        let was_idle = !self.is_waited_on();
-        note(self);
-        if was_idle && self.is_waited_on() {
-            self.heard = Instant::now();
+    /// Sends a request; `record` stores what waits for the reply. An idle peer may be silent for longer, so
+    /// its silence counts from now if this is the first pending request.
+    pub(super) fn send(&mut self, request: PieceRequest, record: impl FnOnce(&mut Self)) {
+        let was_idle = !self.has_pending();
+        record(self);
+        if was_idle && self.has_pending() {
+            self.last_received = Instant::now();
         }
-        self.used = Instant::now();
-        self.note_held(&request);
+        self.last_used = Instant::now();
+        self.count_remote_holds(&request);
         let _ = self.outgoing.send(request);
     }
 
-    /// Counts what is begun at the other side, and ends with the connection.
-    fn note_held(&mut self, request: &PieceRequest) {
+    /// Counts what a request begins or ends at the peer; the peer ends all of it when the connection closes.
+    fn count_remote_holds(&mut self, request: &PieceRequest) {
         match request {
-            PieceRequest::Place { .. }
-            | PieceRequest::Expect { .. }
-            | PieceRequest::TakeTurn { .. } => self.held += 1,
-            PieceRequest::End(_) | PieceRequest::Arrived(_) | PieceRequest::EndTurn(_) => {
-                self.held = self.held.saturating_sub(1);
+            PieceRequest::PlacePrompt { .. }
+            | PieceRequest::ExpectPieces { .. }
+            | PieceRequest::AcquireRunPermit { .. } => self.remote_holds += 1,
+            PieceRequest::EndPlacement(_)
+            | PieceRequest::EndExpectation(_)
+            | PieceRequest::ReleaseRunPermit(_) => {
+                self.remote_holds = self.remote_holds.saturating_sub(1);
             }
             _ => {}
         }
     }
 
-    /// Says whether nothing has needed it for a span.
-    pub(super) fn is_unused(&self, span: Duration, now: Instant) -> bool {
-        let rested = now.saturating_duration_since(self.used) >= span;
-        rested && self.held == 0 && !self.is_waited_on()
+    /// Returns whether the connection has been unused for some time and may be closed.
+    pub(super) fn is_unused(&self, min_idle: Duration, now: Instant) -> bool {
+        let is_idle = now.saturating_duration_since(self.last_used) >= min_idle;
+        is_idle && self.remote_holds == 0 && !self.has_pending()
     }
 
-    /// Returns where the connection stands for the reach of its hall. One that nothing is waited for on is
-    /// kept up for longer, but where all of a hall are silent the hall is out of reach.
-    pub(super) fn state_at(&self, now: Instant) -> LinkState {
-        let silence = now.saturating_duration_since(self.heard);
+    /// Returns the state by which reachability of the peer's hall is judged. A connection without pending
+    /// requests stays up through a longer silence, but counts as lost here: if all hosts of a hall are
+    /// silent, the hall is unreachable.
+    pub(super) fn hall_state_at(&self, now: Instant) -> LinkState {
+        let silence = now.saturating_duration_since(self.last_received);
         match self.state {
-            LinkState::Up if silence > SILENCE_LIMIT => LinkState::Lost,
+            LinkState::Up if silence > SILENCE_TIMEOUT => LinkState::Lost,
             state => state,
         }
     }
 
-    /// Says whether the other side should have been heard by now.
+    /// Returns whether a request is pending and the peer has been silent for too long.
     pub(super) fn is_silent(&self, now: Instant) -> bool {
-        let silence = now.saturating_duration_since(self.heard);
-        self.is_waited_on() && silence > SILENCE_LIMIT
+        let silence = now.saturating_duration_since(self.last_received);
+        self.has_pending() && silence > SILENCE_TIMEOUT
     }
 }
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -1,4 +1,4 @@
-//! Asking the host that places prompts on the engines of a service.
+//! Requests to the placer of prompts on the engines of a service.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -7,41 +7,41 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::guard::{PlacedAt, Placement};
-use super::{Home, StageClient};
+use super::guard::{Placement, PlacementHandle};
+use super::{HostLocation, StageClient};
 use crate::engine::{PlaceAsk, PlaceFacts};
 use crate::piece_message::PieceRequest;
-use crate::pool_key::place_key;
+use crate::pool_key::placement_pool_key;
 use crate::target::{Chosen, TargetBook};
 
-/// How long the host that places prompts may take.
-const PLACE_TIMEOUT: Duration = Duration::from_millis(60);
+/// Timeout for the reply of a placer.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(60);
 
 impl StageClient {
-    /// Returns the host that places a prompt: one for the engines of a service, or for a part of them.
-    fn placer_of(&self, targets: &RefCell<TargetBook>, ask: &PlaceAsk) -> Home {
+    /// Returns the placer of a prompt: that of the complete service or of a partition of its engines.
+    fn placer_of(&self, targets: &RefCell<TargetBook>, ask: &PlaceAsk) -> HostLocation {
         let key = {
             let book = targets.borrow();
-            place_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt)
+            placement_pool_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt)
         };
-        self.home_of(&key)
+        self.coordinator_of(&key)
     }
 
-    /// Has a prompt placed by the host that places for its service. Where that host does not answer
-    /// at once this one places it by what it knows itself.
-    pub(crate) async fn place(
+    /// Places a prompt by way of its placer. If the placer does not reply in time, this host places the
+    /// prompt by its own estimate of the load.
+    pub(crate) async fn place_prompt(
         &self,
         targets: &RefCell<TargetBook>,
         ask: PlaceAsk,
     ) -> Option<(Chosen, Placement)> {
         let mut ask = ask;
-        if let Home::Remote(address) = self.placer_of(targets, &ask) {
+        if let HostLocation::Remote(address) = self.placer_of(targets, &ask) {
             if let Some((engine, placement)) = self.place_at(address, ask.clone()).await
                 && let Some(chosen) = targets.borrow().find(&ask.service, &engine)
             {
                 return Some((chosen, placement));
             }
-            // Only the host that places for all counts what cold engines get.
+            // Only the placer limits the load of cold engines, so none is used without it.
             let cold = targets.borrow().cold_targets(&ask.service, Instant::now());
             ask.closed.extend(cold);
         }
@@ -50,7 +50,7 @@
         let (key, chosen, facts) = placed?;
         let placement = Placement {
             client: self.clone(),
-            home: PlacedAt::Here(key),
+            handle: PlacementHandle::Local(key),
             facts: Some(facts),
         };
         Some((chosen, placement))
@@ -58,33 +58,33 @@
 
     async fn place_at(&self, address: SocketAddr, ask: PlaceAsk) -> Option<(String, Placement)> {
         let number = self.next_number();
-        let answer = self.ask_placer(address, number, PieceRequest::Place { number, ask });
-        // From here on the placement is ended whatever becomes of the answer.
+        let reply = self.query_placer(address, number, PieceRequest::PlacePrompt { number, ask });
+        // The guard ends the placement at the placer even if its reply is late or lost.
         let mut placement = Placement {
             client: self.clone(),
-            home: PlacedAt::Remote(address, number),
+            handle: PlacementHandle::Remote(address, number),
             facts: None,
         };
-        let (engine, facts) = answer.await?;
+        let (engine, facts) = reply.await?;
         placement.facts = Some(facts);
         Some((engine, placement))
     }
 
-    /// Has a prompt planned by the host that places for its service, without placing it: returns
-    /// the engine where it would go now.
-    pub(crate) async fn plan(
+    /// Asks the placer of a prompt on which engine it would be placed now, without placing it. Falls back to
+    /// this host's own estimate.
+    pub(crate) async fn plan_placement(
         &self,
         targets: &RefCell<TargetBook>,
         ask: PlaceAsk,
     ) -> Option<Chosen> {
-        if let Home::Remote(address) = self.placer_of(targets, &ask) {
+        if let HostLocation::Remote(address) = self.placer_of(targets, &ask) {
             let number = self.next_number();
             let service = ask.service.clone();
-            let request = PieceRequest::Plan {
+            let request = PieceRequest::PlanPlacement {
                 number,
                 ask: ask.clone(),
             };
-            if let Some((engine, _)) = self.ask_placer(address, number, request).await
+            if let Some((engine, _)) = self.query_placer(address, number, request).await
                 && let Some(chosen) = targets.borrow().find(&service, &engine)
             {
                 return Some(chosen);
@@ -95,29 +95,29 @@
         planned.map(|(chosen, _)| chosen)
     }
 
-    /// Sends a request to a placer and waits for its answer; it is sent before this returns.
-    fn ask_placer(
+    /// Sends a request to a placer at once and returns a future that waits for the reply.
+    fn query_placer(
         &self,
         address: SocketAddr,
         number: u64,
         request: PieceRequest,
     ) -> impl Future<Output = Option<(String, PlaceFacts)>> + use<> {
-        let (done, answer) = oneshot::channel();
+        let (done, reply) = oneshot::channel();
         self.send_to(address, request, |link| {
-            link.placing.insert(number, done);
+            link.pending_placements.insert(number, done);
         });
         let client = self.clone();
         async move {
-            let answer = timeout(PLACE_TIMEOUT, answer).await;
+            let reply = timeout(PLACEMENT_TIMEOUT, reply).await;
             let mut state = client.state.borrow_mut();
             if let Some(link) = state.links.get_mut(&address) {
-                link.placing.remove(&number);
+                link.pending_placements.remove(&number);
             }
-            answer.ok()?.ok()?
+            reply.ok()?.ok()?
         }
     }
 
-    pub(super) fn take_placed(
+    pub(super) fn complete_placement(
         &self,
         address: SocketAddr,
         number: u64,
@@ -125,7 +125,7 @@
     ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
-        if let Some(waiter) = link.and_then(|link| link.placing.remove(&number)) {
+        if let Some(waiter) = link.and_then(|link| link.pending_placements.remove(&number)) {
             let _ = waiter.send(engine);
         }
     }
--- a/crates/gateway/src/stage_client/sender.rs
+++ b/crates/gateway/src/stage_client/sender.rs
@@ -1,4 +1,4 @@
-//! Calls to stage targets that another host sends in place of the one that gathers them.
+//! Delegated calls: calls to stage targets that another host sends in place of the coordinator.
 
 use std::net::SocketAddr;
 
@@ -10,97 +10,110 @@
 use crate::coordinator::SharedCall;
 use crate::piece_message::PieceRequest;
 use crate::rendezvous;
-use crate::stage_call::{CallEnd, StageCall, StageRelease};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease};
 
-/// Hosts that are looked at for one call. Each target has its own first one, which so keeps one
-/// connection to it; the next are for the time in which that one cannot be reached.
-const MAX_SENDERS: usize = 3;
+/// Number of candidate senders of a call. Each target has its own first candidate, so one host has the
+/// connection to it; the others are used while the first cannot be reached.
+const MAX_SENDER_CANDIDATES: usize = 3;
 
-/// Forgets a call when nobody waits for its end any more.
-struct PendingCall {
+/// Removes the reply channel of a delegated call when its outcome is no longer awaited.
+struct PendingCallGuard {
     client: StageClient,
     address: SocketAddr,
     number: u64,
 }
 
-impl Drop for PendingCall {
+impl Drop for PendingCallGuard {
     fn drop(&mut self) {
         let mut state = self.client.state.borrow_mut();
         if let Some(link) = state.links.get_mut(&self.address) {
-            link.calling.remove(&self.number);
+            link.pending_calls.remove(&self.number);
         }
     }
 }
 
 impl StageClient {
-    /// Hands a call to the host that sends to its target; nothing where this host sends it itself.
-    pub(super) fn share_call(&self, call: &StageCall, hall: &str) -> Option<SharedCall> {
+    /// Delegates a call to the sender for its target; `None` if this host is the sender.
+    pub(super) fn delegate_call(&self, call: &StageCall, hall: &str) -> Option<SharedCall> {
         let sender = self.sender_of(&call.target, hall)?;
         Some(SharedCall {
             sender,
-            end: self.call_at(sender, call.clone()),
+            end: self.send_delegated(sender, call.clone()),
         })
     }
 
-    /// Hands a release to the host that sends to its target; gives it back where this host sends it.
-    pub(super) fn share_release(&self, release: StageRelease, hall: &str) -> Option<StageRelease> {
+    /// Delegates a release to the sender for its target; returns it if this host is the sender.
+    pub(super) fn delegate_release(
+        &self,
+        release: StageRelease,
+        hall: &str,
+    ) -> Option<StageRelease> {
         let Some(sender) = self.sender_of(&release.target, hall) else {
             return Some(release);
         };
-        self.send_to(sender, PieceRequest::Release(release), |_| {});
+        self.send_to(sender, PieceRequest::DelegateRelease(release), |_| {});
         None
     }
 
-    /// Returns the host of a target's hall that sends calls to it. A call crosses halls in its short
-    /// form then.
+    /// Returns the entry host that sends calls to a target. It is in the hall of the target, so calls cross
+    /// halls in the compact form between entry hosts. `None` if this host sends them: it is the sender
+    /// itself, or no other candidate is up.
     fn sender_of(&self, target: &str, hall: &str) -> Option<SocketAddr> {
         let mut ranked: Vec<(u64, Option<SocketAddr>)> = {
             let state = self.state.borrow();
-            let others = state.gateways.iter();
-            let near = others
+            let others = state.entry_hosts.iter();
+            let same_hall = others
                 .filter(|one| one.hall == hall && one.name != self.name && !one.stopping)
                 .map(|one| (rendezvous::score(target, &one.name), Some(one.peer)));
-            near.collect()
+            same_hall.collect()
         };
         if hall == self.hall {
             ranked.push((rendezvous::score(target, &self.name), None));
         }
         ranked.sort_by(|a, b| b.cmp(a));
-        for (_, address) in ranked.into_iter().take(MAX_SENDERS) {
-            // This host is the first that can be used.
+        for (_, address) in ranked.into_iter().take(MAX_SENDER_CANDIDATES) {
+            // `None` stands for this host, which is the best usable candidate.
             let address = address?;
-            // Asked first, since that opens the connection for the calls to come.
-            if self.is_reachable(address) && self.state.borrow().is_up(address) {
+            // This check comes first since it opens the connection for later calls.
+            if self.connect_or_check(address) && self.state.borrow().is_up(address) {
                 return Some(address);
             }
         }
         None
     }
 
-    fn call_at(&self, address: SocketAddr, call: StageCall) -> LocalBoxFuture<'static, CallEnd> {
+    fn send_delegated(
+        &self,
+        address: SocketAddr,
+        call: StageCall,
+    ) -> LocalBoxFuture<'static, CallOutcome> {
         let number = self.next_number();
-        let (done, end) = oneshot::channel();
-        self.send_to(address, PieceRequest::Call { number, call }, |link| {
-            link.calling.insert(number, done);
-        });
-        let pending = PendingCall {
+        let (done, outcome) = oneshot::channel();
+        self.send_to(
+            address,
+            PieceRequest::DelegateCall { number, call },
+            |link| {
+                link.pending_calls.insert(number, done);
+            },
+        );
+        let guard = PendingCallGuard {
             client: self.clone(),
             address,
             number,
         };
         async move {
-            let _pending = pending;
-            end.await.unwrap_or(CallEnd::SenderLost)
+            let _guard = guard;
+            outcome.await.unwrap_or(CallOutcome::SenderLost)
         }
         .boxed_local()
     }
 
-    pub(super) fn take_called(&self, address: SocketAddr, number: u64, end: CallEnd) {
+    pub(super) fn complete_call(&self, address: SocketAddr, number: u64, outcome: CallOutcome) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
-        if let Some(waiter) = link.and_then(|link| link.calling.remove(&number)) {
-            // Nobody waits any more where the call was given up meanwhile.
-            let _ = waiter.send(end);
+        if let Some(waiter) = link.and_then(|link| link.pending_calls.remove(&number)) {
+            // The receiver is gone if the call was abandoned meanwhile.
+            let _ = waiter.send(outcome);
         }
     }
 }
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -9,34 +9,34 @@
     }
 }
 
-/// Where each of the hosts has the pieces of a pool gathered.
-fn homes(pool: &PoolKey, hosts: &[GatewayRecord]) -> Vec<SocketAddr> {
-    let home = |me: &GatewayRecord| {
-        let before = hosts_before(pool, &me.name, &me.hall, me.stopping, hosts.iter());
-        before.first().map_or(me.peer, |first| first.peer)
+/// Returns the coordinator of a pool as each of the hosts chooses it.
+fn coordinators(pool: &PoolKey, hosts: &[GatewayRecord]) -> Vec<SocketAddr> {
+    let coordinator = |me: &GatewayRecord| {
+        let better = better_coordinators(pool, &me.name, &me.hall, me.stopping, hosts.iter());
+        better.first().map_or(me.peer, |first| first.peer)
     };
-    hosts.iter().map(home).collect()
+    hosts.iter().map(coordinator).collect()
 }
 
 #[test]
-fn all_hosts_meet_at_the_same_one_also_while_some_are_stopping() {
+fn all_hosts_choose_the_same_coordinator_while_one_is_stopping() {
     for stopping in 0..6 {
         for service in ["a", "b", "c", "d"] {
             let hosts: Vec<_> = (0..6)
                 .map(|number| host(number, number == stopping))
                 .collect();
-            let homes = homes(&PoolKey::whole(service), &hosts);
-            assert!(homes.iter().all(|home| *home == homes[0]), "{homes:?}");
-            assert_ne!(homes[0], hosts[usize::from(stopping)].peer);
+            let chosen = coordinators(&PoolKey::whole(service), &hosts);
+            assert!(chosen.iter().all(|one| *one == chosen[0]), "{chosen:?}");
+            assert_ne!(chosen[0], hosts[usize::from(stopping)].peer);
         }
     }
 }
 
 #[test]
-fn the_last_host_gathers_for_itself_even_while_it_is_stopping() {
+fn a_stopping_host_is_its_own_coordinator_if_all_others_are_stopping() {
     let hosts = [host(0, true), host(1, true)];
-    let homes = homes(&PoolKey::whole("a"), &hosts);
-    assert_eq!(homes, [hosts[0].peer, hosts[1].peer]);
+    let chosen = coordinators(&PoolKey::whole("a"), &hosts);
+    assert_eq!(chosen, [hosts[0].peer, hosts[1].peer]);
 }
 
 fn client(name: &str) -> StageClient {
@@ -61,136 +61,147 @@
     StageClient::new(identity, name.to_owned(), hall, coordinator, Rc::default())
 }
 
-fn ranked(client: &StageClient) -> Vec<String> {
-    let ranked = client.ranked_hosts(&PoolKey::whole("a"));
+fn ranked_names(client: &StageClient) -> Vec<String> {
+    let ranked = client.better_coordinators(&PoolKey::whole("a"));
     ranked.iter().map(|one| one.name.clone()).collect()
 }
 
 #[test]
-fn ranks_that_are_kept_follow_the_hosts() {
+fn cached_rankings_follow_the_list_of_hosts() {
     let client = client("host-0");
     let hosts: Vec<_> = (0..40).map(|number| host(number, false)).collect();
-    client.set_gateways(hosts.clone());
-    let before = ranked(&client);
+    client.set_entry_hosts(hosts.clone());
+    let before = ranked_names(&client);
     assert!(!before.is_empty());
-    // The first of them is lost, then another one says that it stops.
+    // The first host is lost, then the next one announces that it is stopping.
     let fewer: Vec<_> = hosts
         .iter()
         .filter(|one| one.name != before[0])
         .cloned()
         .collect();
-    client.set_gateways(fewer.clone());
-    assert_eq!(ranked(&client), before[1..]);
+    client.set_entry_hosts(fewer.clone());
+    assert_eq!(ranked_names(&client), before[1..]);
     let stopping = fewer.into_iter().map(|mut one| {
         one.stopping |= one.name == before[1];
         one
     });
-    client.set_gateways(stopping.collect());
-    assert_eq!(ranked(&client), before[2..]);
-    // A host that stops itself ranks behind all others.
+    client.set_entry_hosts(stopping.collect());
+    assert_eq!(ranked_names(&client), before[2..]);
+    // A host that is stopping ranks itself after all others.
     client.begin_stop();
-    assert_eq!(ranked(&client).len(), 37);
+    assert_eq!(ranked_names(&client).len(), 37);
 }
 
-fn link(state: LinkState, heard: Instant) -> Link {
+fn link(state: LinkState, last_received: Instant) -> Link {
     Link {
         state,
-        form: MessageForm::NEWEST,
-        heard,
-        used: heard,
-        held: 0,
+        message_version: MessageForm::NEWEST,
+        last_received,
+        last_used: last_received,
+        remote_holds: 0,
         outgoing: mpsc::unbounded_channel().0,
-        waiting: HashMap::new(),
-        placing: HashMap::new(),
-        calling: HashMap::new(),
-        turns: HashMap::new(),
-        rates: HashMap::new(),
+        pending_batches: HashMap::new(),
+        pending_placements: HashMap::new(),
+        pending_calls: HashMap::new(),
+        pending_run_permits: HashMap::new(),
+        pending_send_permits: HashMap::new(),
     }
 }
 
 #[test]
-fn silence_counts_from_the_moment_at_which_something_is_waited_for() {
-    let long_ago = Instant::now() - IDLE_PERIOD;
+fn silence_counts_from_the_first_pending_request() {
+    let long_ago = Instant::now() - IDLE_HEARTBEAT_INTERVAL;
     let mut link = link(LinkState::Up, long_ago);
-    let late = Instant::now() + SILENCE_LIMIT;
-    assert!(!link.is_silent(late), "nothing is waited for");
-    link.send(PieceRequest::Alive, |link| {
-        link.waiting.insert(1, oneshot::channel().0);
+    let late = Instant::now() + SILENCE_TIMEOUT;
+    assert!(!link.is_silent(late), "no request is pending");
+    link.send(PieceRequest::Heartbeat, |link| {
+        link.pending_batches.insert(1, oneshot::channel().0);
     });
-    let asked = link.heard;
-    assert!(asked > long_ago);
-    assert!(!link.is_silent(asked + SILENCE_LIMIT));
-    assert!(link.is_silent(asked + SILENCE_LIMIT + Duration::from_millis(1)));
-    // A second request does not make up for the silence since the first.
-    link.send(PieceRequest::Alive, |link| {
-        link.waiting.insert(2, oneshot::channel().0);
+    let sent_at = link.last_received;
+    assert!(sent_at > long_ago);
+    assert!(!link.is_silent(sent_at + SILENCE_TIMEOUT));
+    assert!(link.is_silent(sent_at + SILENCE_TIMEOUT + Duration::from_millis(1)));
+    // A second request does not restart the silence.
+    link.send(PieceRequest::Heartbeat, |link| {
+        link.pending_batches.insert(2, oneshot::channel().0);
     });
-    assert_eq!(link.heard, asked);
+    assert_eq!(link.last_received, sent_at);
 }
 
 #[test]
-fn a_connection_that_nothing_is_waited_for_on_counts_as_lost_for_the_reach_of_its_hall() {
-    let heard = Instant::now();
-    let link = link(LinkState::Up, heard);
-    assert_eq!(link.state_at(heard + IDLE_PERIOD), LinkState::Up);
-    let later = heard + SILENCE_LIMIT + Duration::from_millis(1);
-    assert_eq!(link.state_at(later), LinkState::Lost);
+fn an_idle_connection_counts_as_lost_for_its_hall_after_the_short_silence_timeout() {
+    let received = Instant::now();
+    let link = link(LinkState::Up, received);
+    assert_eq!(
+        link.hall_state_at(received + IDLE_HEARTBEAT_INTERVAL),
+        LinkState::Up
+    );
+    let later = received + SILENCE_TIMEOUT + Duration::from_millis(1);
+    assert_eq!(link.hall_state_at(later), LinkState::Lost);
 }
 
-/// A host would come to be connected with all that gather or place, with signs of life on each connection.
+/// Without this a host ends up connected to every coordinator and placer, with heartbeats on each connection.
 #[test]
-fn a_connection_is_given_up_when_nothing_has_needed_it_for_a_while() {
+fn an_unused_connection_is_closed_after_a_timeout() {
     let mut link = link(LinkState::Up, Instant::now());
-    let unused = |link: &Link| link.is_unused(UNUSED_KEPT, link.used + UNUSED_KEPT);
-    assert!(!link.is_unused(UNUSED_KEPT, link.used));
+    let unused =
+        |link: &Link| link.is_unused(UNUSED_LINK_TIMEOUT, link.last_used + UNUSED_LINK_TIMEOUT);
+    assert!(!link.is_unused(UNUSED_LINK_TIMEOUT, link.last_used));
     assert!(unused(&link));
-    link.send(PieceRequest::Alive, |link| {
-        link.waiting.insert(1, oneshot::channel().0);
+    link.send(PieceRequest::Heartbeat, |link| {
+        link.pending_batches.insert(1, oneshot::channel().0);
     });
-    assert!(!unused(&link), "an answer is waited for");
-    link.waiting.clear();
+    assert!(!unused(&link), "a reply is pending");
+    link.pending_batches.clear();
     assert!(unused(&link));
 }
 
-/// What was begun at the other side would end there with the connection.
+/// The peer ends placements, announcements and run permits of this host when the connection closes.
 #[test]
-fn a_connection_is_kept_while_the_other_side_holds_something_for_this_host() {
+fn a_connection_is_kept_while_the_peer_holds_a_run_permit_of_this_host() {
     let mut link = link(LinkState::Up, Instant::now());
-    let unused = |link: &Link| link.is_unused(UNUSED_KEPT, link.used + UNUSED_KEPT);
+    let unused =
+        |link: &Link| link.is_unused(UNUSED_LINK_TIMEOUT, link.last_used + UNUSED_LINK_TIMEOUT);
     let key =
         linnet_quarantine::RequestKey::parse("aae9eaeb7b607c9c61ca6441a4a53d14").expect("a key");
-    let turn = |number| PieceRequest::TakeTurn {
+    let acquire = |number| PieceRequest::AcquireRunPermit {
         number,
         key,
         id: "a1".to_owned(),
     };
-    link.send(turn(1), |_| {});
-    link.send(turn(2), |_| {});
-    link.send(PieceRequest::EndTurn(1), |_| {});
+    link.send(acquire(1), |_| {});
+    link.send(acquire(2), |_| {});
+    link.send(PieceRequest::ReleaseRunPermit(1), |_| {});
     assert!(!unused(&link));
-    link.send(PieceRequest::EndTurn(2), |_| {});
+    link.send(PieceRequest::ReleaseRunPermit(2), |_| {});
     assert!(unused(&link));
 }
 
-/// Prints what ranking 300 hosts for a pool costs, anew and kept, in nanoseconds.
+/// Prints the time to rank 300 hosts for a pool, computed and cached, in nanoseconds.
 #[test]
 #[ignore = "measures"]
-fn measure_ranks_of_hosts() {
+fn measure_coordinator_ranking() {
     let client = client("host-0");
-    client.set_gateways((0..300).map(|number| host(number, false)).collect());
+    client.set_entry_hosts((0..300).map(|number| host(number, false)).collect());
     let pool = PoolKey::whole("a");
     const ROUNDS: u32 = 2_000;
     let timed = |step: &dyn Fn()| {
-        let began = Instant::now();
+        let started = Instant::now();
         (0..ROUNDS).for_each(|_| step());
-        began.elapsed().as_nanos() / u128::from(ROUNDS)
+        started.elapsed().as_nanos() / u128::from(ROUNDS)
     };
-    let anew = timed(&|| {
-        client.state.borrow_mut().forget_ranks();
-        let _ = (client.cut_halls(), client.ranked_hosts(&pool));
+    let computed = timed(&|| {
+        client.state.borrow_mut().clear_rankings();
+        let _ = (
+            client.unreachable_halls(),
+            client.better_coordinators(&pool),
+        );
     });
-    let kept = timed(&|| {
-        let _ = (client.cut_halls(), client.ranked_hosts(&pool));
+    let cached = timed(&|| {
+        let _ = (
+            client.unreachable_halls(),
+            client.better_coordinators(&pool),
+        );
     });
-    println!("ranks of 300 hosts: {anew} ns anew, {kept} ns kept");
+    println!("ranking of 300 hosts: {computed} ns computed, {cached} ns cached");
 }
--- a/crates/gateway/src/stage_client/cut_halls/tests.rs
+++ b/crates/gateway/src/stage_client/unreachable_halls/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 #[test]
-fn a_hall_is_out_of_reach_when_some_of_its_hosts_are_lost_and_none_is_up() {
+fn a_hall_is_unreachable_when_two_of_its_connections_are_lost_and_none_is_up() {
     let opening = Some(LinkState::Opening(Instant::now()));
     let (up, lost, never) = (Some(LinkState::Up), Some(LinkState::Lost), None);
-    // Connections to the hosts of another hall, and whether it counts as out of reach.
+    // Connections to the hosts of another hall, and whether it counts as unreachable.
     let cases = [
         (vec![never, never, never], false),
         (vec![lost, never, never], false),
@@ -16,18 +16,18 @@
         (vec![lost], true),
         (vec![opening], false),
     ];
-    for (links, cut) in cases {
+    for (links, unreachable) in cases {
         let hosts = links.iter().map(|link| ("other", *link));
-        let found = cut_halls_of("own", hosts);
-        assert_eq!(found.contains("other"), cut, "{links:?}");
+        let found = find_unreachable_halls("own", hosts);
+        assert_eq!(found.contains("other"), unreachable, "{links:?}");
     }
 }
 
 #[test]
-fn the_own_hall_is_never_out_of_reach() {
+fn the_own_hall_is_never_unreachable() {
     let hosts = [
         ("own", Some(LinkState::Lost)),
         ("own", Some(LinkState::Lost)),
     ];
-    assert!(cut_halls_of("own", hosts.into_iter()).is_empty());
+    assert!(find_unreachable_halls("own", hosts.into_iter()).is_empty());
 }
--- a/crates/gateway/src/target/book.rs
+++ b/crates/gateway/src/target/book.rs
@@ -246,7 +246,7 @@
         let Some(split) = self.splits.get(service) else {
             return all().collect();
         };
-        let side = split.draw();
+        let side = split.draw_side();
         let of_side: Vec<&Target> = all()
             .filter(|one| split.side_of(&one.version) == side)
             .collect();
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -70,8 +70,8 @@
             TurnHome::Remote(address, number) => {
                 // What came of the run reaches that host before it lets the request run again.
                 let record = self.gateway.suspects.record(self.key);
-                self.gateway.stages.tell_suspect(address, record);
-                self.gateway.stages.end_turn(address, number);
+                self.gateway.stages.send_suspect_record(address, record);
+                self.gateway.stages.release_run_permit(address, number);
             }
         }
     }
@@ -127,13 +127,13 @@
 /// Asks the host that gives turns; returns its answer where it gave none.
 async fn ask_turn(gateway: &Rc<Gateway>, ask: &Ask) -> Result<Option<RunTurn>, TurnAnswer> {
     let key = ask.subject().key;
-    let (answer, home) = match gateway.stages.turn_host(key) {
+    let (answer, home) = match gateway.stages.run_permit_host(key) {
         None => (gateway.grant_turn(key, &ask.id), TurnHome::Here),
         Some(address) => {
             // That host may not have heard yet what is held against the request.
             let stages = &gateway.stages;
-            stages.tell_suspect(address, gateway.suspects.record(key));
-            let (answer, number) = stages.ask_turn(address, key, &ask.id).await;
+            stages.send_suspect_record(address, gateway.suspects.record(key));
+            let (answer, number) = stages.request_run_permit(address, key, &ask.id).await;
             (answer, TurnHome::Remote(address, number))
         }
     };
--- a/crates/gateway/src/version_split.rs
+++ b/crates/gateway/src/version_split.rs
@@ -1,30 +1,31 @@
-//! Which requests of a service go to the version that is rolled out.
+//! The split of a service's requests between the version that is being rolled out and the former one.
 //!
-//! Each host gives the version the same share of its own requests, so that the share of all is the same without a
-//! word between hosts, however unequal they are. A host that hears no control host would not learn that the version
-//! was given up, and gives it none.
+//! Each host sends the same share of its own requests to the new version, so the total share is right without any
+//! communication between hosts, however unequal their loads are. A host without a connection to a control host would
+//! not learn that the roll-out was reverted, so it sends the version no requests.
 
 use std::collections::HashMap;
 
 use linnet_rollout::{RolloutBook, VersionSide};
 
-/// All requests, in thousandths.
-const ALL: f64 = 1_000.0;
+/// The share of all requests, in thousandths.
+const FULL_PERMILLE: f64 = 1_000.0;
 
 /// How the requests of one service are split.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct VersionSplit {
     version: String,
-    /// The part of the requests that the version gets.
+    /// Share of the requests that the version receives, from 0 to 1.
     share: f64,
 }
 
 impl VersionSplit {
-    /// Returns the splits of all services, as a host has them that hears control hosts or does not.
-    pub(crate) fn all_of(book: &RolloutBook, hears: bool) -> HashMap<String, Self> {
+    /// Returns the split of every service with a roll-out in progress, for a host that is or is not connected
+    /// to a control host.
+    pub(crate) fn all_in_progress(book: &RolloutBook, is_connected: bool) -> HashMap<String, Self> {
         let splits = book.in_progress().map(|(service, record)| {
-            let share = if hears {
-                f64::from(record.permille) / ALL
+            let share = if is_connected {
+                f64::from(record.permille) / FULL_PERMILLE
             } else {
                 0.0
             };
@@ -34,7 +35,7 @@
         splits.collect()
     }
 
-    /// Returns the side of targets of a version.
+    /// Returns the side to which targets of a version belong.
     pub(crate) fn side_of(&self, version: &str) -> VersionSide {
         match version == self.version {
             true => VersionSide::Tested,
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Draws the side of a request.
-    pub(crate) fn draw(&self) -> VersionSide {
+    /// Draws the side of a request at random, by the share.
+    pub(crate) fn draw_side(&self) -> VersionSide {
         match fastrand::f64() < self.share {
             true => VersionSide::Tested,
             false => VersionSide::Former,
@@ -51,15 +52,15 @@
     }
 }
 
-/// Splits the calls of one pool of stage targets. Pieces wait where no target is free, and a draw for each look would
-/// send what waits to whichever side is idle; so calls are counted.
+/// Splits the calls of one pool of stage targets by counting them. Drawing a side at each scheduling attempt would not
+/// keep the share: queued pieces would be drawn again and again until they go to whichever side has an idle target.
 #[derive(Debug, Clone)]
 pub(crate) struct CallSplit {
     split: VersionSplit,
     calls: u64,
-    tested: u64,
-    /// Where in its turn a host begins, so that not all hosts try the version at the same moment.
-    begin: f64,
+    tested_calls: u64,
+    /// Random offset of the first call to the version, so that not all hosts send theirs at the same moment.
+    phase: f64,
 }
 
 impl CallSplit {
@@ -67,32 +68,32 @@
         Self {
             split,
             calls: 0,
-            tested: 0,
-            begin: fastrand::f64(),
+            tested_calls: 0,
+            phase: fastrand::f64(),
         }
     }
 
-    /// Takes what is known now. What was counted under another share says nothing any more.
+    /// Sets the current split. If it has changed, the counts start anew, since they belong to another share.
     pub(crate) fn update(&mut self, split: &VersionSplit) {
         if self.split != *split {
             *self = Self::new(split.clone());
         }
     }
 
-    /// Says whether a target of a version may get the next call.
+    /// Returns whether the next call may go to a target of a version.
     pub(crate) fn allows(&self, version: &str) -> bool {
-        let due = (self.calls + 1) as f64 * self.split.share + self.begin;
-        let is_due = self.split.share >= 1.0 || (self.tested + 1) as f64 <= due;
+        let due_calls = (self.calls + 1) as f64 * self.split.share + self.phase;
+        let is_due = self.split.share >= 1.0 || (self.tested_calls + 1) as f64 <= due_calls;
         match self.split.side_of(version) {
             VersionSide::Tested => self.split.share > 0.0 && is_due,
             VersionSide::Former => self.split.share < 1.0,
         }
     }
 
-    /// Counts a call.
-    pub(crate) fn note(&mut self, version: &str) {
+    /// Counts a call to a target of a version.
+    pub(crate) fn record_call(&mut self, version: &str) {
         self.calls += 1;
-        self.tested += u64::from(self.split.side_of(version) == VersionSide::Tested);
+        self.tested_calls += u64::from(self.split.side_of(version) == VersionSide::Tested);
     }
 }
 
--- a/crates/gateway/src/version_split/tests.rs
+++ b/crates/gateway/src/version_split/tests.rs
@@ -22,28 +22,28 @@
     book
 }
 
-fn split(permille: u16, hears: bool) -> VersionSplit {
-    VersionSplit::all_of(&book(permille), hears)
+fn split(permille: u16, is_connected: bool) -> VersionSplit {
+    VersionSplit::all_in_progress(&book(permille), is_connected)
         .remove("desk")
         .unwrap()
 }
 
-fn tested_of(split: &VersionSplit, draws: usize) -> usize {
-    let drawn = (0..draws).map(|_| split.draw());
+fn count_tested(split: &VersionSplit, draws: usize) -> usize {
+    let drawn = (0..draws).map(|_| split.draw_side());
     drawn.filter(|side| *side == VersionSide::Tested).count()
 }
 
 #[test]
-fn a_host_gives_the_version_its_share_and_none_where_it_hears_no_control_host() {
+fn the_version_receives_its_share_and_none_without_a_connection_to_a_control_host() {
     fastrand::seed(7);
-    let tested = tested_of(&split(100, true), 10_000);
+    let tested = count_tested(&split(100, true), 10_000);
     assert!((900..1_100).contains(&tested), "{tested}");
-    assert_eq!(tested_of(&split(100, false), 10_000), 0);
-    assert_eq!(tested_of(&split(1_000, true), 100), 100);
+    assert_eq!(count_tested(&split(100, false), 10_000), 0);
+    assert_eq!(count_tested(&split(1_000, true), 100), 100);
 }
 
 #[test]
-fn targets_of_a_third_version_or_of_none_are_on_the_former_side() {
+fn targets_of_a_third_version_or_without_a_version_are_on_the_former_side() {
     let split = split(100, true);
     assert_eq!(split.side_of("v2"), VersionSide::Tested);
     for version in ["v1", "v3", ""] {
@@ -51,23 +51,27 @@
     }
 }
 
-/// Nothing is free but targets of the version, time and again.
+/// Guards against queued calls overflowing to the version when only its targets are idle.
 #[test]
-fn calls_that_wait_do_not_flow_over_to_the_version() {
+fn queued_calls_do_not_overflow_to_the_version() {
     for seed in 0..20 {
         fastrand::seed(seed);
         let mut calls = CallSplit::new(split(50, true));
         for _ in 0..1_000 {
             let version = if calls.allows("v2") { "v2" } else { "v1" };
             assert!(calls.allows(version));
-            calls.note(version);
+            calls.record_call(version);
         }
-        assert!((49..=52).contains(&calls.tested), "{}", calls.tested);
+        assert!(
+            (49..=52).contains(&calls.tested_calls),
+            "{}",
+            calls.tested_calls
+        );
     }
 }
 
 #[test]
-fn with_no_share_or_with_all_one_side_gets_every_call() {
+fn one_side_receives_every_call_at_a_share_of_zero_or_one() {
     let none = CallSplit::new(split(0, true));
     assert!(!none.allows("v2") && none.allows("v1"));
     let all = CallSplit::new(split(1_000, true));
