--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -121,7 +121,7 @@
         left
     };
     let (service, chosen, sent) = (attempt.service, attempt.chosen, Instant::now());
-    let facts = attempt.placement.as_ref().and_then(Placement::facts);
+    let facts = attempt.placement.as_ref().and_then(Placement::estimate);
     let exchanged = exchange(gateway, ask, attempt, left, (in_flight, permit));
     let end = timeout(bound, exchanged).await;
     let end = end.unwrap_or_else(|_| {
@@ -152,7 +152,7 @@
         let usual = Duration::from_millis(ask.route.objective_ms * 2);
         return usual.clamp(LEAST_ATTEMPT, (left / 2).max(LEAST_ATTEMPT));
     }
-    let facts = attempt.placement.as_ref().and_then(Placement::facts);
+    let facts = attempt.placement.as_ref().and_then(Placement::estimate);
     let expected_ms = facts.map_or(0, |facts| u64::from(facts.expected_ms));
     let late = Duration::from_millis(expected_ms) * LATE_STREAM_STRETCH;
     late.max(left / SILENT_STREAM_PART).min(left)
--- a/crates/gateway/src/caller_disconnect.rs
+++ b/crates/gateway/src/caller_disconnect.rs
@@ -11,15 +11,15 @@
 /// a request once its caller has closed the connection, which leaves no other trace.
 pub(crate) struct CallerDisconnectGuard {
     gateway: Rc<Gateway>,
-    ask: Rc<Ask>,
+    request: Rc<Ask>,
     has_response: bool,
 }
 
 impl CallerDisconnectGuard {
-    pub(crate) fn new(gateway: &Rc<Gateway>, ask: &Rc<Ask>) -> Self {
+    pub(crate) fn new(gateway: &Rc<Gateway>, request: &Rc<Ask>) -> Self {
         Self {
             gateway: gateway.clone(),
-            ask: ask.clone(),
+            request: request.clone(),
             has_response: false,
         }
     }
@@ -37,14 +37,14 @@
         }
         let detail = format!(
             "route={} account={} took_ms={} outcome=the caller left before its answer",
-            self.ask.route.name,
-            self.ask.account.as_deref().unwrap_or("-"),
-            self.ask.arrived.elapsed().as_millis(),
+            self.request.route.name,
+            self.request.account.as_deref().unwrap_or("-"),
+            self.request.arrived.elapsed().as_millis(),
         );
         self.gateway
             .metrics
-            .count("caller_left", self.ask.rank.second);
+            .count("caller_left", self.request.rank.second);
         self.gateway
-            .note_request(EventCode::RequestCancelled, &self.ask.id, "", detail);
+            .note_request(EventCode::RequestCancelled, &self.request.id, "", detail);
     }
 }
--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -101,7 +101,7 @@
     took: Duration,
 ) {
     let (code, outcome) = match end {
-        CallOutcome::Answered(results, load) => {
+        CallOutcome::Responded(results, load) => {
             let made = results.iter().filter(|result| result.is_ok()).count();
             let load = load.map_or("-".to_owned(), |load| {
                 format!("{}+{}", load.running, load.waiting)
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -19,7 +19,7 @@
 use crate::home_halls::HomeHalls;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUsage};
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallOutcome, StageCall, StageCaller, StageRelease};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease, StageTargetClient};
 use crate::version_split::VersionSplit;
 
 /// The load of each pool that has work, as other hosts are told it.
@@ -33,7 +33,7 @@
 
 /// Gathers pieces for the services that this host was chosen for.
 pub(crate) struct Coordinator {
-    pub(crate) caller: StageCaller,
+    pub(crate) caller: StageTargetClient,
     pub(crate) recorder: Arc<EventRecorder>,
     state: RefCell<QueueState>,
     rate: RefCell<SendingRate>,
@@ -53,7 +53,7 @@
 impl Coordinator {
     /// Creates a coordinator that sends up to `shared_bytes_per_s` bytes of calls in a second by itself.
     pub(crate) fn new(
-        caller: StageCaller,
+        caller: StageTargetClient,
         recorder: Arc<EventRecorder>,
         shared_bytes_per_s: f64,
     ) -> Self {
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -35,8 +35,8 @@
 /// Returns what a call that ended so says of its target; nothing where it says nothing.
 fn verdict_of(end: &CallOutcome, late: bool) -> Option<CallVerdict> {
     match end {
-        CallOutcome::Answered(..) if late => Some(CallVerdict::Late),
-        CallOutcome::Answered(..) => Some(CallVerdict::InTime),
+        CallOutcome::Responded(..) if late => Some(CallVerdict::Late),
+        CallOutcome::Responded(..) => Some(CallVerdict::InTime),
         CallOutcome::Busy => Some(CallVerdict::Busy),
         CallOutcome::OtherTarget => Some(CallVerdict::OtherTarget),
         CallOutcome::Failed(_)
@@ -48,7 +48,7 @@
 
 fn says_no_room(end: &CallOutcome) -> bool {
     match end {
-        CallOutcome::Answered(outcomes, _) => outcomes.contains(&Err(PieceFault::OutOfMemory)),
+        CallOutcome::Responded(outcomes, _) => outcomes.contains(&Err(PieceFault::OutOfMemory)),
         _ => false,
     }
 }
@@ -56,7 +56,7 @@
 /// Returns an outcome for each of so many pieces of a call.
 fn outcomes_of(end: CallOutcome, pieces: usize) -> Vec<PieceOutcome> {
     match end {
-        CallOutcome::Answered(outcomes, _) => outcomes,
+        CallOutcome::Responded(outcomes, _) => outcomes,
         CallOutcome::Busy | CallOutcome::OtherTarget => vec![Err(PieceFault::CallRejected); pieces],
         CallOutcome::Failed(_) | CallOutcome::ConnectionBroken(_) | CallOutcome::SenderLost => {
             vec![Err(PieceFault::Failed); pieces]
@@ -114,7 +114,7 @@
     until: Instant,
 ) {
     match end {
-        CallOutcome::Answered(outcomes, _) => {
+        CallOutcome::Responded(outcomes, _) => {
             for (waiting, outcome) in call.pieces.iter().zip(outcomes) {
                 if let Ok(handle) = outcome {
                     let key = HeldKey::Result(handle.clone());
@@ -352,7 +352,7 @@
             finished.rest = finished.rest.max((!left.is_zero()).then_some(left));
             let until = now + Duration::from_millis(pool.spec.result_ttl_ms);
             self.last_lost += 1;
-            if let CallOutcome::Answered(_, load) = &end {
+            if let CallOutcome::Responded(_, load) = &end {
                 // One that was sent ahead waited at its target, which says nothing of its pace.
                 if !call.ahead {
                     target.learn_pace(call.expected, now.saturating_duration_since(call.began));
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -95,7 +95,7 @@
         let trial = if call.trial { "trial-" } else { "" };
         Ok(format!("{}/{trial}{piece}", call.address))
     });
-    let made = CallOutcome::Answered(made.collect(), None);
+    let made = CallOutcome::Responded(made.collect(), None);
     finish(state, call, made, late)
 }
 
@@ -251,7 +251,7 @@
         running: 1,
         waiting: 0,
     });
-    finish(&mut state, first, CallOutcome::Answered(made, load), false);
+    finish(&mut state, first, CallOutcome::Responded(made, load), false);
     submit(&mut state, 1, now);
     let shared = only_call(&mut state, now);
     let full_call = Duration::from_millis(150 + 8 * 16);
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -252,7 +252,7 @@
         let target = self.target_of(call);
         let made =
             (0..self.sizes[call]).map(|piece| Ok(format!("127.0.0.1:{target}/{call}.{piece}")));
-        let end = CallOutcome::Answered(made.collect(), None);
+        let end = CallOutcome::Responded(made.collect(), None);
         self.finish(now, call, end);
     }
 
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -189,7 +189,7 @@
         let next = next_target(gateway, &service, ask, passed, results.as_ref()).await;
         let (chosen, placement) = next.map_err(|refusal| after_attempts(log, refusal))?;
         log.target.clone_from(&chosen.id);
-        log.engine = placement.as_ref().and_then(Placement::facts);
+        log.engine = placement.as_ref().and_then(Placement::estimate);
         log.attempts += 1;
         let may_have_run = std::mem::replace(&mut log.may_have_run, true);
         let attempt = Attempt {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -27,7 +27,7 @@
 use crate::open_request::OpenRequestCount;
 use crate::rate_turn::RateTurns;
 use crate::rollouts::RolloutTracker;
-use crate::stage_call::StageCaller;
+use crate::stage_call::StageTargetClient;
 use crate::stage_client::StageClient;
 use crate::suspects::SuspectWatch;
 use crate::target::TargetBook;
@@ -132,7 +132,7 @@
         let metrics = GatewayMetrics::new();
         let targets: Rc<RefCell<TargetBook>> = Rc::default();
         let notices = Rc::new(NoticeBook::new(config.recorder.clone(), targets.clone()));
-        let caller = StageCaller::new(config.dialect.clone(), pool.clone(), notices.clone());
+        let caller = StageTargetClient::new(config.dialect.clone(), pool.clone(), notices.clone());
         let coordinator = Rc::new(Coordinator::new(
             caller,
             config.recorder.clone(),
@@ -361,7 +361,7 @@
     }
 
     /// Returns the way to stage targets.
-    pub(crate) fn stage_caller(&self) -> &StageCaller {
+    pub(crate) fn stage_caller(&self) -> &StageTargetClient {
         &self.coordinator.caller
     }
 
--- a/crates/gateway/src/message_v1/reply.rs
+++ b/crates/gateway/src/message_v1/reply.rs
@@ -67,7 +67,7 @@
 /// The first version of [`CallOutcome`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum CallOutcomeV1 {
-    Answered(Vec<PieceOutcomeV1>, Option<ReportedLoad>),
+    Responded(Vec<PieceOutcomeV1>, Option<ReportedLoad>),
     Busy,
     OtherTarget,
     Failed(String),
@@ -77,8 +77,8 @@
 impl From<CallOutcomeV1> for CallOutcome {
     fn from(message: CallOutcomeV1) -> Self {
         match message {
-            CallOutcomeV1::Answered(outcomes, load) => {
-                Self::Answered(from_v1_outcomes(outcomes), load)
+            CallOutcomeV1::Responded(outcomes, load) => {
+                Self::Responded(from_v1_outcomes(outcomes), load)
             }
             CallOutcomeV1::Busy => Self::Busy,
             CallOutcomeV1::OtherTarget => Self::OtherTarget,
@@ -91,7 +91,9 @@
 impl From<CallOutcome> for CallOutcomeV1 {
     fn from(outcome: CallOutcome) -> Self {
         match outcome {
-            CallOutcome::Answered(outcomes, load) => Self::Answered(to_v1_outcomes(outcomes), load),
+            CallOutcome::Responded(outcomes, load) => {
+                Self::Responded(to_v1_outcomes(outcomes), load)
+            }
             CallOutcome::Busy => Self::Busy,
             CallOutcome::OtherTarget => Self::OtherTarget,
             CallOutcome::Failed(cause)
--- a/crates/gateway/src/message_v1/request.rs
+++ b/crates/gateway/src/message_v1/request.rs
@@ -96,15 +96,15 @@
 }
 
 impl From<PlaceAsk> for PlacementRequestV1 {
-    fn from(ask: PlaceAsk) -> Self {
+    fn from(request: PlaceAsk) -> Self {
         Self {
-            service: ask.service,
-            prompt: ask.prompt,
-            large_result_stage: ask.heavy_stage,
-            results: ask.results,
-            tried: ask.avoid,
-            excluded: ask.closed,
-            allowed_halls: ask.homes,
+            service: request.service,
+            prompt: request.prompt,
+            large_result_stage: request.heavy_stage,
+            results: request.results,
+            tried: request.avoid,
+            excluded: request.closed,
+            allowed_halls: request.homes,
         }
     }
 }
@@ -126,11 +126,11 @@
     },
     PlanPlacement {
         number: u64,
-        ask: PlacementRequestV1,
+        request: PlacementRequestV1,
     },
     PlacePrompt {
         number: u64,
-        ask: PlacementRequestV1,
+        request: PlacementRequestV1,
     },
     PrefillDone(u64),
     EndPlacement(u64),
@@ -164,13 +164,13 @@
                 handles,
                 bytes,
             },
-            PieceRequestV1::PlanPlacement { number, ask } => Self::PlanPlacement {
+            PieceRequestV1::PlanPlacement { number, request } => Self::PlanPlacement {
                 number,
-                ask: ask.into(),
+                request: request.into(),
             },
-            PieceRequestV1::PlacePrompt { number, ask } => Self::PlacePrompt {
+            PieceRequestV1::PlacePrompt { number, request } => Self::PlacePrompt {
                 number,
-                ask: ask.into(),
+                request: request.into(),
             },
             PieceRequestV1::PrefillDone(number) => Self::PrefillDone(number),
             PieceRequestV1::EndPlacement(number) => Self::EndPlacement(number),
@@ -202,13 +202,13 @@
             handles,
             bytes,
         },
-        PieceRequest::PlanPlacement { number, ask } => PieceRequestV1::PlanPlacement {
+        PieceRequest::PlanPlacement { number, request } => PieceRequestV1::PlanPlacement {
             number,
-            ask: ask.into(),
+            request: request.into(),
         },
-        PieceRequest::PlacePrompt { number, ask } => PieceRequestV1::PlacePrompt {
+        PieceRequest::PlacePrompt { number, request } => PieceRequestV1::PlacePrompt {
             number,
-            ask: ask.into(),
+            request: request.into(),
         },
         PieceRequest::PrefillDone(number) => PieceRequestV1::PrefillDone(number),
         PieceRequest::EndPlacement(number) => PieceRequestV1::EndPlacement(number),
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -17,9 +17,9 @@
 }
 
 /// Estimates how long the stages of a request would take if it started now.
-pub(crate) fn estimate_path_time(gateway: &Gateway, ask: &Ask) -> PathTime {
+pub(crate) fn estimate_path_time(gateway: &Gateway, request: &Ask) -> PathTime {
     let table = gateway.table();
-    let stages = &ask.route.stages;
+    let stages = &request.route.stages;
     // For each stage its end, and the sum of the waits on the longest path to it. The present queue of a
     // later pool shrinks while the earlier stages run, so their time is deducted from the wait.
     let mut ends: Vec<(f64, f64)> = Vec::with_capacity(stages.len());
@@ -27,13 +27,13 @@
     for (number, stage) in stages.iter().enumerate() {
         let before = stage.after.iter().map(|before| ends[*before]);
         let (start, waits) = before.fold((0.0, 0.0), later_end);
-        let count = ask.piece_counts[number];
+        let count = request.piece_counts[number];
         let load = gateway.stages.load_of(&stage.service);
         let pool = stage_pool_of(table.as_deref(), &stage.service);
         let call_ms = call_time_ms(pool, count);
         let wait = match (pool, load) {
             (Some(pool), Some(load)) if count > 0 => {
-                (load.expected_wait_ms(pool, ask.rank, count) - start).max(0.0)
+                (load.expected_wait_ms(pool, request.rank, count) - start).max(0.0)
             }
             _ => 0.0,
         };
@@ -47,20 +47,20 @@
         plan: PathPlan {
             stages_ms: end - waits,
             waits_ms: waits,
-            reading_ms: prefill_ms(gateway, ask),
+            reading_ms: prefill_ms(gateway, request),
         },
     }
 }
 
 /// Returns the time from the end of each stage to the first event of the response if nothing has to wait,
 /// in milliseconds.
-pub(crate) fn time_to_first_event_ms(gateway: &Gateway, ask: &Ask) -> Vec<f64> {
+pub(crate) fn time_to_first_event_ms(gateway: &Gateway, request: &Ask) -> Vec<f64> {
     let table = gateway.table();
-    let stages = &ask.route.stages;
-    let mut after = vec![prefill_ms(gateway, ask); stages.len()];
+    let stages = &request.route.stages;
+    let mut after = vec![prefill_ms(gateway, request); stages.len()];
     for (number, stage) in stages.iter().enumerate().rev() {
         let pool = stage_pool_of(table.as_deref(), &stage.service);
-        let total = call_time_ms(pool, ask.piece_counts[number]) + after[number];
+        let total = call_time_ms(pool, request.piece_counts[number]) + after[number];
         for before in &stage.after {
             after[*before] = after[*before].max(total);
         }
@@ -90,8 +90,8 @@
 }
 
 /// Returns the expected prefill time of a request's prompt, in milliseconds; 0 without a prompt.
-fn prefill_ms(gateway: &Gateway, ask: &Ask) -> f64 {
-    ask.prompt.as_ref().map_or(0.0, |prompt| {
+fn prefill_ms(gateway: &Gateway, request: &Ask) -> f64 {
+    request.prompt.as_ref().map_or(0.0, |prompt| {
         let unshared = prompt.own_tokens();
         let engines = gateway.engines.borrow();
         engines.reading_time(unshared).as_secs_f64() * 1_000.0
@@ -99,15 +99,15 @@
 }
 
 /// Returns the stages with pieces whose results no later stage with pieces uses.
-pub(crate) fn final_stages(ask: &Ask) -> Vec<usize> {
-    let stages = &ask.route.stages;
+pub(crate) fn final_stages(request: &Ask) -> Vec<usize> {
+    let stages = &request.route.stages;
     let is_used_later = |number: usize| {
-        let later = stages.iter().zip(&ask.piece_counts);
+        let later = stages.iter().zip(&request.piece_counts);
         later
             .into_iter()
             .any(|(stage, count)| *count > 0 && stage.after.contains(&number))
     };
     (0..stages.len())
-        .filter(|number| ask.piece_counts[*number] > 0 && !is_used_later(*number))
+        .filter(|number| request.piece_counts[*number] > 0 && !is_used_later(*number))
         .collect()
 }
--- a/crates/gateway/src/piece.rs
+++ b/crates/gateway/src/piece.rs
@@ -33,7 +33,7 @@
 /// The reason why a piece has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum PieceFault {
-    /// The deadline passed before the piece was run.
+    /// The deadline passed before there was a result.
     #[display("late")]
     DeadlineExceeded,
     /// An input result no longer exists.
@@ -66,7 +66,7 @@
     pub waiting: Vec<(Rank, u32)>,
     /// Number of targets that accept calls.
     pub targets: u32,
-    /// Number of targets that are idle now.
+    /// Number of targets that can be sent a call now.
     pub free: u32,
 }
 
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -33,9 +33,9 @@
         bytes: u64,
     },
     /// Asks on which engine a prompt would be placed now, without placing it.
-    PlanPlacement { number: u64, ask: PlaceAsk },
+    PlanPlacement { number: u64, request: PlaceAsk },
     /// Places a prompt on an engine.
-    PlacePrompt { number: u64, ask: PlaceAsk },
+    PlacePrompt { number: u64, request: PlaceAsk },
     /// Reports that the engine has finished the prefill of a placed prompt.
     PrefillDone(u64),
     /// Ends a placement, since its request has ended.
@@ -48,8 +48,8 @@
     EngineUnreachable { service: String, engine: String },
     /// Reports the sender's records of suspect requests.
     Suspects(Vec<SuspectRecord>),
-    /// Asks for a run permit for a request suspected of crashing targets. `id` is the id of this
-    /// attempt, for the log.
+    /// Asks for a permit to run a suspect or held request once. `id` is the id of this attempt, for the
+    /// log.
     AcquireRunPermit {
         number: u64,
         key: RequestKey,
@@ -60,7 +60,7 @@
     /// A heartbeat.
     Heartbeat,
     /// Asks for a permit to send to a target with a rate limit.
-    AcquireSendPermit { number: u64, ask: RateAsk },
+    AcquireSendPermit { number: u64, request: RateAsk },
 }
 
 impl PieceRequest {
@@ -88,7 +88,7 @@
         engine: Option<(String, PlaceFacts)>,
     },
     /// Whether a run permit was issued.
-    RunPermit { number: u64, answer: TurnAnswer },
+    RunPermit { number: u64, reply: TurnAnswer },
     /// The outcome of a delegated call.
     DelegatedCallEnded { number: u64, outcome: CallOutcome },
     /// The sender's use of the targets of a pool, sent to the hosts that would become its coordinator if
@@ -100,7 +100,7 @@
     /// A heartbeat with the load of the pools that the sender coordinates.
     Heartbeat { loads: Vec<(PoolKey, PoolLoad)> },
     /// Whether a send permit was issued for a target with a rate limit.
-    SendPermit { number: u64, answer: RateAnswer },
+    SendPermit { number: u64, reply: RateAnswer },
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -63,7 +63,7 @@
     }
 }
 
-fn place_ask() -> PlaceAsk {
+fn placement_request() -> PlaceAsk {
     let mut results = HallBytes::default();
     results.add("hall-1", 70_000);
     PlaceAsk {
@@ -118,11 +118,11 @@
         },
         PieceRequest::PlanPlacement {
             number: 302,
-            ask: place_ask(),
+            request: placement_request(),
         },
         PieceRequest::PlacePrompt {
             number: 303,
-            ask: place_ask(),
+            request: placement_request(),
         },
         PieceRequest::PrefillDone(303),
         PieceRequest::EndPlacement(303),
@@ -158,7 +158,7 @@
         PieceRequest::Heartbeat,
         PieceRequest::AcquireSendPermit {
             number: 306,
-            ask: RateAsk {
+            request: RateAsk {
                 subject: RateSubject::Target(RateWord {
                     target: "i-1".to_owned(),
                     rate: Some(NamedRate::new(2.5)),
@@ -171,7 +171,7 @@
         },
         PieceRequest::AcquireSendPermit {
             number: 307,
-            ask: RateAsk {
+            request: RateAsk {
                 subject: RateSubject::Service("engine".to_owned(), NamedRate::new(40.0)),
                 within_ms: 150,
                 more: 0,
@@ -204,7 +204,7 @@
         waiting: 2,
     };
     let outcomes_of_calls = [
-        CallOutcome::Answered(outcomes(), Some(load)),
+        CallOutcome::Responded(outcomes(), Some(load)),
         CallOutcome::Busy,
         CallOutcome::OtherTarget,
         CallOutcome::Failed("why".to_owned()),
@@ -218,16 +218,15 @@
             number: 304,
             outcome,
         });
-    let facts = PlaceFacts {
+    let estimate = PlaceFacts {
         held: 800,
         ahead: 70_000,
         expected_ms: 40,
     };
     let answers = [TurnAnswer::Granted, TurnAnswer::Busy, TurnAnswer::Held];
-    let run_permits = answers.into_iter().map(|answer| PieceReply::RunPermit {
-        number: 305,
-        answer,
-    });
+    let run_permits = answers
+        .into_iter()
+        .map(|reply| PieceReply::RunPermit { number: 305, reply });
     let others = [
         PieceReply::BatchDone {
             number: 300,
@@ -235,7 +234,7 @@
         },
         PieceReply::Placed {
             number: 303,
-            engine: Some(("i-1".to_owned(), facts)),
+            engine: Some(("i-1".to_owned(), estimate)),
         },
         PieceReply::TargetUsage {
             pool: pool(),
@@ -266,10 +265,7 @@
     let send_permits = [granted, RateAnswer::Later(700)];
     let send_permits = send_permits
         .into_iter()
-        .map(|answer| PieceReply::SendPermit {
-            number: 306,
-            answer,
-        });
+        .map(|reply| PieceReply::SendPermit { number: 306, reply });
     let all = others.into_iter().chain(calls);
     all.chain(run_permits).chain(send_permits).collect()
 }
--- a/crates/gateway/src/pool_key/tests.rs
+++ b/crates/gateway/src/pool_key/tests.rs
@@ -79,7 +79,7 @@
     assert!(!PoolKey::whole("other").contains(&records[0]));
 }
 
-/// Guards the single-pass count against `PoolKey::contains`, also after a pool was replaced.
+/// The single-pass count must match `PoolKey::contains`, also after a pool was replaced.
 #[test]
 fn the_size_of_each_partition_is_the_number_of_targets_that_it_contains() {
     let records = records(&[30, 0, 100, 7]);
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -60,12 +60,12 @@
             CallOutcome::Failed(_)
             | CallOutcome::ConnectionBroken(_)
             | CallOutcome::TargetCrashed(_) => Some(Self::Failed),
-            CallOutcome::Answered(results, _) if results.contains(&Err(PieceFault::Failed)) => {
+            CallOutcome::Responded(results, _) if results.contains(&Err(PieceFault::Failed)) => {
                 Some(Self::Failed)
             }
             // The time of an overlapping call includes the wait for the call before it.
-            CallOutcome::Answered(..) if call.is_ahead() => Some(Self::Good),
-            CallOutcome::Answered(..) => Some(Self::of_ratio(
+            CallOutcome::Responded(..) if call.is_ahead() => Some(Self::Good),
+            CallOutcome::Responded(..) => Some(Self::of_ratio(
                 took.as_secs_f64() * 1_000.0,
                 call.expected.as_secs_f64() * 1_000.0,
             )),
@@ -73,10 +73,10 @@
     }
 
     fn of_attempt(
-        ask: &Ask,
+        request: &Ask,
         outcome: &AttemptEnd,
         took: Duration,
-        facts: Option<PlaceFacts>,
+        estimate: Option<PlaceFacts>,
     ) -> Option<Self> {
         let took_ms = took.as_secs_f64() * 1_000.0;
         match outcome {
@@ -84,14 +84,14 @@
             AttemptEnd::NotRun { .. } | AttemptEnd::Withheld => None,
             AttemptEnd::MayHaveRun { .. } => Some(Self::Failed),
             AttemptEnd::Whole(status, ..) if status.is_server_error() => Some(Self::Failed),
-            AttemptEnd::Whole(..) if ask.route.kind != RouteKind::Streaming => {
+            AttemptEnd::Whole(..) if request.route.kind != RouteKind::Streaming => {
                 Some(Self::Timed(took_ms))
             }
             AttemptEnd::Whole(..) => Some(Self::Good),
-            AttemptEnd::Events(_) => Some(match facts {
-                Some(facts) => Self::of_ratio(
+            AttemptEnd::Events(_) => Some(match estimate {
+                Some(estimate) => Self::of_ratio(
                     took_ms + PROMPT_BASE_MS,
-                    f64::from(facts.expected_ms) + PROMPT_BASE_MS,
+                    f64::from(estimate.expected_ms) + PROMPT_BASE_MS,
                 ),
                 None => Self::Timed(took_ms),
             }),
@@ -149,14 +149,14 @@
     /// Counts the outcome of an attempt at a target.
     pub(crate) fn count_attempt(
         &self,
-        ask: &Ask,
+        request: &Ask,
         (service, chosen): (&str, &Chosen),
         outcome: &AttemptEnd,
         took: Duration,
-        facts: Option<PlaceFacts>,
+        estimate: Option<PlaceFacts>,
     ) {
-        if let Some(quality) = ResponseQuality::of_attempt(ask, outcome, took, facts) {
-            self.count_response(service, &chosen.id, &ask.route.name, quality);
+        if let Some(quality) = ResponseQuality::of_attempt(request, outcome, took, estimate) {
+            self.count_response(service, &chosen.id, &request.route.name, quality);
         }
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Counts a response of a target if a version of its service is being rolled out. The time is ignored while the
-    /// target is cold, since it does not depend on the version then.
+    /// target is cold, since it says nothing about the version then.
     pub(crate) fn count_response(
         &self,
         service: &str,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -28,7 +28,8 @@
 /// Value of the retry-after header in responses of a host that has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Accepts connections of callers until `stop` becomes true.
+/// Accepts connections of callers until `stop` becomes true. Open connections then complete their current
+/// request and close, each in its own task.
 pub async fn serve_callers(
     gateway: Rc<Gateway>,
     listener: TcpListener,
@@ -85,9 +86,9 @@
 async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
     let open_guard = OpenRequestGuard::new(&gateway.open_requests);
     match read_request(&gateway, request).await {
-        Ok(mut ask) => {
-            ask.open = Some(open_guard);
-            forward(gateway, ask).await
+        Ok(mut request) => {
+            request.open = Some(open_guard);
+            forward(gateway, request).await
         }
         Err((id, refusal)) => {
             let code = EventCode::RequestRefused;
@@ -117,16 +118,16 @@
             .with_retry_after(NOT_READY_RETRY_AFTER);
         return Err((id, refusal));
     };
-    let mut ask = read_ask(&table, names, &gateway.config.halls, head, arrived_at)
+    let mut request = read_ask(&table, names, &gateway.config.halls, head, arrived_at)
         .map_err(|refusal| (id.clone(), refusal))?;
-    ask.body = read_body(body, table.config().limits.max_body_bytes, &ask)
+    request.body = read_body(body, table.config().limits.max_body_bytes, &request)
         .await
         .map_err(|refusal| (id, refusal))?;
-    Ok(ask)
+    Ok(request)
 }
 
-async fn read_body(body: Incoming, max_bytes: usize, ask: &Ask) -> Result<Bytes, Refusal> {
-    match timeout(ask.time_left(), Limited::new(body, max_bytes).collect()).await {
+async fn read_body(body: Incoming, max_bytes: usize, request: &Ask) -> Result<Bytes, Refusal> {
+    match timeout(request.time_left(), Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let detail = format!("body over {max_bytes} bytes");
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -144,8 +144,10 @@
                 self.expectations.insert(number, key);
             }
             PieceRequest::EndExpectation(number) => self.end_expectation(number),
-            PieceRequest::PlanPlacement { number, ask } => self.plan_placement(number, &ask),
-            PieceRequest::PlacePrompt { number, ask } => self.place_prompt(number, &ask),
+            PieceRequest::PlanPlacement { number, request } => {
+                self.plan_placement(number, &request)
+            }
+            PieceRequest::PlacePrompt { number, request } => self.place_prompt(number, &request),
             PieceRequest::PrefillDone(number) => self.record_prefill_done(number),
             PieceRequest::EndPlacement(number) => self.end_placement(number),
             PieceRequest::DelegateCall { number, call } => self.send_delegated_call(number, call),
@@ -160,9 +162,9 @@
             }
             PieceRequest::ReleaseRunPermit(number) => self.release_run_permit(number),
             PieceRequest::Heartbeat => {}
-            PieceRequest::AcquireSendPermit { number, ask } => {
-                let answer = self.gateway.answer_rate(&ask);
-                let _ = self.replies.send(PieceReply::SendPermit { number, answer });
+            PieceRequest::AcquireSendPermit { number, request } => {
+                let reply = self.gateway.answer_rate(&request);
+                let _ = self.replies.send(PieceReply::SendPermit { number, reply });
             }
         }
     }
@@ -197,23 +199,23 @@
         }
     }
 
-    fn plan_placement(&self, number: u64, ask: &PlaceAsk) {
+    fn plan_placement(&self, number: u64, request: &PlaceAsk) {
         let book = self.gateway.targets.borrow();
         let engines = self.gateway.engines.borrow();
-        let planned = engines.plan(&book, ask, Instant::now());
-        let engine = planned.map(|(chosen, facts)| (chosen.id, facts));
+        let planned = engines.plan(&book, request, Instant::now());
+        let engine = planned.map(|(chosen, estimate)| (chosen.id, estimate));
         let _ = self.replies.send(PieceReply::Placed { number, engine });
     }
 
-    fn place_prompt(&mut self, number: u64, ask: &PlaceAsk) {
+    fn place_prompt(&mut self, number: u64, request: &PlaceAsk) {
         let placed = {
             let book = self.gateway.targets.borrow();
             let mut engines = self.gateway.engines.borrow_mut();
-            engines.place(&book, ask, Instant::now())
+            engines.place(&book, request, Instant::now())
         };
-        let engine = placed.map(|(key, chosen, facts)| {
+        let engine = placed.map(|(key, chosen, estimate)| {
             self.placements.insert(number, key);
-            (chosen.id, facts)
+            (chosen.id, estimate)
         });
         let _ = self.replies.send(PieceReply::Placed { number, engine });
     }
@@ -232,11 +234,11 @@
     }
 
     fn issue_run_permit(&mut self, number: u64, key: RequestKey, id: &str) {
-        let answer = self.gateway.grant_turn(key, id);
-        if answer == TurnAnswer::Granted {
+        let reply = self.gateway.grant_turn(key, id);
+        if reply == TurnAnswer::Granted {
             self.run_permits.insert(number, key);
         }
-        let _ = self.replies.send(PieceReply::RunPermit { number, answer });
+        let _ = self.replies.send(PieceReply::RunPermit { number, reply });
     }
 
     fn release_run_permit(&mut self, number: u64) {
--- a/crates/gateway/src/serve_pieces/tests/fleet.rs
+++ b/crates/gateway/src/serve_pieces/tests/fleet.rs
@@ -176,9 +176,9 @@
 }
 
 fn send_place(requests: &mpsc::UnboundedSender<PieceRequest>, number: u64, part: u32) -> bool {
-    let ask = place_ask(part);
+    let request = placement_request(part);
     requests
-        .send(PieceRequest::PlacePrompt { number, ask })
+        .send(PieceRequest::PlacePrompt { number, request })
         .is_ok()
 }
 
@@ -220,7 +220,7 @@
     ]
 }
 
-fn place_ask(part: u32) -> PlaceAsk {
+fn placement_request(part: u32) -> PlaceAsk {
     PlaceAsk {
         service: ENGINES.to_owned(),
         prompt: Prompt {
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -34,7 +34,7 @@
 
 /// Timeout for the send permit of a call. Calls are already scheduled by the rate limit of their target, so a
 /// permit is late only by the inaccuracy of timers.
-const SEND_PERMIT_TIMEOUT: Duration = Duration::from_millis(20);
+const CALL_PERMIT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Timeout of requests that run no pieces: releases of results and queries of free memory.
 const CONTROL_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum CallOutcome {
     /// The target responded: the outcome of each piece, and the load that the target reported.
-    Answered(Vec<Result<String, PieceFault>>, Option<ReportedLoad>),
+    Responded(Vec<Result<String, PieceFault>>, Option<ReportedLoad>),
     /// The target is busy and did not run the call.
     Busy,
     /// Another incarnation of a target serves the address.
@@ -128,13 +128,13 @@
 
 /// Client that sends requests to stage targets. Cheap to clone.
 #[derive(Clone)]
-pub(crate) struct StageCaller {
+pub(crate) struct StageTargetClient {
     dialect: Dialect,
     pub(crate) upstream: UpstreamPool,
     notices: Rc<NoticeBook>,
 }
 
-impl StageCaller {
+impl StageTargetClient {
     pub(crate) fn new(dialect: Dialect, upstream: UpstreamPool, notices: Rc<NoticeBook>) -> Self {
         Self {
             dialect,
@@ -181,7 +181,7 @@
         match (targets.decode_stage_run)(&body) {
             Some(results) if results.len() == call.piece_count() => {
                 let load = ReportedLoad::read(&head.headers, &names.load);
-                CallOutcome::Answered(results, load)
+                CallOutcome::Responded(results, load)
             }
             Some(results) => CallOutcome::Failed(format!(
                 "{} results for {} pieces",
@@ -243,7 +243,7 @@
             SendKind::Work => {
                 self.notices
                     .rates
-                    .take_permit(target, SEND_PERMIT_TIMEOUT)
+                    .take_permit(target, CALL_PERMIT_TIMEOUT)
                     .await
             }
             // Control requests take no permit from the rate limit of the target; the gate withholds them
--- a/crates/gateway/src/stage_client/guard.rs
+++ b/crates/gateway/src/stage_client/guard.rs
@@ -46,13 +46,13 @@
     pub(super) client: StageClient,
     pub(super) handle: PlacementHandle,
     /// The estimate behind the choice; `None` until the placer replies.
-    pub(super) facts: Option<PlaceFacts>,
+    pub(super) estimate: Option<PlaceFacts>,
 }
 
 impl Placement {
     /// Returns the estimate by which the placer chose the engine.
-    pub(crate) fn facts(&self) -> Option<PlaceFacts> {
-        self.facts
+    pub(crate) fn estimate(&self) -> Option<PlaceFacts> {
+        self.estimate
     }
 
     /// Reports to the placer, if that is another host, that the engine cannot be reached.
--- a/crates/gateway/src/stage_client/link.rs
+++ b/crates/gateway/src/stage_client/link.rs
@@ -112,11 +112,11 @@
         PieceReply::DelegatedCallEnded { number, outcome } => {
             client.complete_call(address, number, outcome)
         }
-        PieceReply::SendPermit { number, answer } => {
-            client.complete_send_permit(address, number, answer)
+        PieceReply::SendPermit { number, reply } => {
+            client.complete_send_permit(address, number, reply)
         }
-        PieceReply::RunPermit { number, answer } => {
-            client.complete_run_permit(address, number, answer)
+        PieceReply::RunPermit { number, reply } => {
+            client.complete_run_permit(address, number, reply)
         }
         PieceReply::TargetUsage { pool, usage } => {
             client.coordinator.set_uses(reader.peer(), &pool, &usage)
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -27,7 +27,7 @@
 /// A connection to another entry host and the requests that await a reply on it, by their numbers.
 pub(super) struct Link {
     pub(super) state: LinkState,
-    /// The message version of the peer; the newest until the peer has announced one.
+    /// The message version that the peer used last; the newest until it has announced one.
     pub(super) message_version: MessageForm,
     /// The time of the last message from the peer, or of the first pending request if that is later.
     pub(super) last_received: Instant,
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -19,10 +19,14 @@
 
 impl StageClient {
     /// Returns the placer of a prompt: that of the complete service or of a partition of its engines.
-    fn placer_of(&self, targets: &RefCell<TargetBook>, ask: &PlaceAsk) -> HostLocation {
+    fn placer_of(&self, targets: &RefCell<TargetBook>, request: &PlaceAsk) -> HostLocation {
         let key = {
             let book = targets.borrow();
-            placement_pool_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt)
+            placement_pool_key(
+                &request.service,
+                book.hall_counts(&request.service),
+                &request.prompt,
+            )
         };
         self.coordinator_of(&key)
     }
@@ -32,41 +36,54 @@
     pub(crate) async fn place_prompt(
         &self,
         targets: &RefCell<TargetBook>,
-        ask: PlaceAsk,
+        request: PlaceAsk,
     ) -> Option<(Chosen, Placement)> {
-        let mut ask = ask;
-        if let HostLocation::Remote(address) = self.placer_of(targets, &ask) {
-            if let Some((engine, placement)) = self.place_at(address, ask.clone()).await
-                && let Some(chosen) = targets.borrow().find(&ask.service, &engine)
+        let mut request = request;
+        if let HostLocation::Remote(address) = self.placer_of(targets, &request) {
+            if let Some((engine, placement)) = self.place_at(address, request.clone()).await
+                && let Some(chosen) = targets.borrow().find(&request.service, &engine)
             {
                 return Some((chosen, placement));
             }
             // Only the placer limits the load of cold engines, so none is used without it.
-            let cold = targets.borrow().cold_targets(&ask.service, Instant::now());
-            ask.closed.extend(cold);
+            let cold = targets
+                .borrow()
+                .cold_targets(&request.service, Instant::now());
+            request.closed.extend(cold);
         }
         let book = targets.borrow();
-        let placed = self.engines.borrow_mut().place(&book, &ask, Instant::now());
-        let (key, chosen, facts) = placed?;
+        let placed = self
+            .engines
+            .borrow_mut()
+            .place(&book, &request, Instant::now());
+        let (key, chosen, estimate) = placed?;
         let placement = Placement {
             client: self.clone(),
             handle: PlacementHandle::Local(key),
-            facts: Some(facts),
+            estimate: Some(estimate),
         };
         Some((chosen, placement))
     }
 
-    async fn place_at(&self, address: SocketAddr, ask: PlaceAsk) -> Option<(String, Placement)> {
+    async fn place_at(
+        &self,
+        address: SocketAddr,
+        request: PlaceAsk,
+    ) -> Option<(String, Placement)> {
         let number = self.next_number();
-        let reply = self.query_placer(address, number, PieceRequest::PlacePrompt { number, ask });
+        let reply = self.query_placer(
+            address,
+            number,
+            PieceRequest::PlacePrompt { number, request },
+        );
         // The guard ends the placement at the placer even if its reply is late or lost.
         let mut placement = Placement {
             client: self.clone(),
             handle: PlacementHandle::Remote(address, number),
-            facts: None,
+            estimate: None,
         };
-        let (engine, facts) = reply.await?;
-        placement.facts = Some(facts);
+        let (engine, estimate) = reply.await?;
+        placement.estimate = Some(estimate);
         Some((engine, placement))
     }
 
@@ -75,23 +92,23 @@
     pub(crate) async fn plan_placement(
         &self,
         targets: &RefCell<TargetBook>,
-        ask: PlaceAsk,
+        request: PlaceAsk,
     ) -> Option<Chosen> {
-        if let HostLocation::Remote(address) = self.placer_of(targets, &ask) {
+        if let HostLocation::Remote(address) = self.placer_of(targets, &request) {
             let number = self.next_number();
-            let service = ask.service.clone();
-            let request = PieceRequest::PlanPlacement {
+            let service = request.service.clone();
+            let message = PieceRequest::PlanPlacement {
                 number,
-                ask: ask.clone(),
+                request: request.clone(),
             };
-            if let Some((engine, _)) = self.query_placer(address, number, request).await
+            if let Some((engine, _)) = self.query_placer(address, number, message).await
                 && let Some(chosen) = targets.borrow().find(&service, &engine)
             {
                 return Some(chosen);
             }
         }
         let engines = self.engines.borrow();
-        let planned = engines.plan(&targets.borrow(), &ask, Instant::now());
+        let planned = engines.plan(&targets.borrow(), &request, Instant::now());
         planned.map(|(chosen, _)| chosen)
     }
 
--- a/crates/gateway/src/stage_client/run_permit.rs
+++ b/crates/gateway/src/stage_client/run_permit.rs
@@ -1,4 +1,4 @@
-//! Requests to the host that issues run permits for requests suspected of crashing targets.
+//! Requests to the host that issues run permits for requests that are suspected of crashing targets.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -69,12 +69,12 @@
             accepted: false,
         };
         let reply = timeout(RUN_PERMIT_TIMEOUT, reply).await;
-        let Ok(Ok(answer)) = reply else {
+        let Ok(Ok(reply)) = reply else {
             return (TurnAnswer::Busy, number);
         };
         // From here on the caller releases the permit.
-        guard.accepted = answer == TurnAnswer::Granted;
-        (answer, number)
+        guard.accepted = reply == TurnAnswer::Granted;
+        (reply, number)
     }
 
     /// Sends this host's record of a suspect request to another host.
@@ -89,12 +89,12 @@
         self.send_to(address, PieceRequest::ReleaseRunPermit(number), |_| {});
     }
 
-    pub(super) fn complete_run_permit(&self, address: SocketAddr, number: u64, answer: TurnAnswer) {
+    pub(super) fn complete_run_permit(&self, address: SocketAddr, number: u64, reply: TurnAnswer) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
         if let Some(waiter) = link.and_then(|link| link.pending_run_permits.remove(&number)) {
             // The receiver is gone if the request ended meanwhile; its guard has released the permit.
-            let _ = waiter.send(answer);
+            let _ = waiter.send(reply);
         }
     }
 }
--- a/crates/gateway/src/stage_client/send_permit.rs
+++ b/crates/gateway/src/stage_client/send_permit.rs
@@ -86,13 +86,13 @@
     pub(crate) async fn request_send_permit(
         &self,
         address: SocketAddr,
-        ask: RateAsk,
+        request: RateAsk,
     ) -> RateAnswer {
         let number = self.next_number();
         let (done, reply) = oneshot::channel();
         self.send_to(
             address,
-            PieceRequest::AcquireSendPermit { number, ask },
+            PieceRequest::AcquireSendPermit { number, request },
             |link| {
                 link.pending_send_permits.insert(number, done);
             },
@@ -105,22 +105,17 @@
         let reply = timeout(SEND_PERMIT_TIMEOUT, reply).await;
         drop(guard);
         match reply {
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(reply)) => reply,
             _ => RateAnswer::UNREACHED,
         }
     }
 
-    pub(super) fn complete_send_permit(
-        &self,
-        address: SocketAddr,
-        number: u64,
-        answer: RateAnswer,
-    ) {
+    pub(super) fn complete_send_permit(&self, address: SocketAddr, number: u64, reply: RateAnswer) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
         if let Some(waiter) = link.and_then(|link| link.pending_send_permits.remove(&number)) {
             // The receiver is gone if the request ended meanwhile.
-            let _ = waiter.send(answer);
+            let _ = waiter.send(reply);
         }
     }
 }
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -43,7 +43,7 @@
     let clock = std::sync::Arc::new(linnet_telemetry::HybridClock::new());
     let recorder = linnet_telemetry::EventRecorder::new(name, clock.clone());
     let recorder = std::sync::Arc::new(recorder);
-    let caller = crate::stage_call::StageCaller::new(
+    let caller = crate::stage_call::StageTargetClient::new(
         crate::gateway::tests::dialect(),
         crate::upstream::UpstreamPool::default(),
         Rc::new(crate::notice_book::NoticeBook::new(
