--- a/crates/gateway/src/message_v1/reply.rs
+++ b/crates/gateway/src/message_v1/reply.rs
@@ -54,13 +54,15 @@
 
 fn from_v1_outcomes(message: Vec<PieceOutcomeV1>) -> Vec<Result<String, PieceFault>> {
     let outcomes = message.into_iter();
-    outcomes.map(|one| one.map_err(PieceFault::from)).collect()
+    outcomes
+        .map(|outcome| outcome.map_err(PieceFault::from))
+        .collect()
 }
 
 fn to_v1_outcomes(outcomes: Vec<Result<String, PieceFault>>) -> Vec<PieceOutcomeV1> {
     let outcomes = outcomes.into_iter();
     outcomes
-        .map(|one| one.map_err(PieceFaultV1::from))
+        .map(|outcome| outcome.map_err(PieceFaultV1::from))
         .collect()
 }
 
--- a/crates/gateway/src/message_v1/tests.rs
+++ b/crates/gateway/src/message_v1/tests.rs
@@ -13,8 +13,10 @@
 #[test]
 fn message_v1_bytes_match_the_shipped_format() {
     let (requests, replies) = (all_requests(), all_replies());
-    let requests = requests.iter().map(|one| format!("request {}", hex(one)));
-    let replies = replies.iter().map(|one| format!("reply {}", hex(one)));
+    let requests = requests
+        .iter()
+        .map(|request| format!("request {}", hex(request)));
+    let replies = replies.iter().map(|reply| format!("reply {}", hex(reply)));
     let lines: Vec<String> = requests.chain(replies).collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
@@ -29,7 +31,7 @@
         let first = to_request_v1(&request);
         let first_bytes = first
             .as_ref()
-            .map(|one| postcard::to_allocvec(one).unwrap());
+            .map(|message| postcard::to_allocvec(message).unwrap());
         let same_bytes = first_bytes.as_ref() == Some(&bytes);
         let second = (!same_bytes).then_some(MessageForm::Second);
         assert_eq!((hex(&read), version), (hex(&request), second));
@@ -52,7 +54,7 @@
     for reply in replies() {
         let bytes = postcard::to_allocvec(&reply).unwrap();
         let (read, version) = detect(&bytes).unwrap();
-        let first = to_reply_v1(&reply).map(|one| postcard::to_allocvec(&one).unwrap());
+        let first = to_reply_v1(&reply).map(|reply| postcard::to_allocvec(&reply).unwrap());
         let second = (first.as_ref() != Some(&bytes)).then_some(MessageForm::Second);
         assert_eq!((hex(&read), version), (hex(&reply), second));
         // Only these are sent before the first request.
@@ -72,7 +74,7 @@
 #[test]
 fn batches_of_message_v1_get_a_key_from_their_request_id() {
     let key_of = |request: &str| {
-        let batch = requests().into_iter().find_map(|one| match one {
+        let batch = requests().into_iter().find_map(|request| match request {
             PieceRequest::RunBatch(batch) => Some(batch),
             _ => None,
         });
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -274,8 +274,10 @@
 fn message_bytes_match_the_shipped_format() {
     let requests = requests();
     let replies = replies();
-    let requests = requests.iter().map(|one| format!("request {}", hex(one)));
-    let replies = replies.iter().map(|one| format!("reply {}", hex(one)));
+    let requests = requests
+        .iter()
+        .map(|request| format!("request {}", hex(request)));
+    let replies = replies.iter().map(|reply| format!("reply {}", hex(reply)));
     let lines: Vec<String> = requests.chain(replies).collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/gateway/src/pool_key.rs
+++ b/crates/gateway/src/pool_key.rs
@@ -46,7 +46,9 @@
 
     /// Returns the data hall of the partition; `None` for a complete pool.
     pub(crate) fn hall(&self) -> Option<&str> {
-        self.partition.as_ref().map(|one| one.hall.as_str())
+        self.partition
+            .as_ref()
+            .map(|partition| partition.hall.as_str())
     }
 
     /// Returns whether a target belongs to the pool. The answer follows from the key alone, so a partition
@@ -57,8 +59,9 @@
 
     /// Returns whether a target of the service, given by hall and id, belongs to the pool.
     pub(crate) fn contains_target(&self, hall: &str, id: &str) -> bool {
-        self.partition.as_ref().is_none_or(|one| {
-            one.hall == hall && one.index == partition_index(hall, id, one.partition_count)
+        self.partition.as_ref().is_none_or(|partition| {
+            partition.hall == hall
+                && partition.index == partition_index(hall, id, partition.partition_count)
         })
     }
 
@@ -66,7 +69,7 @@
     pub(crate) fn label(&self) -> String {
         match &self.partition {
             None => self.service.clone(),
-            Some(one) => format!("{}/{}/{}", self.service, one.hall, one.index),
+            Some(partition) => format!("{}/{}/{}", self.service, partition.hall, partition.index),
         }
     }
 }
--- a/crates/gateway/src/pool_key/tests.rs
+++ b/crates/gateway/src/pool_key/tests.rs
@@ -30,7 +30,13 @@
 
 fn map(records: &[TargetRecord]) -> PoolMap {
     let targets = records.iter();
-    PoolMap::new(targets.map(|one| (one.service.as_str(), one.hall.as_str(), one.id.as_str())))
+    PoolMap::new(targets.map(|target| {
+        (
+            target.service.as_str(),
+            target.hall.as_str(),
+            target.id.as_str(),
+        )
+    }))
 }
 
 #[test]
@@ -63,7 +69,11 @@
 #[test]
 fn a_large_hall_is_split_about_evenly() {
     let map = map(&records(&[192]));
-    let counts: Vec<u32> = map.partitions_of("stage").iter().map(|one| one.1).collect();
+    let counts: Vec<u32> = map
+        .partitions_of("stage")
+        .iter()
+        .map(|partition| partition.1)
+        .collect();
     assert_eq!(counts.len(), 8);
     assert!(
         counts.iter().all(|count| (10..=40).contains(count)),
@@ -87,7 +97,7 @@
     let targets = records.iter();
     map.replace_service(
         "stage",
-        targets.map(|one| (one.hall.as_str(), one.id.as_str())),
+        targets.map(|target| (target.hall.as_str(), target.id.as_str())),
     );
     for (key, count) in map.partitions_of("stage") {
         let contained = records.iter().filter(|record| key.contains(record)).count();
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -179,7 +179,7 @@
         let rollouts = self.rollouts.current.borrow();
         if rollouts
             .newest(service)
-            .is_none_or(|one| !one.is_in_progress())
+            .is_none_or(|record| !record.is_in_progress())
         {
             return;
         }
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -200,18 +200,18 @@
     }
 
     fn plan_placement(&self, number: u64, request: &PlaceAsk) {
-        let book = self.gateway.targets.borrow();
-        let engines = self.gateway.engines.borrow();
-        let planned = engines.plan(&book, request, Instant::now());
+        let store = self.gateway.targets.borrow();
+        let placer = self.gateway.engines.borrow();
+        let planned = placer.plan(&store, request, Instant::now());
         let engine = planned.map(|(chosen, estimate)| (chosen.id, estimate));
         let _ = self.replies.send(PieceReply::Placed { number, engine });
     }
 
     fn place_prompt(&mut self, number: u64, request: &PlaceAsk) {
         let placed = {
-            let book = self.gateway.targets.borrow();
-            let mut engines = self.gateway.engines.borrow_mut();
-            engines.place(&book, request, Instant::now())
+            let store = self.gateway.targets.borrow();
+            let mut placer = self.gateway.engines.borrow_mut();
+            placer.place(&store, request, Instant::now())
         };
         let engine = placed.map(|(key, chosen, estimate)| {
             self.placements.insert(number, key);
@@ -222,8 +222,8 @@
 
     fn record_prefill_done(&self, number: u64) {
         if let Some(key) = self.placements.get(&number) {
-            let mut engines = self.gateway.engines.borrow_mut();
-            engines.note_read(*key, Instant::now());
+            let mut placer = self.gateway.engines.borrow_mut();
+            placer.note_read(*key, Instant::now());
         }
     }
 
@@ -267,9 +267,9 @@
 
 impl Drop for PieceSession {
     fn drop(&mut self) {
-        let mut engines = self.gateway.engines.borrow_mut();
-        self.placements.values().for_each(|key| engines.end(*key));
-        drop(engines);
+        let mut placer = self.gateway.engines.borrow_mut();
+        self.placements.values().for_each(|key| placer.end(*key));
+        drop(placer);
         let run_permits = self.run_permits.values();
         run_permits.for_each(|key| self.gateway.suspects.end_turn(*key));
         let coordinator = &self.gateway.coordinator;
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -57,7 +57,7 @@
             PieceInput::Key(key) => key.len() + INPUT_OVERHEAD_BYTES,
             PieceInput::Results(handles) => handles
                 .iter()
-                .map(|one| one.len() + INPUT_OVERHEAD_BYTES)
+                .map(|handle| handle.len() + INPUT_OVERHEAD_BYTES)
                 .sum(),
         };
         self.numbers.len() * (PIECE_OVERHEAD_BYTES + input_bytes)
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -97,11 +97,12 @@
 ) -> Vec<&'a GatewayRecord> {
     let label = pool.label();
     let own = coordinator_rank(pool, &label, name, hall);
-    let candidates = hosts.filter(|one| one.name != name && !one.stopping);
-    let ranked = candidates.map(|one| (coordinator_rank(pool, &label, &one.name, &one.hall), one));
+    let candidates = hosts.filter(|host| host.name != name && !host.stopping);
+    let ranked =
+        candidates.map(|host| (coordinator_rank(pool, &label, &host.name, &host.hall), host));
     let mut better: Vec<_> = ranked.filter(|(rank, _)| stopping || *rank > own).collect();
-    better.sort_by_key(|(rank, one)| Reverse((*rank, one.peer)));
-    better.into_iter().map(|(_, one)| one).collect()
+    better.sort_by_key(|(rank, host)| Reverse((*rank, host.peer)));
+    better.into_iter().map(|(_, host)| host).collect()
 }
 
 /// Returns whether every piece failed since its targets or coordinator could not be reached.
@@ -170,7 +171,7 @@
     name: String,
     hall: String,
     coordinator: Rc<Coordinator>,
-    engines: Rc<RefCell<EnginePlacer>>,
+    placer: Rc<RefCell<EnginePlacer>>,
     state: Rc<RefCell<ClientState>>,
 }
 
@@ -180,14 +181,14 @@
         name: String,
         hall: String,
         coordinator: Rc<Coordinator>,
-        engines: Rc<RefCell<EnginePlacer>>,
+        placer: Rc<RefCell<EnginePlacer>>,
     ) -> Self {
         let client = Self {
             identity,
             name,
             hall,
             coordinator: coordinator.clone(),
-            engines,
+            placer,
             state: Rc::default(),
         };
         let (call_client, release_client) = (client.clone(), client.clone());
@@ -203,7 +204,7 @@
     /// coordinators.
     pub(crate) fn set_entry_hosts(&self, listed_hosts: Vec<GatewayRecord>) {
         let mut state = self.state.borrow_mut();
-        let listed: HashSet<&str> = listed_hosts.iter().map(|one| one.name.as_str()).collect();
+        let listed: HashSet<&str> = listed_hosts.iter().map(|host| host.name.as_str()).collect();
         let former_hosts = std::mem::take(&mut state.entry_hosts);
         let unlisted = former_hosts.iter();
         let unlisted = unlisted.filter(|record| !listed.contains(record.name.as_str()));
@@ -226,17 +227,17 @@
     }
 
     /// Sets the targets that accept work, and partitions their pools.
-    pub(crate) fn set_targets(&self, book: &TargetBook) {
-        let pools = PoolMap::new(book.all());
+    pub(crate) fn set_targets(&self, store: &TargetBook) {
+        let pools = PoolMap::new(store.all());
         self.state.borrow_mut().pools = pools;
     }
 
     /// Replaces the targets that accept work of some services; those of the others have not changed.
-    pub(crate) fn update_targets(&self, book: &TargetBook, services: &BTreeSet<&str>) {
+    pub(crate) fn update_targets(&self, store: &TargetBook, services: &BTreeSet<&str>) {
         let mut state = self.state.borrow_mut();
         for service in services {
-            let targets = book.of_service(service);
-            let targets = targets.map(|one| (one.hall.as_str(), one.id.as_str()));
+            let targets = store.of_service(service);
+            let targets = targets.map(|target| (target.hall.as_str(), target.id.as_str()));
             state.pools.replace_service(service, targets);
         }
     }
@@ -251,7 +252,10 @@
     /// Returns the number of known entry hosts, including this one.
     pub(crate) fn entry_host_count(&self) -> usize {
         let state = self.state.borrow();
-        let others = state.entry_hosts.iter().filter(|one| one.name != self.name);
+        let others = state
+            .entry_hosts
+            .iter()
+            .filter(|host| host.name != self.name);
         others.count() + 1
     }
 
@@ -332,12 +336,12 @@
         }
         let label = pool.label();
         let others = state.entry_hosts.iter();
-        let others = others.filter(|one| one.name != self.name && !one.stopping);
+        let others = others.filter(|host| host.name != self.name && !host.stopping);
         let mut ranked: Vec<((bool, u64), &str)> = others
-            .map(|one| {
+            .map(|host| {
                 (
-                    coordinator_rank(pool, &label, &one.name, &one.hall),
-                    one.name.as_str(),
+                    coordinator_rank(pool, &label, &host.name, &host.hall),
+                    host.name.as_str(),
                 )
             })
             .collect();
@@ -356,9 +360,9 @@
         let candidates = self.better_coordinators(pool);
         let mut candidates = candidates
             .iter()
-            .filter(|one| !unreachable.contains(&one.hall));
-        let chosen = candidates.find(|one| self.connect_or_check(one.peer));
-        chosen.map_or(HostLocation::Local, |one| HostLocation::Remote(one.peer))
+            .filter(|host| !unreachable.contains(&host.hall));
+        let chosen = candidates.find(|host| self.connect_or_check(host.peer));
+        chosen.map_or(HostLocation::Local, |host| HostLocation::Remote(host.peer))
     }
 
     /// Returns the hosts that rank before this one as coordinator of a pool, the best first.
@@ -450,7 +454,7 @@
 
     fn is_known(&self, address: SocketAddr) -> bool {
         let state = self.state.borrow();
-        state.entry_hosts.iter().any(|one| one.peer == address)
+        state.entry_hosts.iter().any(|host| host.peer == address)
     }
 
     /// Records that a connection is up, and the message version of the peer.
--- a/crates/gateway/src/stage_client/guard.rs
+++ b/crates/gateway/src/stage_client/guard.rs
@@ -70,8 +70,8 @@
     pub(crate) fn report_prefill_done(&self) {
         match self.handle {
             PlacementHandle::Local(key) => {
-                let mut engines = self.client.engines.borrow_mut();
-                engines.note_read(key, Instant::now());
+                let mut placer = self.client.placer.borrow_mut();
+                placer.note_read(key, Instant::now());
             }
             PlacementHandle::Remote(address, number) => {
                 self.client
@@ -84,7 +84,7 @@
 impl Drop for Placement {
     fn drop(&mut self) {
         match self.handle {
-            PlacementHandle::Local(key) => self.client.engines.borrow_mut().end(key),
+            PlacementHandle::Local(key) => self.client.placer.borrow_mut().end(key),
             PlacementHandle::Remote(address, number) => {
                 self.client
                     .send_to(address, PieceRequest::EndPlacement(number), |link| {
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -21,10 +21,10 @@
     /// Returns the placer of a prompt: that of the complete service or of a partition of its engines.
     fn placer_of(&self, targets: &RefCell<TargetBook>, request: &PlaceAsk) -> HostLocation {
         let key = {
-            let book = targets.borrow();
+            let store = targets.borrow();
             placement_pool_key(
                 &request.service,
-                book.hall_counts(&request.service),
+                store.hall_counts(&request.service),
                 &request.prompt,
             )
         };
@@ -51,11 +51,11 @@
                 .cold_targets(&request.service, Instant::now());
             request.closed.extend(cold);
         }
-        let book = targets.borrow();
+        let store = targets.borrow();
         let placed = self
-            .engines
+            .placer
             .borrow_mut()
-            .place(&book, &request, Instant::now());
+            .place(&store, &request, Instant::now());
         let (key, chosen, estimate) = placed?;
         let placement = Placement {
             client: self.clone(),
@@ -107,8 +107,8 @@
                 return Some(chosen);
             }
         }
-        let engines = self.engines.borrow();
-        let planned = engines.plan(&targets.borrow(), &request, Instant::now());
+        let placer = self.placer.borrow();
+        let planned = placer.plan(&targets.borrow(), &request, Instant::now());
         planned.map(|(chosen, _)| chosen)
     }
 
--- a/crates/gateway/src/stage_client/run_permit.rs
+++ b/crates/gateway/src/stage_client/run_permit.rs
@@ -25,14 +25,14 @@
         let mut ranked: Vec<(u64, Option<SocketAddr>)> = {
             let state = self.state.borrow();
             let others = state.entry_hosts.iter();
-            let others = others.filter(|one| one.name != self.name && !one.stopping);
-            let candidates = others.filter(|one| !unreachable.contains(&one.hall));
+            let others = others.filter(|host| host.name != self.name && !host.stopping);
+            let candidates = others.filter(|host| !unreachable.contains(&host.hall));
             let scored =
-                candidates.map(|one| (rendezvous::score(&label, &one.name), Some(one.peer)));
+                candidates.map(|host| (rendezvous::score(&label, &host.name), Some(host.peer)));
             scored.collect()
         };
         ranked.push((rendezvous::score(&label, &self.name), None));
-        ranked.sort_by_key(|one| Reverse(*one));
+        ranked.sort_by_key(|candidate| Reverse(*candidate));
         let is_usable = |address: &Option<SocketAddr>| {
             address.is_none_or(|address| {
                 self.connect_or_check(address) && self.supports(address, MessageForm::Second)
--- a/crates/gateway/src/stage_client/send_permit.rs
+++ b/crates/gateway/src/stage_client/send_permit.rs
@@ -47,8 +47,8 @@
     fn permit_candidates(&self, target: &str, hall: &str) -> Vec<Option<SocketAddr>> {
         let state = self.state.borrow();
         let others = state.entry_hosts.iter();
-        let others = others.filter(|one| one.name != self.name && !one.stopping);
-        let others = others.map(|one| (one.hall.as_str(), one.name.as_str(), Some(one.peer)));
+        let others = others.filter(|host| host.name != self.name && !host.stopping);
+        let others = others.map(|host| (host.hall.as_str(), host.name.as_str(), Some(host.peer)));
         let mut known: Vec<(&str, &str, Option<SocketAddr>)> = others.collect();
         if !state.stopping || known.is_empty() {
             known.push((&self.hall, &self.name, None));
@@ -65,7 +65,7 @@
         let scored = known.into_iter();
         let scored = scored.map(|(_, name, address)| (rendezvous::score(target, name), address));
         let mut ranked: Vec<(u64, Option<SocketAddr>)> = scored.collect();
-        ranked.sort_by_key(|one| Reverse(*one));
+        ranked.sort_by_key(|candidate| Reverse(*candidate));
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
@@ -73,13 +73,22 @@
     pub(crate) fn reaches_any_host(&self) -> bool {
         let others: Vec<SocketAddr> = {
             let state = self.state.borrow();
-            let others = state.entry_hosts.iter().filter(|one| one.name != self.name);
-            others.map(|one| one.peer).collect()
+            let others = state
+                .entry_hosts
+                .iter()
+                .filter(|host| host.name != self.name);
+            others.map(|host| host.peer).collect()
         };
-        if others.is_empty() || others.iter().any(|one| self.state.borrow().is_up(*one)) {
+        if others.is_empty()
+            || others
+                .iter()
+                .any(|address| self.state.borrow().is_up(*address))
+        {
             return true;
         }
-        others.into_iter().any(|one| self.connect_or_check(one))
+        others
+            .into_iter()
+            .any(|address| self.connect_or_check(address))
     }
 
     /// Requests a send permit from another host. Without a reply in time no permit is issued for now.
--- a/crates/gateway/src/stage_client/sender.rs
+++ b/crates/gateway/src/stage_client/sender.rs
@@ -63,8 +63,8 @@
             let state = self.state.borrow();
             let others = state.entry_hosts.iter();
             let same_hall = others
-                .filter(|one| one.hall == hall && one.name != self.name && !one.stopping)
-                .map(|one| (rendezvous::score(target, &one.name), Some(one.peer)));
+                .filter(|host| host.hall == hall && host.name != self.name && !host.stopping)
+                .map(|host| (rendezvous::score(target, &host.name), Some(host.peer)));
             same_hall.collect()
         };
         if hall == self.hall {
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -26,7 +26,10 @@
                 .map(|number| host(number, number == stopping))
                 .collect();
             let chosen = coordinators(&PoolKey::whole(service), &hosts);
-            assert!(chosen.iter().all(|one| *one == chosen[0]), "{chosen:?}");
+            assert!(
+                chosen.iter().all(|address| *address == chosen[0]),
+                "{chosen:?}"
+            );
             assert_ne!(chosen[0], hosts[usize::from(stopping)].peer);
         }
     }
@@ -63,7 +66,7 @@
 
 fn ranked_names(client: &StageClient) -> Vec<String> {
     let ranked = client.better_coordinators(&PoolKey::whole("a"));
-    ranked.iter().map(|one| one.name.clone()).collect()
+    ranked.iter().map(|host| host.name.clone()).collect()
 }
 
 #[test]
@@ -76,14 +79,14 @@
     // The first host is lost, then the next one announces that it is stopping.
     let fewer: Vec<_> = hosts
         .iter()
-        .filter(|one| one.name != before[0])
+        .filter(|host| host.name != before[0])
         .cloned()
         .collect();
     client.set_entry_hosts(fewer.clone());
     assert_eq!(ranked_names(&client), before[1..]);
-    let stopping = fewer.into_iter().map(|mut one| {
-        one.stopping |= one.name == before[1];
-        one
+    let stopping = fewer.into_iter().map(|mut host| {
+        host.stopping |= host.name == before[1];
+        host
     });
     client.set_entry_hosts(stopping.collect());
     assert_eq!(ranked_names(&client), before[2..]);
--- a/crates/gateway/src/stage_client/unreachable_halls.rs
+++ b/crates/gateway/src/stage_client/unreachable_halls.rs
@@ -73,18 +73,18 @@
         for hall in self.unreachable_halls().iter() {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
-            let of_hall = state.entry_hosts.iter().filter(|one| one.hall == *hall);
+            let of_hall = state.entry_hosts.iter().filter(|host| host.hall == *hall);
             let (tried, untried): (Vec<_>, Vec<_>) =
-                of_hall.partition(|one| state.links.contains_key(&one.peer));
-            let opening = tried.iter().filter(|one| {
-                let link = state.links.get(&one.peer);
+                of_hall.partition(|host| state.links.contains_key(&host.peer));
+            let opening = tried.iter().filter(|host| {
+                let link = state.links.get(&host.peer);
                 link.is_some_and(|link| matches!(link.state, LinkState::Opening(_)))
             });
             let probe_count = LOST_LINK_THRESHOLD.saturating_sub(opening.count());
             let probes: Vec<_> = untried
                 .iter()
                 .take(probe_count)
-                .map(|one| one.peer)
+                .map(|host| host.peer)
                 .collect();
             for address in probes {
                 state.links.insert(address, self.start_link(address));
--- a/crates/gateway/src/version_split.rs
+++ b/crates/gateway/src/version_split.rs
@@ -22,8 +22,11 @@
 impl VersionSplit {
     /// Returns the split of every service with a roll-out in progress, for a host that is or is not connected
     /// to a control host.
-    pub(crate) fn all_in_progress(book: &RolloutBook, is_connected: bool) -> HashMap<String, Self> {
-        let splits = book.in_progress().map(|(service, record)| {
+    pub(crate) fn all_in_progress(
+        rollouts: &RolloutBook,
+        is_connected: bool,
+    ) -> HashMap<String, Self> {
+        let splits = rollouts.in_progress().map(|(service, record)| {
             let share = if is_connected {
                 f64::from(record.permille) / FULL_PERMILLE
             } else {
--- a/crates/gateway/src/version_split/tests.rs
+++ b/crates/gateway/src/version_split/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn book(permille: u16) -> RolloutBook {
-    let mut book = RolloutBook::default();
-    book.apply(&RolloutCommand::Begin {
+fn rollouts(permille: u16) -> RolloutBook {
+    let mut rollouts = RolloutBook::default();
+    rollouts.apply(&RolloutCommand::Begin {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: "v2".to_owned(),
@@ -13,17 +13,17 @@
         former: vec!["v1".to_owned()],
         now_ms: 0,
     });
-    book.apply(&RolloutCommand::Move {
+    rollouts.apply(&RolloutCommand::Move {
         service: "desk".to_owned(),
         seen: (1, 0),
         permille,
         cause: RolloutCause::Time,
     });
-    book
+    rollouts
 }
 
 fn split(permille: u16, is_connected: bool) -> VersionSplit {
-    VersionSplit::all_in_progress(&book(permille), is_connected)
+    VersionSplit::all_in_progress(&rollouts(permille), is_connected)
         .remove("desk")
         .unwrap()
 }
