--- a/crates/gateway/src/message_v1/reply.rs
+++ b/crates/gateway/src/message_v1/reply.rs
@@ -52,8 +52,8 @@
 /// The first version of a piece's outcome.
 type PieceOutcomeV1 = Result<String, PieceFaultV1>;
 
-fn from_v1_outcomes(message: Vec<PieceOutcomeV1>) -> Vec<Result<String, PieceFault>> {
-    let outcomes = message.into_iter();
+fn from_v1_outcomes(outcomes: Vec<PieceOutcomeV1>) -> Vec<Result<String, PieceFault>> {
+    let outcomes = outcomes.into_iter();
     outcomes
         .map(|outcome| outcome.map_err(PieceFault::from))
         .collect()
--- a/crates/gateway/src/stage_client/unreachable_halls/tests.rs
+++ b/crates/gateway/src/stage_client/unreachable_halls/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_hall_is_unreachable_when_two_of_its_connections_are_lost_and_none_is_up() {
+fn a_hall_is_unreachable_when_enough_of_its_connections_are_lost_and_none_is_up() {
     let opening = Some(LinkState::Opening(Instant::now()));
     let (up, lost, never) = (Some(LinkState::Up), Some(LinkState::Lost), None);
     // Connections to the hosts of another hall, and whether it counts as unreachable.
