--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -11,7 +11,7 @@
 use super::due_call::DueCall;
 use super::queue::Coordinator;
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallEnd, CallPart, StageCall};
+use crate::stage_call::{CallOutcome, CallPart, StageCall};
 use crate::target_end::PROBE_PATIENCE;
 use crate::upstream::ProbeOutcome;
 
@@ -49,8 +49,12 @@
 
 /// Probes a target that broke a connection. If it has crashed, notifies the observer, which learns
 /// which requests had pieces there.
-async fn check_for_crash(coordinator: &Coordinator, call: &DueCall, end: CallEnd) -> CallEnd {
-    let CallEnd::Broke(cause) = end else {
+async fn check_for_crash(
+    coordinator: &Coordinator,
+    call: &DueCall,
+    end: CallOutcome,
+) -> CallOutcome {
+    let CallOutcome::ConnectionBroken(cause) = end else {
         return end;
     };
     let probe = timeout(
@@ -59,10 +63,10 @@
     );
     // A target that was removed from the list closes its connections by itself.
     if probe.await != Ok(ProbeOutcome::Refused) || !coordinator.is_listed(call) {
-        return CallEnd::Failed(cause);
+        return CallOutcome::Failed(cause);
     }
     coordinator.notify_target_crash(call);
-    CallEnd::Ended(cause)
+    CallOutcome::TargetCrashed(cause)
 }
 
 /// Dispatches the queued pieces of a pool once the next call may be sent to one of its targets.
@@ -76,9 +80,9 @@
 async fn await_late_call(
     coordinator: &Rc<Coordinator>,
     call: &DueCall,
-    sent: Pin<&mut impl Future<Output = CallEnd>>,
+    sent: Pin<&mut impl Future<Output = CallOutcome>>,
     started: Instant,
-) -> CallEnd {
+) -> CallOutcome {
     let max_wait = call_timeout(call);
     let until = started + max_wait;
     let detail = format!(
@@ -93,19 +97,19 @@
     coordinator.requeue_late_call(call, until);
     match timeout_at(until.into(), sent).await {
         Ok(end) => end,
-        Err(_) => CallEnd::Failed(format!("no response within {} ms", max_wait.as_millis())),
+        Err(_) => CallOutcome::Failed(format!("no response within {} ms", max_wait.as_millis())),
     }
 }
 
 fn record_call_outcome(
     coordinator: &Coordinator,
     call: &DueCall,
-    end: &CallEnd,
+    end: &CallOutcome,
     sender: Option<SocketAddr>,
     took: Duration,
 ) {
     let (code, outcome) = match end {
-        CallEnd::Answered(results, load) => {
+        CallOutcome::Responded(results, load) => {
             let made = results.iter().filter(|result| result.is_ok()).count();
             let load = load.map_or("-".to_owned(), |load| {
                 format!("{}+{}", load.running, load.waiting)
@@ -115,19 +119,19 @@
                 format!("made={made} load={load} trial={}", call.trial),
             )
         }
-        CallEnd::Busy => (EventCode::StageCallFailed, "cause=busy".to_owned()),
-        CallEnd::OtherTarget => (
+        CallOutcome::Busy => (EventCode::StageCallFailed, "cause=busy".to_owned()),
+        CallOutcome::OtherTarget => (
             EventCode::StageCallFailed,
             "cause=another target has the address".to_owned(),
         ),
-        CallEnd::Failed(cause) | CallEnd::Broke(cause) => {
+        CallOutcome::Failed(cause) | CallOutcome::ConnectionBroken(cause) => {
             (EventCode::StageCallFailed, format!("cause={cause}"))
         }
-        CallEnd::Ended(cause) => (
+        CallOutcome::TargetCrashed(cause) => (
             EventCode::StageCallFailed,
             format!("cause=the target crashed: {cause}"),
         ),
-        CallEnd::SenderLost => (
+        CallOutcome::SenderLost => (
             EventCode::StageCallFailed,
             "cause=connection to the sender lost".to_owned(),
         ),
@@ -164,7 +168,7 @@
         target: call.target.clone(),
         address: call.address,
         parts: parts.collect(),
-        bound_ms: call_timeout(call).as_millis() as u64,
+        timeout_ms: call_timeout(call).as_millis() as u64,
     }
 }
 
@@ -183,7 +187,7 @@
     address: SocketAddr,
 ) {
     sleep(MAX_REPORT_AGE).await;
-    let asked = coordinator.caller.ask_free_bytes(&target, address);
+    let asked = coordinator.caller.query_free_bytes(&target, address);
     if let Some(free) = asked.await {
         coordinator.apply_free_bytes(&pool, address, free);
     }
--- a/crates/gateway/src/coordinator/delegation.rs
+++ b/crates/gateway/src/coordinator/delegation.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::LocalBoxFuture;
 
-use crate::stage_call::{CallEnd, StageCall, StageRelease};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease};
 
 /// Time constant of the average rate of sent bytes. Calls are sent several times a second, so one
 /// second smooths the rate and still follows a burst.
@@ -19,7 +19,7 @@
 /// A call that another host sends, with the future of its end.
 pub(crate) struct DelegatedCall {
     pub(crate) sender: SocketAddr,
-    pub(crate) end: LocalBoxFuture<'static, CallEnd>,
+    pub(crate) end: LocalBoxFuture<'static, CallOutcome>,
 }
 
 /// Hands a call for a target in a data hall to another host; returns `None` if this host has to
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -13,7 +13,7 @@
 use super::stage_target::StageTarget;
 use crate::allowed_halls::AllowedHalls;
 use crate::ask::Rank;
-use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUse};
+use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUsage};
 use crate::pool_key::PoolKey;
 use crate::version_split::{CallSplit, VersionSplit};
 
@@ -96,7 +96,7 @@
         key: &PoolKey,
         records: impl IntoIterator<Item = &'a TargetRecord>,
     ) {
-        let in_pool = records.into_iter().filter(|record| key.holds(record));
+        let in_pool = records.into_iter().filter(|record| key.contains(record));
         let wanted: BTreeMap<&str, &TargetRecord> =
             in_pool.map(|record| (record.id.as_str(), record)).collect();
         // A removed target keeps its results until its running calls have ended.
@@ -169,16 +169,16 @@
     }
 
     /// Returns this host's usage of the targets.
-    pub(super) fn usage(&self, now: Instant) -> Vec<TargetUse> {
+    pub(super) fn usage(&self, now: Instant) -> Vec<TargetUsage> {
         let ttl = Duration::from_millis(self.spec.result_ttl_ms);
         let uses = self.targets.iter();
         let uses = uses.map(|(id, target)| target.own_usage(id, ttl, now));
-        uses.filter(|one| one.bytes > 0 || one.busy_ms > 0)
+        uses.filter(|one| one.result_bytes > 0 || one.busy_for_ms > 0)
             .collect()
     }
 
     /// Sets the usage of the targets that another host reported.
-    pub(super) fn set_peer_usage(&mut self, peer: &str, uses: &[TargetUse], now: Instant) {
+    pub(super) fn set_peer_usage(&mut self, peer: &str, uses: &[TargetUsage], now: Instant) {
         for (id, target) in &mut self.targets {
             let reported = uses.iter().find(|one| one.target == *id);
             target.set_peer_usage(peer, reported, now);
@@ -207,16 +207,16 @@
     /// Returns whether a new batch would be done too late for its request. Batches of later stages
     /// are not refused: the work already done for their request would be wasted.
     pub(super) fn would_miss_objective(&self, batch: &PieceBatch, now: Instant) -> bool {
-        if !batch.first {
+        if !batch.first_stage {
             return false;
         }
-        let count = batch.count.min(self.spec.batch);
+        let count = batch.piece_count.min(self.spec.batch);
         let load = self.load(now);
-        let wait = load.wait_ms(&self.spec, batch.rank, batch.count);
+        let wait = load.expected_wait_ms(&self.spec, batch.rank, batch.piece_count);
         let back_off_ms = self.shortest_back_off(now).as_secs_f64() * 1_000.0;
         let wait = wait.max(back_off_ms);
         let call_ms = self.spec.call_time_ms(count as usize);
-        wait > MIN_REFUSED_WAIT_MS && wait + call_ms > batch.wanted_ms as f64
+        wait > MIN_REFUSED_WAIT_MS && wait + call_ms > batch.objective_ms as f64
     }
 
     /// Returns the time until the first target accepts calls of this host; zero if one does now or
@@ -432,7 +432,7 @@
         };
         target.reserved_bytes += piece.result_bytes;
         if let Some(split) = self.split.as_mut().filter(|_| !open.contains_key(&id)) {
-            split.note(&target.version);
+            split.record_call(&target.version);
         }
         let call = open
             .entry(id.clone())
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -17,9 +17,9 @@
 use super::due_call::DueCall;
 use super::state::{ExpectationKey, QueueState};
 use crate::allowed_halls::AllowedHalls;
-use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUse};
+use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUsage};
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallEnd, StageCall, StageCaller, StageRelease};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease, StageTargetClient};
 use crate::version_split::VersionSplit;
 
 /// The load of each pool that has work, as reported to other hosts.
@@ -29,11 +29,11 @@
 pub(crate) type TargetCrashObserver = Box<dyn Fn(&DueCall)>;
 
 /// Observes the end of each call, with its duration.
-pub(crate) type CallObserver = Box<dyn Fn(&DueCall, &CallEnd, Duration)>;
+pub(crate) type CallObserver = Box<dyn Fn(&DueCall, &CallOutcome, Duration)>;
 
 /// Coordinates the pools of the services that this host was chosen for.
 pub(crate) struct Coordinator {
-    pub(crate) caller: StageCaller,
+    pub(crate) caller: StageTargetClient,
     pub(crate) recorder: Arc<EventRecorder>,
     state: RefCell<QueueState>,
     send_rate: RefCell<SendRate>,
@@ -54,7 +54,7 @@
     /// Creates a coordinator that sends up to `max_own_bytes_per_s` bytes of calls per second by
     /// itself and delegates the rest.
     pub(crate) fn new(
-        caller: StageCaller,
+        caller: StageTargetClient,
         recorder: Arc<EventRecorder>,
         max_own_bytes_per_s: f64,
     ) -> Self {
@@ -85,7 +85,7 @@
         let _ = self.call_observer.set(observer);
     }
 
-    pub(super) fn notify_call_outcome(&self, call: &DueCall, end: &CallEnd, took: Duration) {
+    pub(super) fn notify_call_outcome(&self, call: &DueCall, end: &CallOutcome, took: Duration) {
         if let Some(observer) = self.call_observer.get() {
             observer(call, end, took);
         }
@@ -120,7 +120,7 @@
         &self,
         call: &StageCall,
         delegated: Option<DelegatedCall>,
-    ) -> CallEnd {
+    ) -> CallOutcome {
         match delegated {
             Some(delegated) => delegated.end.await,
             None => self.caller.send_call(call).await,
@@ -153,7 +153,7 @@
 
     fn record_call_bytes(&self, call: &StageCall) {
         let mut rate = self.send_rate.borrow_mut();
-        let Some(change) = rate.record(call.body_bytes(), Instant::now()) else {
+        let Some(change) = rate.record(call.estimated_body_bytes(), Instant::now()) else {
             return;
         };
         let detail = format!("{change:?} bytes_per_s={:.0}", rate.bytes_per_s());
@@ -243,15 +243,17 @@
         batch: PieceBatch,
         reply: impl FnOnce(Vec<PieceOutcome>) + 'static,
     ) -> Option<BatchKey> {
-        let count = batch.count as usize;
+        let count = batch.piece_count as usize;
         let now = Instant::now();
-        let allowed_halls = AllowedHalls::from_names(batch.homes.clone());
+        let allowed_halls = AllowedHalls::from_names(batch.allowed_halls.clone());
         let refused = {
             let mut state = self.state.borrow_mut();
             match state.pool_mut(&batch.pool) {
-                None => Some(PieceFault::Lost),
+                None => Some(PieceFault::CoordinatorLost),
                 Some(pool) if !pool.has_target_in(&allowed_halls) => Some(PieceFault::Failed),
-                Some(pool) if pool.would_miss_objective(&batch, now) => Some(PieceFault::Refused),
+                Some(pool) if pool.would_miss_objective(&batch, now) => {
+                    Some(PieceFault::QueueTooLong)
+                }
                 Some(_) => None,
             }
         };
@@ -294,7 +296,10 @@
     }
 
     /// Returns this host's usage of targets in the pools that it coordinates and `keep` selects.
-    pub(crate) fn usage(&self, keep: impl Fn(&PoolKey) -> bool) -> Vec<(PoolKey, Vec<TargetUse>)> {
+    pub(crate) fn usage(
+        &self,
+        keep: impl Fn(&PoolKey) -> bool,
+    ) -> Vec<(PoolKey, Vec<TargetUsage>)> {
         let state = self.state.borrow();
         let now = Instant::now();
         let uses = state.pools.iter().filter(|(key, _)| keep(key));
@@ -304,7 +309,7 @@
 
     /// Sets the usage of a pool's targets that another coordinator reported. If the connection to
     /// that host is lost, this one starts with the known memory usage of the targets.
-    pub(crate) fn set_peer_usage(&self, peer: &str, pool: &PoolKey, uses: &[TargetUse]) {
+    pub(crate) fn set_peer_usage(&self, peer: &str, pool: &PoolKey, uses: &[TargetUsage]) {
         let mut state = self.state.borrow_mut();
         if let Some(pool) = state.pool_mut(pool) {
             pool.set_peer_usage(peer, uses, Instant::now());
@@ -368,7 +373,7 @@
     pub(crate) fn finish_call(
         self: &Rc<Self>,
         call: DueCall,
-        end: CallEnd,
+        end: CallOutcome,
         late: bool,
         sender: Option<SocketAddr>,
     ) -> Option<Duration> {
@@ -377,7 +382,7 @@
         let mut state = self.state.borrow_mut();
         // What a target asks of another host that sends calls applies to that host only.
         if sender.is_none() {
-            state.set_standing(&call, self.caller.standing(&call.target), now);
+            state.set_standing(&call, self.caller.availability(&call.target), now);
         }
         let effects = state.finish_call(call, end, late, now);
         drop(state);
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -8,7 +8,7 @@
 
 use super::result_memory::{MemoryKey, ResultMemory};
 use crate::cold::{ColdRate, SendWindow};
-use crate::piece::TargetUse;
+use crate::piece::TargetUsage;
 use crate::reported_load::ReportedLoad;
 use crate::target_ask::TargetStanding;
 
@@ -325,7 +325,7 @@
 
     /// Returns this host's usage of the target. Usage reported by other hosts is not included,
     /// since they report it themselves.
-    pub(super) fn own_usage(&self, id: &str, ttl: Duration, now: Instant) -> TargetUse {
+    pub(super) fn own_usage(&self, id: &str, ttl: Duration, now: Instant) -> TargetUsage {
         let (own_bytes, last) = self.results.own_usage();
         let mut until = last.unwrap_or(now).max(now);
         if self.reserved_bytes > 0 {
@@ -336,11 +336,11 @@
         } else {
             Duration::ZERO
         };
-        TargetUse {
+        TargetUsage {
             target: id.to_owned(),
-            bytes: own_bytes + self.reserved_bytes,
-            lasts_ms: until.saturating_duration_since(now).as_millis() as u32,
-            busy_ms: busy.as_millis() as u32,
+            result_bytes: own_bytes + self.reserved_bytes,
+            expires_in_ms: until.saturating_duration_since(now).as_millis() as u32,
+            busy_for_ms: busy.as_millis() as u32,
         }
     }
 
@@ -348,7 +348,7 @@
     pub(super) fn set_peer_usage(
         &mut self,
         peer: &str,
-        reported: Option<&TargetUse>,
+        reported: Option<&TargetUsage>,
         now: Instant,
     ) {
         let key = MemoryKey::Peer(peer.to_owned());
@@ -357,10 +357,10 @@
         let Some(reported) = reported else {
             return;
         };
-        self.peer_busy_until = Some(now + Duration::from_millis(u64::from(reported.busy_ms)));
-        if reported.bytes > 0 {
-            let until = now + Duration::from_millis(u64::from(reported.lasts_ms));
-            self.results.insert(key, reported.bytes, until);
+        self.peer_busy_until = Some(now + Duration::from_millis(u64::from(reported.busy_for_ms)));
+        if reported.result_bytes > 0 {
+            let until = now + Duration::from_millis(u64::from(reported.expires_in_ms));
+            self.results.insert(key, reported.result_bytes, until);
         }
     }
 }
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -15,9 +15,9 @@
 use super::stage_target::{CallVerdict, StageTarget};
 use crate::allowed_halls::AllowedHalls;
 use crate::ask::Rank;
-use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, maker_of};
+use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, target_address_of};
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallEnd, StageRelease};
+use crate::stage_call::{CallOutcome, StageRelease};
 use crate::target_ask::TargetStanding;
 use crate::version_split::VersionSplit;
 
@@ -33,33 +33,35 @@
 pub(crate) struct ExpectationKey(u64);
 
 /// Returns what the end of a call implies for its target, or `None` if it implies nothing.
-fn verdict_of(end: &CallEnd, late: bool) -> Option<CallVerdict> {
+fn verdict_of(end: &CallOutcome, late: bool) -> Option<CallVerdict> {
     match end {
-        CallEnd::Answered(..) if late => Some(CallVerdict::Late),
-        CallEnd::Answered(..) => Some(CallVerdict::InTime),
-        CallEnd::Busy => Some(CallVerdict::Busy),
-        CallEnd::OtherTarget => Some(CallVerdict::OtherTarget),
-        CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::Ended(_) => Some(CallVerdict::Failed),
-        CallEnd::SenderLost => None,
+        CallOutcome::Responded(..) if late => Some(CallVerdict::Late),
+        CallOutcome::Responded(..) => Some(CallVerdict::InTime),
+        CallOutcome::Busy => Some(CallVerdict::Busy),
+        CallOutcome::OtherTarget => Some(CallVerdict::OtherTarget),
+        CallOutcome::Failed(_)
+        | CallOutcome::ConnectionBroken(_)
+        | CallOutcome::TargetCrashed(_) => Some(CallVerdict::Failed),
+        CallOutcome::SenderLost => None,
     }
 }
 
-fn reports_no_room(end: &CallEnd) -> bool {
+fn reports_no_room(end: &CallOutcome) -> bool {
     match end {
-        CallEnd::Answered(outcomes, _) => outcomes.contains(&Err(PieceFault::NoRoom)),
+        CallOutcome::Responded(outcomes, _) => outcomes.contains(&Err(PieceFault::OutOfMemory)),
         _ => false,
     }
 }
 
 /// Returns one outcome for each of the `pieces` pieces of a call.
-fn outcomes_of(end: CallEnd, pieces: usize) -> Vec<PieceOutcome> {
+fn outcomes_of(end: CallOutcome, pieces: usize) -> Vec<PieceOutcome> {
     match end {
-        CallEnd::Answered(outcomes, _) => outcomes,
-        CallEnd::Busy | CallEnd::OtherTarget => vec![Err(PieceFault::NotTaken); pieces],
-        CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::SenderLost => {
+        CallOutcome::Responded(outcomes, _) => outcomes,
+        CallOutcome::Busy | CallOutcome::OtherTarget => vec![Err(PieceFault::CallRejected); pieces],
+        CallOutcome::Failed(_) | CallOutcome::ConnectionBroken(_) | CallOutcome::SenderLost => {
             vec![Err(PieceFault::Failed); pieces]
         }
-        CallEnd::Ended(_) => vec![Err(PieceFault::TargetsEnded); pieces],
+        CallOutcome::TargetCrashed(_) => vec![Err(PieceFault::TargetsCrashed); pieces],
     }
 }
 
@@ -96,9 +98,9 @@
     matches!(
         outcome,
         Err(PieceFault::Failed
-            | PieceFault::NoRoom
-            | PieceFault::NotTaken
-            | PieceFault::TargetsEnded)
+            | PieceFault::OutOfMemory
+            | PieceFault::CallRejected
+            | PieceFault::TargetsCrashed)
     )
 }
 
@@ -107,12 +109,12 @@
 fn record_results(
     target: &mut StageTarget,
     call: &DueCall,
-    end: &CallEnd,
+    end: &CallOutcome,
     lost: MemoryKey,
     until: Instant,
 ) {
     match end {
-        CallEnd::Answered(outcomes, _) => {
+        CallOutcome::Responded(outcomes, _) => {
             for (piece, outcome) in call.pieces.iter().zip(outcomes) {
                 if let Ok(handle) = outcome {
                     let key = MemoryKey::Result(handle.clone());
@@ -120,10 +122,10 @@
                 }
             }
         }
-        CallEnd::Failed(_) | CallEnd::Broke(_) | CallEnd::SenderLost => {
+        CallOutcome::Failed(_) | CallOutcome::ConnectionBroken(_) | CallOutcome::SenderLost => {
             target.results.insert(lost, call.reserved_bytes, until);
         }
-        CallEnd::Busy | CallEnd::OtherTarget | CallEnd::Ended(_) => {}
+        CallOutcome::Busy | CallOutcome::OtherTarget | CallOutcome::TargetCrashed(_) => {}
     }
 }
 
@@ -182,9 +184,9 @@
             self.records.insert(record.id.clone(), record.clone());
         }
         for (key, pool) in &mut self.pools {
-            let belongs = |record: &&TargetRecord| key.holds(record);
+            let belongs = |record: &&TargetRecord| key.contains(record);
             let mut changed = listed.iter().chain(unlisted);
-            if changed.any(|record| key.holds(record)) {
+            if changed.any(|record| key.contains(record)) {
                 let removed = unlisted.iter().filter(belongs);
                 pool.update_targets(listed.iter().filter(belongs), removed);
             }
@@ -209,27 +211,27 @@
         reply: BatchReply,
         now: Instant,
     ) -> BatchKey {
-        let key = self.batches.add(batch.count as usize, reply);
+        let key = self.batches.add(batch.piece_count as usize, reply);
         let deadline = now + Duration::from_millis(batch.remaining_ms);
-        let objective_at = now + Duration::from_millis(batch.wanted_ms);
+        let objective_at = now + Duration::from_millis(batch.objective_ms);
         let Some(pool) = self.pools.get_mut(&batch.pool) else {
             return key;
         };
         let work = Rc::new(batch.work);
-        let allowed_halls = AllowedHalls::from_names(batch.homes);
-        let pieces = (0..batch.count as usize).map(|index| QueuedPiece {
+        let allowed_halls = AllowedHalls::from_names(batch.allowed_halls);
+        let pieces = (0..batch.piece_count as usize).map(|index| QueuedPiece {
             key: PieceKey { batch: key, index },
             rank: batch.rank,
             deadline,
             objective_at,
-            hall: batch.hall.clone(),
+            hall: batch.preferred_hall.clone(),
             allowed_halls: allowed_halls.clone(),
             result_bytes: batch.result_bytes,
             work: work.clone(),
             failures: 0,
-            request_key: batch.key,
+            request_key: batch.request_key,
             target_crashes: 0,
-            isolated: batch.apart,
+            isolated: batch.isolated,
         });
         pool.enqueue(pieces.collect());
         key
@@ -271,7 +273,7 @@
             .flat_map(|(_, pool)| pool.targets.iter_mut())
             .collect();
         for handle in handles {
-            let owner: Option<SocketAddr> = maker_of(&handle).parse().ok();
+            let owner: Option<SocketAddr> = target_address_of(&handle).parse().ok();
             let owner = targets
                 .iter_mut()
                 .find(|(_, one)| Some(one.address) == owner);
@@ -340,7 +342,7 @@
     pub(super) fn finish_call(
         &mut self,
         call: DueCall,
-        end: CallEnd,
+        end: CallOutcome,
         late: bool,
         now: Instant,
     ) -> CallEffects {
@@ -355,7 +357,7 @@
             effects.cooldown = effects.cooldown.max((!left.is_zero()).then_some(left));
             let until = now + Duration::from_millis(pool.spec.result_ttl_ms);
             self.last_lost += 1;
-            if let CallEnd::Answered(_, load) = &end {
+            if let CallOutcome::Responded(_, load) = &end {
                 // An overlapping call waited at its target, so its duration does not show the
                 // target's speed.
                 if !call.overlapping {
@@ -376,7 +378,7 @@
         let outcomes = outcomes_of(end, call.pieces.len());
         let mut retries = Vec::new();
         for (mut piece, outcome) in call.pieces.into_iter().zip(outcomes) {
-            if outcome == Err(PieceFault::TargetsEnded) {
+            if outcome == Err(PieceFault::TargetsCrashed) {
                 piece.target_crashes += 1;
                 piece.isolated = true;
             }
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -61,20 +61,20 @@
             first: 0,
             second: 0,
         },
-        first: true,
-        wanted_ms: 1_000,
+        first_stage: true,
+        objective_ms: 1_000,
         remaining_ms: 8_000,
-        hall: None,
-        homes: None,
+        preferred_hall: None,
+        allowed_halls: None,
         result_bytes: 1_000,
-        key: RequestKey::default(),
-        apart: false,
+        request_key: RequestKey::default(),
+        isolated: false,
         work: StageWork {
             request: "request".to_owned(),
             stage: 0,
             input: PieceInput::Key("key".to_owned()),
         },
-        count: pieces,
+        piece_count: pieces,
     }
 }
 
@@ -95,11 +95,11 @@
         let trial = if call.trial { "trial-" } else { "" };
         Ok(format!("{}/{trial}{piece}", call.address))
     });
-    let made = CallEnd::Answered(made.collect(), None);
+    let made = CallOutcome::Responded(made.collect(), None);
     finish(state, call, made, late)
 }
 
-fn finish(state: &mut QueueState, call: DueCall, end: CallEnd, late: bool) -> Vec<String> {
+fn finish(state: &mut QueueState, call: DueCall, end: CallOutcome, late: bool) -> Vec<String> {
     let effects = state.finish_call(call, end, late, Instant::now());
     for (reply, outcomes) in effects.replies {
         reply(outcomes);
@@ -212,7 +212,12 @@
     for _ in 0..MAX_FAILURES {
         assert!(replies.borrow().is_empty());
         let call = only_call(&mut state, now);
-        finish(&mut state, call, CallEnd::Failed("reset".to_owned()), false);
+        finish(
+            &mut state,
+            call,
+            CallOutcome::Failed("reset".to_owned()),
+            false,
+        );
         now += Duration::from_secs(1);
     }
     assert_eq!(*replies.borrow(), [Err(PieceFault::Failed)]);
@@ -227,7 +232,7 @@
         only_call(&mut state, now)
     };
     let late_after = first.late_after;
-    state.finish_call(first, CallEnd::Busy, false, Instant::now());
+    state.finish_call(first, CallOutcome::Busy, false, Instant::now());
     let pool = state.pools.get_mut(&key()).unwrap();
     let target = pool.targets.get_mut("t-0").unwrap();
     let usual = Duration::from_millis(166);
@@ -257,13 +262,13 @@
         running: 1,
         waiting: 0,
     });
-    finish(&mut state, first, CallEnd::Answered(made, load), false);
+    finish(&mut state, first, CallOutcome::Responded(made, load), false);
     submit(&mut state, 1, now);
     let shared = only_call(&mut state, now);
     let full_call = Duration::from_millis(150 + 8 * 16);
     assert!(shared.late_after > alone + full_call.mul_f64(0.9));
     let later = now + Duration::from_secs(5);
-    state.finish_call(shared, CallEnd::Busy, false, Instant::now());
+    state.finish_call(shared, CallOutcome::Busy, false, Instant::now());
     let pool = &state.pools[&key()];
     let usual = Duration::from_millis(166);
     let late_after = pool.targets["t-0"].late_after(usual, full_call, later);
@@ -279,7 +284,7 @@
     let replies = submit(&mut state, 2, now);
     let call = only_call(&mut state, now);
     let reserved_bytes = call.reserved_bytes;
-    finish(&mut state, call, CallEnd::SenderLost, false);
+    finish(&mut state, call, CallOutcome::SenderLost, false);
     let target = &state.pools[&key()].targets["t-0"];
     // The target may have produced the results nevertheless, and their handles are unknown.
     assert_eq!(target.used_bytes(), reserved_bytes);
--- a/crates/gateway/src/coordinator/state/tests/target_crash.rs
+++ b/crates/gateway/src/coordinator/state/tests/target_crash.rs
@@ -18,8 +18,8 @@
     RequestKey::new("account", "POST", ["host", path], b"")
 }
 
-fn crashed() -> CallEnd {
-    CallEnd::Ended("connection reset".to_owned())
+fn crashed() -> CallOutcome {
+    CallOutcome::TargetCrashed("connection reset".to_owned())
 }
 
 /// All requests with pieces in a call are suspects when its target crashes, though most of them are
@@ -49,7 +49,10 @@
     }
     assert_eq!(
         *guilty.borrow(),
-        [Err(PieceFault::TargetsEnded), Err(PieceFault::TargetsEnded)]
+        [
+            Err(PieceFault::TargetsCrashed),
+            Err(PieceFault::TargetsCrashed)
+        ]
     );
     assert!(state.due_calls(&key(), now).is_empty());
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -12,7 +12,7 @@
 
 use crate::ask::PromptPart;
 use crate::cold::{ColdRate, SendWindow};
-use crate::pool_key::place_key;
+use crate::pool_key::placement_pool_key;
 use crate::rendezvous::ScoreKey;
 use crate::target::{Chosen, Target, TargetBook};
 
@@ -252,7 +252,7 @@
         request: &PlacementRequest,
         usable: Vec<&'a Target>,
     ) -> Vec<&'a Target> {
-        let partition = place_key(
+        let partition = placement_pool_key(
             &request.service,
             book.hall_counts(&request.service),
             &request.prompt,
@@ -260,7 +260,7 @@
         let is_fresh = |one: &&Target| !request.tried.contains(&one.id);
         let all = usable.iter().copied();
         let in_partition: Vec<&Target> = all
-            .filter(|one| partition.holds_target(&one.hall, &one.id))
+            .filter(|one| partition.contains_target(&one.hall, &one.id))
             .collect();
         match in_partition.iter().any(is_fresh) {
             true => in_partition,
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -12,7 +12,7 @@
 use crate::answer::{answer_of, refusal_answer};
 use crate::ask::Ask;
 use crate::attempt::{Attempt, AttemptEnd, send_attempt};
-use crate::caller_watch::CallerWatch;
+use crate::caller_disconnect::CallerDisconnectGuard;
 use crate::choose::{PassedTargets, next_target, no_target, pick_service};
 use crate::engine::PlacementFacts;
 use crate::graph::RequestResults;
@@ -56,7 +56,7 @@
 /// Serves a request; the answer is final.
 pub(crate) async fn forward(gateway: Rc<Gateway>, ask: Ask) -> Response<AnswerBody> {
     let ask = Rc::new(ask);
-    let watch = CallerWatch::new(&gateway, &ask);
+    let watch = CallerDisconnectGuard::new(&gateway, &ask);
     let mut log = RunLog::default();
     let work = timeout(ask.time_left(), run(&gateway, &ask, &mut log));
     let outcome = tokio::select! {
@@ -64,7 +64,7 @@
         () = gateway.stop_reached() => None,
     };
     let outcome = outcome.unwrap_or_else(|| Err(out_of_time(&log)));
-    watch.answered();
+    watch.mark_answered();
     note_outcome(&gateway, &ask, &log, &outcome);
     match outcome {
         Ok(answer) => answer,
@@ -189,7 +189,7 @@
         let next = next_target(gateway, &service, ask, passed, results.as_ref()).await;
         let (chosen, placement) = next.map_err(|refusal| after_attempts(log, refusal))?;
         log.target.clone_from(&chosen.id);
-        log.engine = placement.as_ref().and_then(Placement::facts);
+        log.engine = placement.as_ref().and_then(Placement::estimate);
         log.attempts += 1;
         let may_have_run = std::mem::replace(&mut log.may_have_run, true);
         let attempt = Attempt {
--- a/crates/gateway/src/forward/stages.rs
+++ b/crates/gateway/src/forward/stages.rs
@@ -11,7 +11,7 @@
 use crate::choose::{PassedTargets, no_target, place_ask};
 use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::graph::{RequestResults, run_stages};
-use crate::path_time::last_stages;
+use crate::path_time::final_stages;
 use crate::service_availability::{check_availability, check_rate_limits};
 use crate::{Gateway, Refusal};
 
@@ -70,13 +70,13 @@
     let Some(place) = place_ask(gateway, service, ask, PassedTargets::default(), None) else {
         return Ok(gateway.config.hall.clone());
     };
-    let planned = gateway.stages.plan(&gateway.targets, place).await;
+    let planned = gateway.stages.plan_placement(&gateway.targets, place).await;
     Ok(planned.ok_or_else(no_target)?.hall)
 }
 
 /// Says whether the target of a request fetches results that should not cross halls.
 fn takes_large_results(ask: &Ask) -> bool {
-    let taken = last_stages(ask).into_iter();
+    let taken = final_stages(ask).into_iter();
     let mut sizes = taken.map(|stage| ask.route.stages[stage].result_bytes);
     sizes.any(|bytes| bytes >= LARGE_RESULT_BYTES)
 }
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -10,7 +10,7 @@
 use crate::Gateway;
 use crate::ask::Ask;
 use crate::coordinator::LARGE_RESULT_BYTES;
-use crate::path_time::{last_stages, path_time};
+use crate::path_time::{estimate_path_time, final_stages};
 
 /// How much earlier than planned a delayed stage starts, since calls to its targets do not begin at
 /// once: a factor of its own duration plus a fixed lead.
@@ -38,8 +38,8 @@
 impl StageSchedule {
     /// Plans the stages of a request that starts now.
     pub(crate) fn new(gateway: &Gateway, request: &Ask) -> Self {
-        let path = path_time(gateway, request);
-        let last = last_stages(request);
+        let path = estimate_path_time(gateway, request);
+        let last = final_stages(request);
         let stages = request.route.stages.iter().enumerate();
         let delayable: Vec<usize> = stages
             .filter(|(number, stage)| {
@@ -49,7 +49,12 @@
             })
             .map(|(number, _)| number)
             .collect();
-        Self::plan(&delayable, path.ends, &path.spans, Instant::now())
+        Self::plan(
+            &delayable,
+            path.stage_ends_ms,
+            &path.stage_times_ms,
+            Instant::now(),
+        )
     }
 
     /// Plans stages that end after `ends` and take `spans`, both in milliseconds. The stages in
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -8,7 +8,7 @@
 
 use crate::Gateway;
 use crate::ask::Ask;
-use crate::open_request::OpenRequest;
+use crate::open_request::OpenRequestGuard;
 use crate::target::Target;
 use crate::target_ask::TargetStanding;
 use crate::{Refusal, RefusalReason};
@@ -183,7 +183,7 @@
     if availability.rate_limited || !in_time || gateway.waiting.get() >= MAX_WAITING_REQUESTS {
         return Err(refusal_until(gateway, service, request, availability));
     }
-    let _waits = OpenRequest::new(&gateway.waiting);
+    let _waits = OpenRequestGuard::new(&gateway.waiting);
     sleep(with_jitter(availability.wait)).await;
     Ok(())
 }
