--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::LEAST_REFUSED_WAIT_MS;
 use crate::path_time::path_time;
 use crate::wait_model::PathPlan;
@@ -10,15 +10,15 @@
 
 /// When a caller should come back after queues were too long: spread, so that those who were refused
 /// together do not come back together.
-pub(crate) const RETRY_LEAST: Duration = Duration::from_millis(900);
-const RETRY_MOST: Duration = Duration::from_millis(2_200);
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(900);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_200);
 
 /// Refuses a request before its first stage where the queues on its way leave it no chance to meet
 /// its objective. Work for what comes too late would be missing elsewhere.
-pub(crate) fn admit(gateway: &Gateway, ask: &Ask) -> Result<PathPlan, Refusal> {
-    let plan = path_time(gateway, ask).plan;
-    let left_ms = ask.objective_left().as_secs_f64() * 1_000.0;
-    let expected_ms = gateway.waits.borrow().expected_ms(ask.rank, &plan);
+pub(crate) fn admit(gateway: &Gateway, request: &CallerRequest) -> Result<PathPlan, Refusal> {
+    let plan = path_time(gateway, request).plan;
+    let left_ms = request.objective_left().as_secs_f64() * 1_000.0;
+    let expected_ms = gateway.wait_model.borrow().expected_ms(request.rank, &plan);
     if plan.waits_ms < LEAST_REFUSED_WAIT_MS || expected_ms <= left_ms {
         return Ok(plan);
     }
@@ -26,7 +26,7 @@
         "queues too long: waits_ms={:.0} expected_ms={expected_ms:.0} objective_left_ms={left_ms:.0}",
         plan.waits_ms
     );
-    let spread = fastrand::f64();
-    let back = RETRY_LEAST + (RETRY_MOST - RETRY_LEAST).mul_f64(spread);
-    Err(Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(back))
+    let fraction = fastrand::f64();
+    let retry_after = MIN_RETRY_AFTER + (MAX_RETRY_AFTER - MIN_RETRY_AFTER).mul_f64(fraction);
+    Err(Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(retry_after))
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -13,40 +13,40 @@
 use tokio::time::timeout;
 
 use crate::Gateway;
-use crate::answer::{Addition, belongs_to, request_for};
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::closed_service::rate_patience;
 use crate::events::EventSplitter;
 use crate::graph::RequestResults;
 use crate::in_flight::InFlight;
+use crate::message_heads::{TargetHeaders, build_target_request, echoes_request_id};
 use crate::notice::read_notice;
 use crate::rate_permit::SendPermit;
 use crate::send_gate::SendKind;
 use crate::stage_client::Placement;
 use crate::target::Chosen;
-use crate::upstream::{Lease, SendError, is_break};
+use crate::upstream::{ConnectionLease, SendError, is_peer_disconnect};
 
 /// The least time that an attempt gets before a repeatable request goes to another target.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(250);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Part of the time that is left after which a stream that may be resumed goes to another engine when
 /// no event has come. Engines that hang held such requests until their deadline, also where another
 /// one was free. An engine that is only late is worth waiting for longer than its prompt was
 /// expected to take, since another one would read the prompt anew.
-const SILENT_STREAM_PART: u32 = 2;
-const LATE_STREAM_STRETCH: u32 = 3;
+const SILENT_STREAM_TIME_DIVISOR: u32 = 2;
+const SLOW_STREAM_TIMEOUT_FACTOR: u32 = 3;
 
 /// How one sending to a target ended.
-pub(crate) enum AttemptEnd {
+pub(crate) enum AttemptOutcome {
     /// A whole answer, whatever its status.
-    Whole(StatusCode, HeaderMap, Bytes),
+    Complete(StatusCode, HeaderMap, Bytes),
     /// An answer that comes in events; the first ones are whole.
-    Events(Box<EventStream>),
+    Streaming(Box<EventStream>),
     /// The target did not run it.
     NotRun {
         cause: String,
         /// Whether the request reached the target.
-        arrived: bool,
+        reached_target: bool,
         /// Whether results that it takes are gone, so that no target can run it.
         inputs_gone: bool,
     },
@@ -56,22 +56,22 @@
     MayHaveRun {
         cause: String,
         /// Whether the target ended the connection.
-        broke: bool,
+        disconnected: bool,
     },
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     fn unusable(cause: impl Into<String>) -> Self {
         Self::MayHaveRun {
             cause: cause.into(),
-            broke: false,
+            disconnected: false,
         }
     }
 
-    fn cut(what: &str, error: &hyper::Error) -> Self {
+    fn cut_short(what: &str, error: &hyper::Error) -> Self {
         Self::MayHaveRun {
             cause: format!("{what} cut short: {error}"),
-            broke: is_break(error),
+            disconnected: is_peer_disconnect(error),
         }
     }
 }
@@ -83,7 +83,7 @@
     pub(crate) first: Bytes,
     pub(crate) rest: Incoming,
     pub(crate) splitter: EventSplitter,
-    pub(crate) lease: Lease,
+    pub(crate) lease: ConnectionLease,
     /// Counts the request at its target while the stream lasts.
     pub(crate) _in_flight: InFlight,
     /// Counts the prompt at the host that placed it.
@@ -104,41 +104,48 @@
 /// whether another target may be tried after this one, so that a silent one is left in time.
 pub(crate) async fn send_attempt(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     attempt: Attempt<'_>,
-    more: bool,
-) -> AttemptEnd {
-    let mut in_flight = InFlight::new(gateway, attempt.service, &attempt.chosen.id, ask);
-    let Some(permit) = take_leave(gateway, ask, &attempt).await else {
+    may_retry: bool,
+) -> AttemptOutcome {
+    let mut in_flight = InFlight::new(gateway, attempt.service, &attempt.chosen.id, request);
+    let Some(permit) = acquire_permit(gateway, request, &attempt).await else {
         in_flight.forget();
-        return AttemptEnd::Withheld;
+        return AttemptOutcome::Withheld;
     };
     in_flight.note_sending();
-    let left = ask.time_left();
-    let bound = if more {
-        patience(ask, &attempt, left)
+    let time_left = request.time_left();
+    let time_limit = if may_retry {
+        attempt_timeout(request, &attempt, time_left)
     } else {
-        left
+        time_left
     };
     let (service, chosen, sent) = (attempt.service, attempt.chosen, Instant::now());
     let facts = attempt.placement.as_ref().and_then(Placement::facts);
-    let exchanged = exchange(gateway, ask, attempt, left, (in_flight, permit));
-    let end = timeout(bound, exchanged).await;
-    let end = end.unwrap_or_else(|_| {
-        AttemptEnd::unusable(format!("no answer within {} ms", bound.as_millis()))
+    let exchange = send_and_receive(gateway, request, attempt, time_left, (in_flight, permit));
+    let outcome = timeout(time_limit, exchange).await;
+    let outcome = outcome.unwrap_or_else(|_| {
+        AttemptOutcome::unusable(format!("no answer within {} ms", time_limit.as_millis()))
     });
-    gateway.count_attempt(ask, (service, chosen), &end, sent.elapsed(), facts);
-    if let AttemptEnd::MayHaveRun { broke: true, .. } = end {
-        gateway.note_break(service, chosen, ask, sent).await;
+    gateway.count_attempt(request, (service, chosen), &outcome, sent.elapsed(), facts);
+    if let AttemptOutcome::MayHaveRun {
+        disconnected: true, ..
+    } = outcome
+    {
+        gateway.note_break(service, chosen, request, sent).await;
     }
-    end
+    outcome
 }
 
 /// Takes leave for a sending by the rate of its target; nothing where there is none soon enough.
-async fn take_leave(gateway: &Gateway, ask: &Ask, attempt: &Attempt<'_>) -> Option<SendPermit> {
+async fn acquire_permit(
+    gateway: &Gateway,
+    request: &CallerRequest,
+    attempt: &Attempt<'_>,
+) -> Option<SendPermit> {
     let target = &attempt.chosen.id;
-    let within = rate_patience(gateway, attempt.service, ask, target);
-    let permit = gateway.notices.rates.take_permit(target, within).await;
+    let max_wait = rate_patience(gateway, attempt.service, request, target);
+    let permit = gateway.notices.rates.take_permit(target, max_wait).await;
     if permit.is_none() {
         gateway.notices.count_withheld(target);
     }
@@ -147,98 +154,118 @@
 
 /// How long an answer, or the first event of a stream, is waited for where another target may be
 /// tried.
-fn patience(ask: &Ask, attempt: &Attempt<'_>, left: Duration) -> Duration {
-    if ask.route.kind != RouteKind::Streaming {
-        let usual = Duration::from_millis(ask.route.objective_ms * 2);
-        return usual.clamp(LEAST_ATTEMPT, (left / 2).max(LEAST_ATTEMPT));
+fn attempt_timeout(
+    request: &CallerRequest,
+    attempt: &Attempt<'_>,
+    time_left: Duration,
+) -> Duration {
+    if request.route.kind != RouteKind::Streaming {
+        let twice_objective = Duration::from_millis(request.route.objective_ms * 2);
+        return twice_objective.clamp(
+            MIN_ATTEMPT_TIMEOUT,
+            (time_left / 2).max(MIN_ATTEMPT_TIMEOUT),
+        );
     }
     let facts = attempt.placement.as_ref().and_then(Placement::facts);
     let expected_ms = facts.map_or(0, |facts| u64::from(facts.expected_ms));
-    let late = Duration::from_millis(expected_ms) * LATE_STREAM_STRETCH;
-    late.max(left / SILENT_STREAM_PART).min(left)
+    let slow_timeout = Duration::from_millis(expected_ms) * SLOW_STREAM_TIMEOUT_FACTOR;
+    slow_timeout
+        .max(time_left / SILENT_STREAM_TIME_DIVISOR)
+        .min(time_left)
 }
 
-async fn exchange(
+async fn send_and_receive(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     mut attempt: Attempt<'_>,
-    left: Duration,
+    time_left: Duration,
     (mut in_flight, permit): (InFlight, SendPermit),
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let chosen = attempt.chosen;
-    let addition = Addition {
-        target: &chosen.id,
+    let additions = TargetHeaders {
+        expected_target: &chosen.id,
         results: attempt.results.map(|results| results.handles().join(",")),
         last_event: attempt.last_event,
-        ranked: ask.prompt.is_some(),
-    };
-    let request = match request_for(&gateway.config.dialect, ask, &addition, left) {
-        Ok(request) => request,
-        Err(error) => {
-            let cause = format!("request: {error}");
-            return AttemptEnd::NotRun {
-                cause,
-                arrived: false,
-                inputs_gone: false,
-            };
-        }
+        with_priority: request.prompt.is_some(),
     };
+    let outgoing =
+        match build_target_request(&gateway.config.protocol, request, &additions, time_left) {
+            Ok(outgoing) => outgoing,
+            Err(error) => {
+                let cause = format!("request: {error}");
+                return AttemptOutcome::NotRun {
+                    cause,
+                    reached_target: false,
+                    inputs_gone: false,
+                };
+            }
+        };
     let sent = Instant::now();
-    let asked = BootInstant::now();
+    let sent_at = BootInstant::now();
     let gate = gateway.notices.gate(&chosen.id, SendKind::Work);
     let gate = gate.with_permit(permit);
-    let (answer, lease) = match gateway.pool.send(chosen.address, request, gate).await {
-        Ok(answered) => answered,
+    let (response, lease) = match gateway
+        .connections
+        .send(chosen.address, outgoing, gate)
+        .await
+    {
+        Ok(received) => received,
         Err(SendError::Withheld) => {
             in_flight.forget();
-            return AttemptEnd::Withheld;
+            return AttemptOutcome::Withheld;
         }
         Err(SendError::NotSent(cause)) => {
-            gateway.note_unreachable(attempt.service, &chosen.id, &cause);
+            gateway.record_unreachable(attempt.service, &chosen.id, &cause);
             if let Some(placement) = &attempt.placement {
                 placement.note_unreachable(attempt.service, &chosen.id);
             }
-            return AttemptEnd::NotRun {
+            return AttemptOutcome::NotRun {
                 cause,
-                arrived: false,
+                reached_target: false,
                 inputs_gone: false,
             };
         }
-        Err(SendError::MayHaveRun { cause, broke }) => {
-            return AttemptEnd::MayHaveRun { cause, broke };
+        Err(SendError::MayHaveRun {
+            cause,
+            disconnected,
+        }) => {
+            return AttemptOutcome::MayHaveRun {
+                cause,
+                disconnected,
+            };
         }
     };
-    let (head, body) = answer.into_parts();
-    let notice = read_notice(&gateway.config.dialect, &head, Some(&ask.id));
-    gateway.notices.note(&chosen.id, notice, asked);
+    let (head, body) = response.into_parts();
+    let notice = read_notice(&gateway.config.protocol, &head, Some(&request.id));
+    gateway.notices.note(&chosen.id, notice, sent_at);
     if notice.closes() {
         hint_placer(gateway, &attempt);
     }
-    if let Some(refused) = read_refusal(gateway, &attempt, &head) {
+    if let Some(not_run) = parse_not_run(gateway, &attempt, &head) {
         if body.collect().await.is_ok() {
-            lease.finish(&head.headers);
+            lease.release(&head.headers);
         }
-        return refused;
+        return not_run;
     }
-    if !belongs_to(&gateway.config.dialect.headers, &head.headers, &ask.id) {
-        gateway.note_request(
+    if !echoes_request_id(&gateway.config.protocol.headers, &head.headers, &request.id) {
+        gateway.record_request_event(
             EventCode::AnswerDropped,
-            &ask.id,
+            &request.id,
             &chosen.id,
             "another id".to_owned(),
         );
-        return AttemptEnd::unusable("an answer of another request");
+        return AttemptOutcome::unusable("an answer of another request");
     }
     let sealed = head
         .headers
-        .contains_key(&gateway.config.dialect.headers.seal);
+        .contains_key(&gateway.config.protocol.headers.seal);
     if head.status.is_success() && !sealed {
-        return AttemptEnd::unusable("an answer without the target's seal");
+        return AttemptOutcome::unusable("an answer without the target's seal");
     }
-    if ask.route.kind == RouteKind::Streaming && head.status.is_success() {
-        let end = first_events(
+    if request.route.kind == RouteKind::Streaming && head.status.is_success() {
+        let outcome = await_first_event(
             gateway,
-            ask,
+            request,
             head,
             body,
             lease,
@@ -246,13 +273,13 @@
             sent,
         )
         .await;
-        return match end {
+        return match outcome {
             Ok((status, headers, first, rest, splitter, lease)) => {
                 gateway
                     .targets
                     .borrow_mut()
                     .note_success(attempt.service, &chosen.id);
-                AttemptEnd::Events(Box::new(EventStream {
+                AttemptOutcome::Streaming(Box::new(EventStream {
                     status,
                     headers,
                     first,
@@ -263,24 +290,24 @@
                     _placement: attempt.placement.take(),
                 }))
             }
-            Err(end) => end,
+            Err(outcome) => outcome,
         };
     }
     match body.collect().await {
         Ok(body) => {
-            lease.finish(&head.headers);
+            lease.release(&head.headers);
             if head.status.is_server_error() {
                 let cause = format!("status {}", head.status.as_u16());
-                gateway.note_target_failure(attempt.service, &chosen.id, &cause);
+                gateway.record_target_failure(attempt.service, &chosen.id, &cause);
             } else {
                 gateway
                     .targets
                     .borrow_mut()
                     .note_success(attempt.service, &chosen.id);
             }
-            AttemptEnd::Whole(head.status, head.headers, body.to_bytes())
+            AttemptOutcome::Complete(head.status, head.headers, body.to_bytes())
         }
-        Err(error) => AttemptEnd::cut("answer", &error),
+        Err(error) => AttemptOutcome::cut_short("answer", &error),
     }
 }
 
@@ -298,53 +325,63 @@
     targets.take_unreachable(service, engine, Instant::now());
 }
 
-fn read_refusal(
+fn parse_not_run(
     gateway: &Gateway,
     attempt: &Attempt<'_>,
     head: &http::response::Parts,
-) -> Option<AttemptEnd> {
-    let dialect = &gateway.config.dialect;
-    if head.status == dialect.targets.other_target {
+) -> Option<AttemptOutcome> {
+    let protocol = &gateway.config.protocol;
+    if head.status == protocol.targets.other_target {
         gateway
             .targets
             .borrow_mut()
             .remove(attempt.service, &attempt.chosen.id);
-        gateway.view.borrow_mut().list_again(&attempt.chosen.id);
+        gateway
+            .directory
+            .borrow_mut()
+            .list_again(&attempt.chosen.id);
         let cause = "another target has the address".to_owned();
-        return Some(AttemptEnd::NotRun {
+        return Some(AttemptOutcome::NotRun {
             cause,
-            arrived: true,
+            reached_target: true,
             inputs_gone: false,
         });
     }
-    if head.headers.contains_key(&dialect.headers.not_run) {
+    if head.headers.contains_key(&protocol.headers.not_run) {
         let cause = format!("refused with status {}", head.status.as_u16());
-        let inputs_gone = head.status == dialect.targets.inputs_gone;
+        let inputs_gone = head.status == protocol.targets.inputs_gone;
         if !inputs_gone {
             let mut targets = gateway.targets.borrow_mut();
             targets.note_refused(attempt.service, &attempt.chosen.id, Instant::now());
         }
-        return Some(AttemptEnd::NotRun {
+        return Some(AttemptOutcome::NotRun {
             cause,
-            arrived: true,
+            reached_target: true,
             inputs_gone,
         });
     }
     None
 }
 
-type FirstEvents = (StatusCode, HeaderMap, Bytes, Incoming, EventSplitter, Lease);
+type FirstEvent = (
+    StatusCode,
+    HeaderMap,
+    Bytes,
+    Incoming,
+    EventSplitter,
+    ConnectionLease,
+);
 
 /// Waits for the first whole event. An answer that ends before it is passed on as it is.
-async fn first_events(
+async fn await_first_event(
     gateway: &Gateway,
-    ask: &Ask,
+    request: &CallerRequest,
     head: http::response::Parts,
     mut body: Incoming,
-    lease: Lease,
+    lease: ConnectionLease,
     placement: Option<&Placement>,
     sent: Instant,
-) -> Result<FirstEvents, AttemptEnd> {
+) -> Result<FirstEvent, AttemptOutcome> {
     let mut splitter = EventSplitter::default();
     loop {
         match body.frame().await {
@@ -355,18 +392,21 @@
                 if let Some(placement) = placement {
                     placement.note_read();
                 }
-                if let Some(prompt) = &ask.prompt {
-                    let unshared = prompt.own_tokens();
-                    gateway.engines.borrow_mut().learn(unshared, sent.elapsed());
+                if let Some(prompt) = &request.prompt {
+                    let unshared_tokens = prompt.unshared_tokens();
+                    gateway
+                        .engine_placer
+                        .borrow_mut()
+                        .learn(unshared_tokens, sent.elapsed());
                 }
                 return Ok((head.status, head.headers, first, body, splitter, lease));
             }
             Some(Err(error)) => {
-                return Err(AttemptEnd::cut("stream", &error));
+                return Err(AttemptOutcome::cut_short("stream", &error));
             }
             None => {
-                lease.finish(&head.headers);
-                return Err(AttemptEnd::Whole(
+                lease.release(&head.headers);
+                return Err(AttemptOutcome::Complete(
                     head.status,
                     head.headers,
                     splitter.rest(),
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -12,17 +12,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::dialect::HeaderNames;
 use crate::home_halls::HomeHalls;
 use crate::open_request::OpenRequest;
+use crate::protocol::HeaderNames;
 use crate::rendezvous::ScoreKey;
 use crate::{Refusal, RefusalReason};
 
 /// The most pieces that a request may ask of one stage.
-const MAX_PIECES: u32 = 4_096;
+const MAX_PIECES_PER_STAGE: u32 = 4_096;
 
 /// A request that passed its checks.
-pub(crate) struct Ask {
+pub(crate) struct CallerRequest {
     pub(crate) id: String,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -31,39 +31,39 @@
     pub(crate) route: Route,
     pub(crate) account: Option<String>,
     /// The halls in which it may run.
-    pub(crate) homes: HomeHalls,
+    pub(crate) allowed_halls: HomeHalls,
     pub(crate) rank: Rank,
     pub(crate) config_version: u64,
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// When the caller or the route gives it up.
     pub(crate) deadline: Instant,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) piece_counts: Vec<u32>,
     pub(crate) piece_key: String,
     /// Counts the request as in flight until its answer has ended.
-    pub(crate) open: Option<OpenRequest>,
+    pub(crate) in_flight_guard: Option<OpenRequest>,
     /// By what it is known when it comes again; worked out when that is first asked.
-    pub(crate) known_by: OnceCell<RequestSubject>,
+    pub(crate) subject: OnceCell<RequestSubject>,
     /// Whether it may end its target, and so goes where the fewest others run.
-    pub(crate) apart: Cell<bool>,
+    pub(crate) isolated: Cell<bool>,
 }
 
 /// How urgent a request is: its account counts before its route, the lower the more urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rank {
     /// The priority of the account, or of the route where the account has none.
-    pub first: u8,
+    pub account_priority: u8,
     /// The priority of the route.
-    pub second: u8,
+    pub route_priority: u8,
 }
 
 impl Rank {
     /// Returns the rank as one of the levels that engines know, 0 to 9.
-    pub(crate) fn engine_level(self) -> u8 {
+    pub(crate) fn engine_priority(self) -> u8 {
         let level = self
-            .first
+            .account_priority
             .saturating_mul(3)
-            .saturating_add(self.second.min(2));
+            .saturating_add(self.route_priority.min(2));
         level.min(9)
     }
 }
@@ -71,10 +71,10 @@
 /// A prompt by its cached parts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Prompt {
-    pub(crate) tokens_in: u64,
-    pub(crate) tokens_out: u64,
+    pub(crate) input_tokens: u64,
+    pub(crate) max_output_tokens: u64,
     /// The parts that other requests share, in their order.
-    pub(crate) shared: Vec<PromptPart>,
+    pub(crate) shared_parts: Vec<PromptPart>,
 }
 
 /// A part of a prompt that engines keep for later prompts.
@@ -89,33 +89,33 @@
 impl Prompt {
     /// Returns the key by which a prompt comes to the same engines as others with its shared parts. One without any is
     /// spread by its size.
-    pub(crate) fn place_score(&self) -> ScoreKey {
-        match self.last_shared() {
-            "" => ScoreKey::new(&self.tokens_in.to_string()),
-            shared => ScoreKey::new(shared),
+    pub(crate) fn affinity_key(&self) -> ScoreKey {
+        match self.last_shared_id() {
+            "" => ScoreKey::new(&self.input_tokens.to_string()),
+            shared_parts => ScoreKey::new(shared_parts),
         }
     }
 
     /// Returns the last part that other requests share; empty where there is none.
-    pub(crate) fn last_shared(&self) -> &str {
-        self.shared.last().map_or("", |part| &part.id)
+    pub(crate) fn last_shared_id(&self) -> &str {
+        self.shared_parts.last().map_or("", |part| &part.id)
     }
 
     /// Returns the tokens of all shared parts.
     pub(crate) fn shared_tokens(&self) -> u64 {
-        self.shared.iter().map(|part| part.tokens).sum()
+        self.shared_parts.iter().map(|part| part.tokens).sum()
     }
 
     /// Returns the tokens that no other request shares.
-    pub(crate) fn own_tokens(&self) -> u64 {
-        self.tokens_in.saturating_sub(self.shared_tokens())
+    pub(crate) fn unshared_tokens(&self) -> u64 {
+        self.input_tokens.saturating_sub(self.shared_tokens())
     }
 }
 
-impl Ask {
+impl CallerRequest {
     /// Returns by what the request is known when it comes again, here or at another host.
     pub(crate) fn subject(&self) -> &RequestSubject {
-        self.known_by.get_or_init(|| {
+        self.subject.get_or_init(|| {
             let host = self.headers.get(header::HOST);
             let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
             let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -132,18 +132,18 @@
     /// Returns the time until the objective is missed.
     pub(crate) fn objective_left(&self) -> Duration {
         let objective = Duration::from_millis(self.route.objective_ms);
-        objective.saturating_sub(self.arrived.elapsed())
+        objective.saturating_sub(self.arrived_at.elapsed())
     }
 }
 
 /// Reads the head of a request against the configuration.
-pub(crate) fn read_ask(
+pub(crate) fn parse_request(
     table: &RouteTable,
     names: &HeaderNames,
     halls: &BTreeMap<String, String>,
     head: http::request::Parts,
-    arrived: Instant,
-) -> Result<Ask, Refusal> {
+    arrived_at: Instant,
+) -> Result<CallerRequest, Refusal> {
     let host = head
         .headers
         .get(header::HOST)
@@ -154,24 +154,24 @@
         .find_route(host, head.uri.path())
         .ok_or_else(|| Refusal::new(RefusalReason::NoRoute, "no route for host and path"))?;
     let account = find_account(table, route, &head.headers)?;
-    let id = text(&head.headers, &names.request_id)
+    let id = header_text(&head.headers, &names.request_id)
         .unwrap_or_default()
         .to_owned();
-    let deadline = read_deadline(&head.headers, names, route)?;
-    let prompt = read_prompt(&head.headers, names)?;
-    let piece_counts = read_counts(&head.headers, names, route)?;
-    let piece_key = text(&head.headers, &names.piece_key)
+    let deadline = parse_deadline(&head.headers, names, route)?;
+    let prompt = parse_prompt(&head.headers, names)?;
+    let piece_counts = parse_piece_counts(&head.headers, names, route)?;
+    let piece_key = header_text(&head.headers, &names.piece_key)
         .unwrap_or_default()
         .to_owned();
-    Ok(Ask {
+    Ok(CallerRequest {
         id,
         rank: Rank {
-            first: account
+            account_priority: account
                 .and_then(|account| account.priority)
                 .unwrap_or(route.priority),
-            second: route.priority,
+            route_priority: route.priority,
         },
-        homes: HomeHalls::new(
+        allowed_halls: HomeHalls::new(
             halls,
             &route.regions,
             account.map_or(&[], |account| &account.regions),
@@ -183,18 +183,18 @@
         uri: head.uri,
         headers: head.headers,
         body: Bytes::new(),
-        arrived,
-        deadline: arrived + deadline,
+        arrived_at,
+        deadline: arrived_at + deadline,
         prompt,
         piece_counts,
         piece_key,
-        open: None,
-        known_by: OnceCell::new(),
-        apart: Cell::new(false),
+        in_flight_guard: None,
+        subject: OnceCell::new(),
+        isolated: Cell::new(false),
     })
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &http::HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &http::HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
@@ -206,8 +206,8 @@
     if !table.needs_key(route) {
         return Ok(None);
     }
-    let shown = text(headers, &header::AUTHORIZATION);
-    let key = shown.and_then(|value| value.strip_prefix("Bearer "));
+    let authorization = header_text(headers, &header::AUTHORIZATION);
+    let key = authorization.and_then(|value| value.strip_prefix("Bearer "));
     let account = key.and_then(|key| table.find_account(key.trim()));
     match account {
         Some(account) => Ok(Some(account)),
@@ -221,43 +221,46 @@
     }
 }
 
-fn bad(header: &http::HeaderName, wanted: &str) -> Refusal {
-    let detail = format!("{header}: wanted {wanted}");
+fn malformed_header(header: &http::HeaderName, expected: &str) -> Refusal {
+    let detail = format!("{header}: wanted {expected}");
     Refusal::new(RefusalReason::BadRequest, detail)
 }
 
 /// Returns the time that a header names in milliseconds; nothing where it names none.
-pub(crate) fn read_time(headers: &HeaderMap, name: &http::HeaderName) -> Option<Duration> {
-    let millis = text(headers, name)?.trim().parse().ok()?;
+pub(crate) fn parse_millis_header(
+    headers: &HeaderMap,
+    name: &http::HeaderName,
+) -> Option<Duration> {
+    let millis = header_text(headers, name)?.trim().parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
-fn read_deadline(
+fn parse_deadline(
     headers: &HeaderMap,
     names: &HeaderNames,
     route: &Route,
 ) -> Result<Duration, Refusal> {
-    let longest = route.timeout_ms;
-    let given = match headers.get(&names.deadline_ms) {
-        None => longest,
+    let route_timeout_ms = route.timeout_ms;
+    let requested_ms = match headers.get(&names.deadline_ms) {
+        None => route_timeout_ms,
         Some(value) => value
             .to_str()
             .ok()
             .and_then(|value| value.trim().parse().ok())
-            .ok_or_else(|| bad(&names.deadline_ms, "milliseconds"))?,
+            .ok_or_else(|| malformed_header(&names.deadline_ms, "milliseconds"))?,
     };
-    Ok(Duration::from_millis(longest.min(given)))
+    Ok(Duration::from_millis(route_timeout_ms.min(requested_ms)))
 }
 
-fn read_prompt(headers: &HeaderMap, names: &HeaderNames) -> Result<Option<Prompt>, Refusal> {
-    let Some(tokens) = text(headers, &names.tokens) else {
+fn parse_prompt(headers: &HeaderMap, names: &HeaderNames) -> Result<Option<Prompt>, Refusal> {
+    let Some(tokens) = header_text(headers, &names.tokens) else {
         return Ok(None);
     };
-    let wanted = || bad(&names.tokens, "IN,OUT");
-    let (tokens_in, tokens_out) = tokens.split_once(',').ok_or_else(wanted)?;
-    let tokens_in = tokens_in.trim().parse().map_err(|_| wanted())?;
-    let tokens_out = tokens_out.trim().parse().map_err(|_| wanted())?;
-    let parts = text(headers, &names.prompt_parts).unwrap_or_default();
+    let expected = || malformed_header(&names.tokens, "IN,OUT");
+    let (input_tokens, max_output_tokens) = tokens.split_once(',').ok_or_else(expected)?;
+    let input_tokens = input_tokens.trim().parse().map_err(|_| expected())?;
+    let max_output_tokens = max_output_tokens.trim().parse().map_err(|_| expected())?;
+    let parts = header_text(headers, &names.prompt_parts).unwrap_or_default();
     let parts = parts
         .split(',')
         .filter(|part| !part.trim().is_empty())
@@ -269,17 +272,19 @@
             })
         })
         .collect::<Option<Vec<_>>>()
-        .ok_or_else(|| bad(&names.prompt_parts, "ID:TOKENS,..."))?;
+        .ok_or_else(|| malformed_header(&names.prompt_parts, "ID:TOKENS,..."))?;
     // The last part is the request's own.
-    let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
+    let shared_parts = parts
+        .split_last()
+        .map_or(&[][..], |(_, shared_parts)| shared_parts);
     Ok(Some(Prompt {
-        tokens_in,
-        tokens_out,
-        shared: shared.to_vec(),
+        input_tokens,
+        max_output_tokens,
+        shared_parts: shared_parts.to_vec(),
     }))
 }
 
-fn read_counts(
+fn parse_piece_counts(
     headers: &HeaderMap,
     names: &HeaderNames,
     route: &Route,
@@ -288,7 +293,7 @@
         return Ok(Vec::new());
     }
     // Without the header every stage has one piece.
-    let Some(counts) = text(headers, &names.piece_counts) else {
+    let Some(counts) = header_text(headers, &names.piece_counts) else {
         return Ok(vec![1; route.stages.len()]);
     };
     let counts: Option<Vec<u32>> = counts
@@ -298,10 +303,10 @@
                 .trim()
                 .parse()
                 .ok()
-                .filter(|count| *count <= MAX_PIECES)
+                .filter(|count| *count <= MAX_PIECES_PER_STAGE)
         })
         .collect();
-    let mut counts = counts.ok_or_else(|| bad(&names.piece_counts, "COUNT,..."))?;
+    let mut counts = counts.ok_or_else(|| malformed_header(&names.piece_counts, "COUNT,..."))?;
     // A configuration that changed a moment ago may have another number of stages.
     counts.resize(route.stages.len(), 0);
     Ok(counts)
--- a/crates/gateway/src/caller_watch.rs
+++ b/crates/gateway/src/caller_watch.rs
@@ -5,18 +5,18 @@
 use linnet_telemetry::EventCode;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 
 /// Writes a line when it is dropped before the request was answered: the HTTP library drops the work
 /// on a request once its caller has closed the connection, and nothing else would tell of it.
 pub(crate) struct CallerWatch {
     gateway: Rc<Gateway>,
-    ask: Rc<Ask>,
+    ask: Rc<CallerRequest>,
     answered: bool,
 }
 
 impl CallerWatch {
-    pub(crate) fn new(gateway: &Rc<Gateway>, ask: &Rc<Ask>) -> Self {
+    pub(crate) fn new(gateway: &Rc<Gateway>, ask: &Rc<CallerRequest>) -> Self {
         Self {
             gateway: gateway.clone(),
             ask: ask.clone(),
@@ -39,12 +39,12 @@
             "route={} account={} took_ms={} outcome=the caller left before its answer",
             self.ask.route.name,
             self.ask.account.as_deref().unwrap_or("-"),
-            self.ask.arrived.elapsed().as_millis(),
+            self.ask.arrived_at.elapsed().as_millis(),
         );
         self.gateway
             .metrics
-            .count("caller_left", self.ask.rank.second);
+            .count_request("caller_left", self.ask.rank.route_priority);
         self.gateway
-            .note_request(EventCode::RequestCancelled, &self.ask.id, "", detail);
+            .record_request_event(EventCode::RequestCancelled, &self.ask.id, "", detail);
     }
 }
--- a/crates/gateway/src/closed_service.rs
+++ b/crates/gateway/src/closed_service.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::open_request::OpenRequest;
 use crate::target::Target;
 use crate::target_ask::TargetStanding;
@@ -47,14 +47,14 @@
 pub(crate) fn next_opening(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    ask: &CallerRequest,
     tried: &[String],
 ) -> Option<NextOpening> {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let confined = gateway.suspects.closed_targets(&book, service, ask);
     let targets = book.of_service(service).filter(|target| {
-        ask.homes.allow(&target.hall)
+        ask.allowed_halls.allow(&target.hall)
             && !confined.contains(&target.id)
             && !tried.contains(&target.id)
     });
@@ -72,7 +72,12 @@
 
 /// Returns how long a request waits for leave to go to a target that names a rate: not at all where another target is
 /// open that names none.
-pub(crate) fn rate_patience(gateway: &Gateway, service: &str, ask: &Ask, target: &str) -> Duration {
+pub(crate) fn rate_patience(
+    gateway: &Gateway,
+    service: &str,
+    ask: &CallerRequest,
+    target: &str,
+) -> Duration {
     if gateway.notices.rates.rate(target).is_none() {
         return Duration::ZERO;
     }
@@ -83,32 +88,32 @@
 }
 
 /// Says whether a target that may run a request is open and takes any rate.
-pub(crate) fn has_unrated(gateway: &Gateway, service: &str, ask: &Ask) -> bool {
+pub(crate) fn has_unrated(gateway: &Gateway, service: &str, ask: &CallerRequest) -> bool {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let mut usable = book.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
-        ask.homes.allow(&one.hall)
+        ask.allowed_halls.allow(&one.hall)
             && book.rate(&one.id).is_none()
             && gateway.notices.standing(&one.id, now) == TargetStanding::Open
     })
 }
 
 /// Returns how long a request waits for leave where no target takes any rate.
-fn ranked_patience(ask: &Ask) -> Duration {
-    let level = f64::from(ask.rank.engine_level());
+fn ranked_patience(ask: &CallerRequest) -> Duration {
+    let level = f64::from(ask.rank.engine_priority());
     ask.objective_left()
         .mul_f64(WAIT_PART * (1.0 - level * RANK_PART))
 }
 
 /// Returns the sum of the rates of the targets that may run a request; nothing where one of them takes any.
-fn rate_sum(gateway: &Gateway, service: &str, ask: &Ask) -> Option<NamedRate> {
+fn rate_sum(gateway: &Gateway, service: &str, ask: &CallerRequest) -> Option<NamedRate> {
     if gateway.notices.rates.is_empty() {
         return None;
     }
     let book = gateway.targets.borrow();
     let usable = book.usable(service, Instant::now()).into_iter();
-    let usable = usable.filter(|target| ask.homes.allow(&target.hall));
+    let usable = usable.filter(|target| ask.allowed_halls.allow(&target.hall));
     let rates = usable.map(|target| book.rate(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
@@ -121,7 +126,7 @@
 pub(crate) async fn check_rates(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    ask: &CallerRequest,
 ) -> Result<(), Refusal> {
     let Some(sum) = rate_sum(gateway, service, ask) else {
         return Ok(());
@@ -140,7 +145,7 @@
 pub(crate) fn check_opens(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    ask: &CallerRequest,
     planned: Duration,
 ) -> Result<(), Refusal> {
     let Some(opening) = next_opening(gateway, service, ask, &[]) else {
@@ -163,31 +168,36 @@
 pub(crate) async fn await_open(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
+    ask: &CallerRequest,
     opening: NextOpening,
 ) -> Result<(), Refusal> {
     let in_time = opening.left <= ask.objective_left().mul_f64(WAIT_PART);
-    if opening.paced || !in_time || gateway.waiting.get() >= MOST_WAITING {
+    if opening.paced || !in_time || gateway.waiting_requests.get() >= MOST_WAITING {
         return Err(refusal_until(gateway, service, ask, opening));
     }
-    let _waits = OpenRequest::new(&gateway.waiting);
+    let _waits = OpenRequest::new(&gateway.waiting_requests);
     sleep(spread(opening.left)).await;
     Ok(())
 }
 
 /// Returns when a caller should come back: not before a target takes requests of this host again.
-pub(crate) fn retry_after(gateway: &Gateway, service: &str, ask: &Ask) -> Duration {
+pub(crate) fn retry_after(gateway: &Gateway, service: &str, ask: &CallerRequest) -> Duration {
     let opening = next_opening(gateway, service, ask, &[]);
     spread(opening.map_or(Duration::ZERO, |opening| opening.left))
 }
 
 /// Returns the refusal of a request for which no target was found, where all name rates.
-pub(crate) fn used_up(gateway: &Gateway, service: &str, ask: &Ask) -> Option<Refusal> {
+pub(crate) fn used_up(gateway: &Gateway, service: &str, ask: &CallerRequest) -> Option<Refusal> {
     rate_sum(gateway, service, ask)?;
     Some(paced(gateway, service, ask, Duration::ZERO))
 }
 
-fn refusal_until(gateway: &Gateway, service: &str, ask: &Ask, opening: NextOpening) -> Refusal {
+fn refusal_until(
+    gateway: &Gateway,
+    service: &str,
+    ask: &CallerRequest,
+    opening: NextOpening,
+) -> Refusal {
     match opening.paced {
         true => paced(gateway, service, ask, opening.left),
         false => closed(service, opening.left),
@@ -196,7 +206,7 @@
 
 /// Returns the refusal of a request for whose service there is no leave for a time. Callers that are refused are told
 /// to come back one after the other, by the sum of the rates.
-fn paced(gateway: &Gateway, service: &str, ask: &Ask, left: Duration) -> Refusal {
+fn paced(gateway: &Gateway, service: &str, ask: &CallerRequest, left: Duration) -> Refusal {
     let detail = format!(
         "every target of {service} names a rate that is used up, the first one for {} ms",
         left.as_millis()
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -11,7 +11,7 @@
 use super::batch::PieceKey;
 use super::due_call::DueCall;
 use super::stage_target::StageTarget;
-use crate::ask::Rank;
+use crate::caller_request::Rank;
 use crate::home_halls::HomeHalls;
 use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUse};
 use crate::pool_key::PoolKey;
--- a/crates/gateway/src/coordinator/pool/tests.rs
+++ b/crates/gateway/src/coordinator/pool/tests.rs
@@ -5,7 +5,7 @@
 use super::super::batch::BatchKey;
 use super::super::stage_target::CallVerdict;
 use super::*;
-use crate::ask::Rank;
+use crate::caller_request::Rank;
 use crate::piece::PieceInput;
 
 const SERVICE: &str = "stage";
@@ -62,8 +62,8 @@
                 place,
             },
             rank: Rank {
-                first: 0,
-                second: 0,
+                account_priority: 0,
+                route_priority: 0,
             },
             deadline: now + Duration::from_secs(8),
             wanted: now + Duration::from_secs(1),
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -13,7 +13,7 @@
 use super::held::HeldKey;
 use super::pool::{PoolQueue, Waiting};
 use super::stage_target::{CallVerdict, StageTarget};
-use crate::ask::Rank;
+use crate::caller_request::Rank;
 use crate::home_halls::HomeHalls;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, maker_of};
 use crate::pool_key::PoolKey;
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -58,8 +58,8 @@
         number: 0,
         pool: key(),
         rank: Rank {
-            first: 0,
-            second: 0,
+            account_priority: 0,
+            route_priority: 0,
         },
         first: true,
         wanted_ms: 1_000,
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -168,8 +168,8 @@
             number: 0,
             pool: PoolKey::whole(SERVICE),
             rank: Rank {
-                first: 0,
-                second: 0,
+                account_priority: 0,
+                route_priority: 0,
             },
             first: false,
             wanted_ms: 60_000,
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -9,7 +9,7 @@
 use linnet_clock::BootInstant;
 use linnet_rate::RatePacer;
 
-use crate::ask::PromptPart;
+use crate::caller_request::PromptPart;
 use crate::cold::{ColdRate, SendWindow};
 use crate::pool_key::place_key;
 use crate::rendezvous::ScoreKey;
@@ -196,8 +196,8 @@
                 HallWeights::new(book, &ask.service, stage)
             });
         let shared = ask.prompt.shared_tokens();
-        let key = ScoreKey::new(ask.prompt.last_shared());
-        let holders = self.holders_of(&ask.prompt.shared);
+        let key = ScoreKey::new(ask.prompt.last_shared_id());
+        let holders = self.holders_of(&ask.prompt.shared_parts);
         let mut ranked: Vec<RankedEngine<'_>> = candidates
             .into_iter()
             .map(|target| {
@@ -342,7 +342,7 @@
         let apart = load.map_or(0, |load| load.apart);
         // On a slow engine the prompt's own reading is slow as well.
         let slowness = self.slowness_of(&engine.id, now);
-        let own = self.reading_ms(ask.prompt.own_tokens()) + SLOWNESS_BASE_MS;
+        let own = self.reading_ms(ask.prompt.unshared_tokens()) + SLOWNESS_BASE_MS;
         let running = f64::from(running) / f64::from(engine.slots) * FULL_COST_MS;
         (self.reading_ms(unread) + missing_ms) * slowness
             + own * (slowness - 1.0)
@@ -359,10 +359,10 @@
         now: Instant,
     ) -> Option<(Chosen, PlaceFacts)> {
         let chosen = self.choose(book, ask, now)?;
-        let held = held_tokens(&self.holders_of(&ask.prompt.shared), &chosen.id);
+        let held = held_tokens(&self.holders_of(&ask.prompt.shared_parts), &chosen.id);
         let ahead = self.loads.get(&chosen.id).map_or(0, |load| load.unread);
         let expected_ms =
-            (ahead + ask.prompt.tokens_in.saturating_sub(held)) as f64 / self.tokens_per_ms;
+            (ahead + ask.prompt.input_tokens.saturating_sub(held)) as f64 / self.tokens_per_ms;
         let facts = PlaceFacts {
             held,
             ahead,
@@ -381,12 +381,12 @@
         let (chosen, facts) = self.plan(book, ask, now)?;
         self.note_cold(book, &ask.service, &chosen.id, now);
         self.note_rate(book, &chosen.id);
-        let unread = ask.prompt.tokens_in.saturating_sub(facts.held);
+        let unread = ask.prompt.input_tokens.saturating_sub(facts.held);
         let load = self.loads.entry(chosen.id.clone()).or_default();
         load.unread += unread;
         load.running += 1;
         load.apart += u32::from(ask.apart);
-        for part in &ask.prompt.shared {
+        for part in &ask.prompt.shared_parts {
             self.note_holder(&chosen.id, &part.id, now);
         }
         self.next += 1;
--- a/crates/gateway/src/engine/place_ask.rs
+++ b/crates/gateway/src/engine/place_ask.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ask::Prompt;
+use crate::caller_request::Prompt;
 use crate::hall_bytes::HallBytes;
 
 /// What is asked of the host that places prompts.
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -1,7 +1,7 @@
 use linnet_directory::{TargetRecord, TargetState};
 
 use super::*;
-use crate::ask::Prompt;
+use crate::caller_request::Prompt;
 use crate::hall_bytes::HallBytes;
 
 mod cold_hall;
@@ -42,11 +42,11 @@
     }
 }
 
-fn prompt(tokens_in: u64, shared: Vec<PromptPart>) -> Prompt {
+fn prompt(input_tokens: u64, shared: Vec<PromptPart>) -> Prompt {
     Prompt {
-        tokens_in,
-        tokens_out: 0,
-        shared,
+        input_tokens,
+        max_output_tokens: 0,
+        shared_parts: shared,
     }
 }
 
--- a/crates/gateway/src/first_form/request.rs
+++ b/crates/gateway/src/first_form/request.rs
@@ -3,7 +3,7 @@
 use linnet_quarantine::RequestKey;
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{Prompt, Rank};
+use crate::caller_request::{Prompt, Rank};
 use crate::engine::PlaceAsk;
 use crate::hall_bytes::HallBytes;
 use crate::piece::{ExpectedPieces, PieceBatch, StageWork};
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -9,99 +9,107 @@
 use linnet_telemetry::EventCode;
 use tokio::time::timeout;
 
-use crate::answer::{answer_of, refusal_answer};
-use crate::ask::Ask;
-use crate::attempt::{Attempt, AttemptEnd, send_attempt};
+use crate::attempt::{Attempt, AttemptOutcome, send_attempt};
+use crate::caller_request::CallerRequest;
 use crate::caller_watch::CallerWatch;
-use crate::choose::{PassedTargets, next_target, no_target, pick_service};
 use crate::closed_service::retry_after;
 use crate::engine::PlaceFacts;
 use crate::graph::RequestResults;
-use crate::relay::{Relay, relay_events};
+use crate::message_heads::{build_response, refusal_response};
+use crate::relay::{StreamRelay, relay_stream};
 use crate::stage_client::Placement;
+use crate::target_selection::{
+    ExcludedTargets, no_target_refusal, pick_service, select_or_await_target,
+};
 use crate::turn::{RunTurn, take_turn};
 use crate::wait_model::PathPlan;
-use crate::{AnswerBody, Gateway, Refusal, RefusalReason};
+use crate::{Gateway, Refusal, RefusalReason, ResponseBody};
 
-use stages::{may_run_stages_again, note_stages_again, prepare};
+use stages::{may_rerun_stages, record_stages_rerun, run_stages_with_rerun};
 
 /// Targets that refused without running a request before it is given up.
 const MAX_REFUSALS: u32 = 4;
 
 /// When a caller should come back where every target was full.
-const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
+const MIN_FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// How often a request goes on to another target since the one that was chosen for it wants nothing by then.
-const MAX_WITHHELD: u32 = 8;
+const MAX_WITHHELD_ATTEMPTS: u32 = 8;
 
 /// How often a request tries targets that name rates and have no leave for it while others take any.
-const RATED_TRIES: u32 = 2;
+const MAX_RATE_LIMITED_TRIES: u32 = 2;
 
 /// What decided a request, for its line in the log.
 #[derive(Default)]
-struct RunLog {
+struct RequestTrace {
     target: String,
     attempts: u32,
-    stages: Option<Duration>,
+    stages_time: Option<Duration>,
     /// How often its stages were begun.
     stage_runs: u32,
     /// How long the request was to take by the queues at its admission.
     plan: PathPlan,
     /// What decided the engine of the last attempt.
-    engine: Option<PlaceFacts>,
+    placement_facts: Option<PlaceFacts>,
     /// Whether a target may have run it.
     may_have_run: bool,
 }
 
 /// Serves a request; the answer is final.
-pub(crate) async fn forward(gateway: Rc<Gateway>, ask: Ask) -> Response<AnswerBody> {
-    let ask = Rc::new(ask);
-    let watch = CallerWatch::new(&gateway, &ask);
-    let mut log = RunLog::default();
-    let work = timeout(ask.time_left(), run(&gateway, &ask, &mut log));
+pub(crate) async fn forward(
+    gateway: Rc<Gateway>,
+    request: CallerRequest,
+) -> Response<ResponseBody> {
+    let request = Rc::new(request);
+    let watch = CallerWatch::new(&gateway, &request);
+    let mut trace = RequestTrace::default();
+    let work = timeout(
+        request.time_left(),
+        run_request(&gateway, &request, &mut trace),
+    );
     let outcome = tokio::select! {
         outcome = work => outcome.ok(),
-        () = gateway.stop_reached() => None,
+        () = gateway.wait_for_stop_deadline() => None,
     };
-    let outcome = outcome.unwrap_or_else(|| Err(out_of_time(&log)));
+    let outcome = outcome.unwrap_or_else(|| Err(timeout_refusal(&trace)));
     watch.answered();
-    note_outcome(&gateway, &ask, &log, &outcome);
+    record_outcome(&gateway, &request, &trace, &outcome);
     match outcome {
         Ok(answer) => answer,
-        Err(refusal) => refusal_answer(&gateway.config.dialect, &ask.id, &refusal),
+        Err(refusal) => refusal_response(&gateway.config.protocol, &request.id, &refusal),
     }
 }
 
-fn out_of_time(log: &RunLog) -> Refusal {
-    if log.may_have_run {
+fn timeout_refusal(trace: &RequestTrace) -> Refusal {
+    if trace.may_have_run {
         Refusal::new(RefusalReason::TimedOut, "no answer in time")
     } else {
         Refusal::new(RefusalReason::Overloaded, "no target took it in time")
     }
 }
 
-fn note_outcome(
+fn record_outcome(
     gateway: &Gateway,
-    ask: &Ask,
-    log: &RunLog,
-    outcome: &Result<Response<AnswerBody>, Refusal>,
+    request: &CallerRequest,
+    trace: &RequestTrace,
+    outcome: &Result<Response<ResponseBody>, Refusal>,
 ) {
-    let took = ask.arrived.elapsed();
+    let took = request.arrived_at.elapsed();
     let detail = |outcome: &str| {
         format!(
             "route={} account={} rank={}.{} version={} attempts={} planned_ms={:.0} waits_ms={:.0} stages_ms={} stage_runs={} took_ms={}{} {outcome}",
-            ask.route.name,
-            ask.account.as_deref().unwrap_or("-"),
-            ask.rank.first,
-            ask.rank.second,
-            ask.config_version,
-            log.attempts,
-            log.plan.stages_ms + log.plan.waits_ms + log.plan.reading_ms,
-            log.plan.waits_ms,
-            log.stages.map_or(0, |stages| stages.as_millis()),
-            log.stage_runs,
+            request.route.name,
+            request.account.as_deref().unwrap_or("-"),
+            request.rank.account_priority,
+            request.rank.route_priority,
+            request.config_version,
+            trace.attempts,
+            trace.plan.stages_ms + trace.plan.waits_ms + trace.plan.reading_ms,
+            trace.plan.waits_ms,
+            trace.stages_time.map_or(0, |stages| stages.as_millis()),
+            trace.stage_runs,
             took.as_millis(),
-            describe_prompt(ask, log),
+            prompt_details(request, trace),
         )
     };
     let (code, outcome, label) = match outcome {
@@ -134,17 +142,19 @@
             )
         }
     };
-    gateway.metrics.count(&label, ask.rank.second);
-    gateway.note_request(code, &ask.id, &log.target, detail(&outcome));
+    gateway
+        .metrics
+        .count_request(&label, request.rank.route_priority);
+    gateway.record_request_event(code, &request.id, &trace.target, detail(&outcome));
 }
 
-fn describe_prompt(ask: &Ask, log: &RunLog) -> String {
-    let (Some(prompt), Some(engine)) = (&ask.prompt, log.engine) else {
+fn prompt_details(request: &CallerRequest, trace: &RequestTrace) -> String {
+    let (Some(prompt), Some(engine)) = (&request.prompt, trace.placement_facts) else {
         return String::new();
     };
     format!(
         " tokens={} shared={} held={} ahead={} read_ms={}",
-        prompt.tokens_in,
+        prompt.input_tokens,
         prompt.shared_tokens(),
         engine.held,
         engine.ahead,
@@ -152,46 +162,47 @@
     )
 }
 
-async fn run(
+async fn run_request(
     gateway: &Rc<Gateway>,
-    ask: &Rc<Ask>,
-    log: &mut RunLog,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let mut turn = None;
-    take_turn(gateway, ask, &mut turn).await?;
-    let service = pick_service(&ask.route).to_owned();
+    request: &Rc<CallerRequest>,
+    trace: &mut RequestTrace,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let mut run_permit = None;
+    take_turn(gateway, request, &mut run_permit).await?;
+    let service = pick_service(&request.route).to_owned();
     gateway
-        .budget
+        .retry_budget
         .borrow_mut()
         .note_request(&service, Instant::now());
-    await_first_targets(gateway, &service, ask).await;
-    if !has_targets_at_home(gateway, &service, ask) {
-        return Err(no_target());
+    wait_for_first_targets(gateway, &service, request).await;
+    if !has_allowed_targets(gateway, &service, request) {
+        return Err(no_target_refusal());
     }
     let mut results: Option<RequestResults> = None;
     let mut tried: Vec<String> = Vec::new();
     let (mut refusals, mut withheld) = (0, 0);
     loop {
-        if results.is_none() && !ask.route.stages.is_empty() {
+        if results.is_none() && !request.route.stages.is_empty() {
             let started = Instant::now();
-            results = Some(prepare(gateway, &service, ask, log).await?);
-            log.stages = Some(started.elapsed());
+            results = Some(run_stages_with_rerun(gateway, &service, request, trace).await?);
+            trace.stages_time = Some(started.elapsed());
         }
         // What is held against it may have grown by its own last run, or elsewhere while its stages ran.
-        if let Err(refusal) = take_turn(gateway, ask, &mut turn).await {
-            return Err(after_attempts(log, refusal));
+        if let Err(refusal) = take_turn(gateway, request, &mut run_permit).await {
+            return Err(adjust_refusal(trace, refusal));
         }
         // Only now: while the stages ran, targets may have gone.
-        let passed = PassedTargets {
+        let excluded = ExcludedTargets {
             tried: &tried,
-            rated: withheld >= RATED_TRIES,
+            rate_limited: withheld >= MAX_RATE_LIMITED_TRIES,
         };
-        let next = next_target(gateway, &service, ask, passed, results.as_ref()).await;
-        let (chosen, placement) = next.map_err(|refusal| after_attempts(log, refusal))?;
-        log.target.clone_from(&chosen.id);
-        log.engine = placement.as_ref().and_then(Placement::facts);
-        log.attempts += 1;
-        let may_have_run = std::mem::replace(&mut log.may_have_run, true);
+        let next =
+            select_or_await_target(gateway, &service, request, excluded, results.as_ref()).await;
+        let (chosen, placement) = next.map_err(|refusal| adjust_refusal(trace, refusal))?;
+        trace.target.clone_from(&chosen.id);
+        trace.placement_facts = placement.as_ref().and_then(Placement::facts);
+        trace.attempts += 1;
+        let may_have_run = std::mem::replace(&mut trace.may_have_run, true);
         let attempt = Attempt {
             service: &service,
             chosen: &chosen,
@@ -199,129 +210,142 @@
             results: results.as_ref(),
             last_event: None,
         };
-        let more = log.attempts - refusals < ask.route.max_attempts && ask.route.may_repeat();
-        let end = send_attempt(gateway, ask, attempt, more).await;
-        if !matches!(end, AttemptEnd::Withheld) {
-            turn.as_mut().into_iter().for_each(RunTurn::note_sending);
+        let may_retry =
+            trace.attempts - refusals < request.route.max_attempts && request.route.may_repeat();
+        let outcome = send_attempt(gateway, request, attempt, may_retry).await;
+        if !matches!(outcome, AttemptOutcome::Withheld) {
+            run_permit
+                .as_mut()
+                .into_iter()
+                .for_each(RunTurn::note_sending);
             // One that wants nothing for a while may take it after that.
             if !gateway.notices.is_backed_off(&chosen.id) {
                 tried.push(chosen.id.clone());
             }
         }
-        let failure = match end {
-            AttemptEnd::Withheld => {
+        let failure = match outcome {
+            AttemptOutcome::Withheld => {
                 // Nothing was sent, so it counts neither as an attempt nor as a repeat.
-                log.attempts -= 1;
-                log.may_have_run = may_have_run;
+                trace.attempts -= 1;
+                trace.may_have_run = may_have_run;
                 withheld += 1;
-                if withheld == MAX_WITHHELD {
+                if withheld == MAX_WITHHELD_ATTEMPTS {
                     let cause = "targets were chosen that want no requests".to_owned();
-                    return Err(refused_everywhere(gateway, &service, ask, log, cause));
+                    return Err(not_accepted_refusal(
+                        gateway, &service, request, trace, cause,
+                    ));
                 }
                 continue;
             }
-            AttemptEnd::Events(stream) => {
-                let relay = Relay::new(gateway, ask, service, chosen, results, log.attempts)
-                    .with_turn(turn);
-                return Ok(relay_events(relay, stream));
+            AttemptOutcome::Streaming(stream) => {
+                let relay =
+                    StreamRelay::new(gateway, request, service, chosen, results, trace.attempts)
+                        .with_run_permit(run_permit);
+                return Ok(relay_stream(relay, stream));
             }
-            AttemptEnd::Whole(status, headers, body) => {
+            AttemptOutcome::Complete(status, headers, body) => {
                 // A target that fails part of its requests answers so without having run them.
                 if !status.is_server_error() {
-                    gateway.note_whole_run(ask, &chosen.id);
+                    gateway.note_whole_run(request, &chosen.id);
                 }
-                let retried = status.is_server_error() && more && take_repeat(gateway, &service);
-                if !retried {
-                    return Ok(answer_of(status, &headers, AnswerBody::whole(body)));
+                let retries =
+                    status.is_server_error() && may_retry && take_retry(gateway, &service);
+                if !retries {
+                    return Ok(build_response(status, &headers, ResponseBody::full(body)));
                 }
                 format!("status {}", status.as_u16())
             }
-            AttemptEnd::NotRun {
+            AttemptOutcome::NotRun {
                 cause,
-                arrived,
+                reached_target,
                 inputs_gone,
             } => {
                 refusals += 1;
-                log.may_have_run = log.attempts > refusals;
-                if inputs_gone && may_run_stages_again(ask, log) {
-                    note_stages_again(gateway, ask, log, &cause);
+                trace.may_have_run = trace.attempts > refusals;
+                if inputs_gone && may_rerun_stages(request, trace) {
+                    record_stages_rerun(gateway, request, trace, &cause);
                     results = None;
                 }
-                let repeat =
-                    refusals < MAX_REFUSALS && (!arrived || take_repeat(gateway, &service));
-                if !repeat {
-                    return Err(refused_everywhere(gateway, &service, ask, log, cause));
+                let retries =
+                    refusals < MAX_REFUSALS && (!reached_target || take_retry(gateway, &service));
+                if !retries {
+                    return Err(not_accepted_refusal(
+                        gateway, &service, request, trace, cause,
+                    ));
                 }
                 cause
             }
-            AttemptEnd::MayHaveRun { cause, .. } => {
-                gateway.note_target_failure(&service, &chosen.id, &cause);
-                if !more || !take_repeat(gateway, &service) {
+            AttemptOutcome::MayHaveRun { cause, .. } => {
+                gateway.record_target_failure(&service, &chosen.id, &cause);
+                if !may_retry || !take_retry(gateway, &service) {
                     return Err(Refusal::new(RefusalReason::TargetFailed, cause));
                 }
                 cause
             }
         };
         gateway.metrics.attempts_failed.inc();
-        let detail = format!("service={service} attempt={} cause={failure}", log.attempts);
-        gateway.note_request(EventCode::AttemptFailed, &ask.id, &chosen.id, detail);
+        let detail = format!(
+            "service={service} attempt={} cause={failure}",
+            trace.attempts
+        );
+        gateway.record_request_event(EventCode::AttemptFailed, &request.id, &chosen.id, detail);
     }
 }
 
 /// Returns a refusal as it is after the attempts so far: it must not say that the request has not run where it
 /// may have.
-fn after_attempts(log: &RunLog, refusal: Refusal) -> Refusal {
-    if log.may_have_run {
+fn adjust_refusal(trace: &RequestTrace, refusal: Refusal) -> Refusal {
+    if trace.may_have_run {
         return Refusal::new(RefusalReason::TargetFailed, refusal.detail);
     }
     refusal
 }
 
 /// On a host that has just started, lets a request wait for targets of the services on its way.
-async fn await_first_targets(gateway: &Gateway, service: &str, ask: &Ask) {
-    let patience = gateway.start_patience(Some(ask.time_left()));
-    if patience.is_zero() {
+async fn wait_for_first_targets(gateway: &Gateway, service: &str, request: &CallerRequest) {
+    let max_wait = gateway.startup_wait(Some(request.time_left()));
+    if max_wait.is_zero() {
         return;
     }
     gateway
-        .targets_within(&services_of(service, ask), patience)
+        .wait_for_targets(&required_services(service, request), max_wait)
         .await;
 }
 
 /// Says whether each service on the way of a request has a target where the request may run. It is known
 /// at once to be hopeless otherwise.
-fn has_targets_at_home(gateway: &Gateway, service: &str, ask: &Ask) -> bool {
+fn has_allowed_targets(gateway: &Gateway, service: &str, request: &CallerRequest) -> bool {
     let targets = gateway.targets.borrow();
-    let at_home = |service: &&str| {
+    let has_allowed = |service: &&str| {
         let mut targets = targets.of_service(service);
-        targets.any(|target| ask.homes.allow(&target.hall))
+        targets.any(|target| request.allowed_halls.allow(&target.hall))
     };
-    services_of(service, ask).iter().all(at_home)
+    required_services(service, request).iter().all(has_allowed)
 }
 
 /// Returns the services that a request needs: those of its stages, and its own.
-fn services_of<'a>(service: &'a str, ask: &'a Ask) -> Vec<&'a str> {
-    let stages = ask.route.stages.iter().zip(&ask.piece_counts);
+fn required_services<'a>(service: &'a str, request: &'a CallerRequest) -> Vec<&'a str> {
+    let stages = request.route.stages.iter().zip(&request.piece_counts);
     let stages = stages.filter(|(_, count)| **count > 0);
     let stages = stages.map(|(stage, _)| stage.service.as_str());
     stages.chain([service]).collect()
 }
 
 /// Returns the refusal of a request that no target took.
-fn refused_everywhere(
+fn not_accepted_refusal(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
-    log: &RunLog,
+    request: &CallerRequest,
+    trace: &RequestTrace,
     cause: String,
 ) -> Refusal {
-    let back = retry_after(gateway, service, ask).max(FULL_RETRY_AFTER);
-    let refusal = Refusal::new(RefusalReason::Overloaded, cause).with_retry_after(back);
-    after_attempts(log, refusal)
+    let retry_after_time = retry_after(gateway, service, request).max(MIN_FULL_RETRY_AFTER);
+    let refusal = Refusal::new(RefusalReason::Overloaded, cause).with_retry_after(retry_after_time);
+    adjust_refusal(trace, refusal)
 }
 
-pub(crate) fn take_repeat(gateway: &Gateway, service: &str) -> bool {
-    let hosts = gateway.gateway_count();
-    let mut budget = gateway.budget.borrow_mut();
+pub(crate) fn take_retry(gateway: &Gateway, service: &str) -> bool {
+    let hosts = gateway.entry_host_count();
+    let mut budget = gateway.retry_budget.borrow_mut();
     budget.take_repeat(service, hosts, Instant::now())
 }
--- a/crates/gateway/src/forward/stages.rs
+++ b/crates/gateway/src/forward/stages.rs
@@ -5,14 +5,14 @@
 
 use linnet_telemetry::EventCode;
 
-use super::RunLog;
+use super::RequestTrace;
 use crate::admission::admit;
-use crate::ask::Ask;
-use crate::choose::{PassedTargets, no_target, place_ask};
+use crate::caller_request::CallerRequest;
 use crate::closed_service::{check_opens, check_rates};
 use crate::coordinator::HALL_BYTES;
 use crate::graph::{RequestResults, run_stages};
 use crate::path_time::last_stages;
+use crate::target_selection::{ExcludedTargets, no_target_refusal, placement_request};
 use crate::{Gateway, Refusal};
 
 /// How often the stages of a request are run.
@@ -20,81 +20,98 @@
 
 /// Part of the time that is left in which the stages have to be expected to end when they are run
 /// again. Something is amiss then, so there is room for twice the plan.
-const AGAIN_TIME_PART: f64 = 0.5;
+const MAX_RERUN_TIME_SHARE: f64 = 0.5;
 
 /// Runs the stages of a request, in the hall where its prompt will go if nothing changes. Where they
 /// fail since a target or host was lost they are run once more: the caller would have to come back
 /// for the same.
-pub(super) async fn prepare(
+pub(super) async fn run_stages_with_rerun(
     gateway: &Rc<Gateway>,
     service: &str,
-    ask: &Ask,
-    log: &mut RunLog,
+    request: &CallerRequest,
+    trace: &mut RequestTrace,
 ) -> Result<RequestResults, Refusal> {
-    if log.stage_runs == 0 {
-        log.plan = admit(gateway, ask)?;
-        let planned = Duration::from_secs_f64((log.plan.stages_ms + log.plan.waits_ms) / 1_000.0);
-        check_opens(gateway, service, ask, planned)?;
-        check_rates(gateway, service, ask).await?;
+    if trace.stage_runs == 0 {
+        trace.plan = admit(gateway, request)?;
+        let planned =
+            Duration::from_secs_f64((trace.plan.stages_ms + trace.plan.waits_ms) / 1_000.0);
+        check_opens(gateway, service, request, planned)?;
+        check_rates(gateway, service, request).await?;
     }
     loop {
-        log.stage_runs += 1;
-        let hall = plan_hall(gateway, service, ask).await?;
+        trace.stage_runs += 1;
+        let hall = expected_hall(gateway, service, request).await?;
         let started = Instant::now();
-        let failure = match run_stages(gateway, ask, &hall).await {
+        let failure = match run_stages(gateway, request, &hall).await {
             Ok(results) => {
-                note_stages(gateway, ask, log, started.elapsed());
+                record_stages_time(gateway, request, trace, started.elapsed());
                 return Ok(results);
             }
             Err(failure) => failure,
         };
         let refusal = failure.refusal();
-        if !failure.is_worth_again() || !may_run_stages_again(ask, log) {
+        if !failure.is_retryable() || !may_rerun_stages(request, trace) {
             return Err(refusal);
         }
-        note_stages_again(gateway, ask, log, &refusal.detail);
+        record_stages_rerun(gateway, request, trace, &refusal.detail);
     }
 }
 
 /// Returns the hall of the engine where a prompt would be placed now; this host's own for a request
 /// without one, and where no stage has large results for it. The host that places prompts is asked once
 /// less for each of those, which is two of six messages for a prompt.
-async fn plan_hall(gateway: &Gateway, service: &str, ask: &Ask) -> Result<String, Refusal> {
-    if !takes_large_results(ask) {
+async fn expected_hall(
+    gateway: &Gateway,
+    service: &str,
+    request: &CallerRequest,
+) -> Result<String, Refusal> {
+    if !needs_large_results(request) {
         let targets = gateway.targets.borrow();
         let mut engines = targets.of_service(service);
-        let known = engines.any(|engine| ask.homes.allow(&engine.hall));
-        let own = || gateway.config.hall.clone();
-        return known.then(own).ok_or_else(no_target);
+        let known = engines.any(|engine| request.allowed_halls.allow(&engine.hall));
+        let local_hall = || gateway.config.hall.clone();
+        return known.then(local_hall).ok_or_else(no_target_refusal);
     }
-    let Some(place) = place_ask(gateway, service, ask, PassedTargets::default(), None) else {
+    let Some(placement) =
+        placement_request(gateway, service, request, ExcludedTargets::default(), None)
+    else {
         return Ok(gateway.config.hall.clone());
     };
-    let planned = gateway.stages.plan(&gateway.targets, place).await;
-    Ok(planned.ok_or_else(no_target)?.hall)
+    let planned = gateway.stage_client.plan(&gateway.targets, placement).await;
+    Ok(planned.ok_or_else(no_target_refusal)?.hall)
 }
 
 /// Says whether the target of a request fetches results that should not cross halls.
-fn takes_large_results(ask: &Ask) -> bool {
-    let taken = last_stages(ask).into_iter();
-    let mut sizes = taken.map(|stage| ask.route.stages[stage].result_bytes);
+fn needs_large_results(request: &CallerRequest) -> bool {
+    let taken = last_stages(request).into_iter();
+    let mut sizes = taken.map(|stage| request.route.stages[stage].result_bytes);
     sizes.any(|bytes| bytes >= HALL_BYTES)
 }
 
-fn note_stages(gateway: &Gateway, ask: &Ask, log: &RunLog, took: Duration) {
-    let mut waits = gateway.waits.borrow_mut();
-    waits.learn(ask.rank, &log.plan, took);
+fn record_stages_time(
+    gateway: &Gateway,
+    request: &CallerRequest,
+    trace: &RequestTrace,
+    took: Duration,
+) {
+    let mut waits = gateway.wait_model.borrow_mut();
+    waits.learn(request.rank, &trace.plan, took);
     gateway.metrics.stage_time.observe(took.as_secs_f64());
 }
 
 /// Says whether there is time to run the stages of a request once more.
-pub(super) fn may_run_stages_again(ask: &Ask, log: &RunLog) -> bool {
-    let planned_ms = log.plan.stages_ms + log.plan.waits_ms + log.plan.reading_ms;
-    let left_ms = ask.time_left().as_secs_f64() * 1_000.0;
-    log.stage_runs < MAX_STAGE_RUNS && planned_ms <= left_ms * AGAIN_TIME_PART
+pub(super) fn may_rerun_stages(request: &CallerRequest, trace: &RequestTrace) -> bool {
+    let planned_ms = trace.plan.stages_ms + trace.plan.waits_ms + trace.plan.reading_ms;
+    let left_ms = request.time_left().as_secs_f64() * 1_000.0;
+    trace.stage_runs < MAX_STAGE_RUNS && planned_ms <= left_ms * MAX_RERUN_TIME_SHARE
 }
 
-pub(super) fn note_stages_again(gateway: &Gateway, ask: &Ask, log: &RunLog, cause: &str) {
-    let detail = format!("runs={} cause={cause}", log.stage_runs);
-    gateway.note_request(EventCode::StagesRunAgain, &ask.id, "", detail);
+pub(super) fn record_stages_rerun(
+    gateway: &Gateway,
+    request: &CallerRequest,
+    trace: &RequestTrace,
+    cause: &str,
+) {
+    let detail = format!("runs={} cause={cause}", trace.stage_runs);
+    gateway.record_request_event(EventCode::StagesRunAgain, &request.id, "", detail);
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,8 +1,8 @@
 //! What the tasks of one entry host share.
 
-mod rates;
+mod send_permits;
+mod target_health;
 mod target_list;
-mod target_notes;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 use linnet_wire::PeerIdentity;
 use tokio::sync::{Notify, watch};
 
-use crate::Dialect;
+use crate::Protocol;
 use crate::budget::{BudgetRule, RetryBudget};
 use crate::coordinator::Coordinator;
 use crate::engine::EnginePlacer;
@@ -55,7 +55,7 @@
 /// What a gateway needs to start.
 pub struct GatewayConfig {
     /// How callers and targets speak.
-    pub dialect: Dialect,
+    pub protocol: Protocol,
     /// Reads the configuration.
     pub read_config: ConfigReader,
     /// Name, keys and clock towards peers.
@@ -67,9 +67,9 @@
     /// Its data hall.
     pub hall: String,
     /// The region of each data hall that is known.
-    pub halls: BTreeMap<String, String>,
+    pub hall_regions: BTreeMap<String, String>,
     /// Where other entry hosts reach it.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Repeated sendings that are allowed in any window, as a part of the requests.
     pub retry_ratio: f64,
     /// Repeated sendings that are allowed beyond that, over all hosts.
@@ -78,7 +78,7 @@
     pub retry_window: Duration,
     /// How long a request waits, on a host that has just started, for the first configuration and the
     /// first targets.
-    pub start_patience: Duration,
+    pub max_startup_wait: Duration,
     /// Bytes of calls to stage targets that this host sends in a second before other hosts send them
     /// in its place.
     pub shared_bytes_per_s: f64,
@@ -87,36 +87,36 @@
 /// What the tasks of one entry host share; all on one thread.
 pub struct Gateway {
     pub(crate) config: GatewayConfig,
-    table: watch::Sender<Option<Rc<RouteTable>>>,
-    pub(crate) view: RefCell<DirectoryView>,
+    route_table: watch::Sender<Option<Rc<RouteTable>>>,
+    pub(crate) directory: RefCell<DirectoryView>,
     pub(crate) targets: Rc<RefCell<TargetBook>>,
-    pub(crate) pool: UpstreamPool,
-    pub(crate) budget: RefCell<RetryBudget>,
-    pub(crate) engines: Rc<RefCell<EnginePlacer>>,
-    pub(crate) waits: RefCell<WaitModel>,
-    pub(crate) stages: StageClient,
+    pub(crate) connections: UpstreamPool,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
+    pub(crate) engine_placer: Rc<RefCell<EnginePlacer>>,
+    pub(crate) wait_model: RefCell<WaitModel>,
+    pub(crate) stage_client: StageClient,
     pub(crate) coordinator: Rc<Coordinator>,
     pub(crate) suspects: SuspectWatch,
-    pub(crate) ends: TargetEnds,
+    pub(crate) crash_tracker: TargetEnds,
     pub(crate) rollouts: RolloutWatch,
     /// What targets have asked of this host.
     pub(crate) notices: Rc<NoticeBook>,
     /// The targets for which this host gives leave to send.
-    rate_turns: RateTurns,
+    send_permit_issuer: RateTurns,
     /// Requests that wait until a target takes requests again.
-    pub(crate) waiting: OpenCount,
+    pub(crate) waiting_requests: OpenCount,
     pub(crate) stopping: Cell<bool>,
     /// When requests that are still in flight are given up, since the process is about to end.
-    give_up_at: watch::Sender<Option<Instant>>,
+    stop_deadline: watch::Sender<Option<Instant>>,
     pub(crate) open_requests: OpenCount,
     /// Wakes the task that works the list of targets out anew.
-    targets_due: Notify,
+    targets_changed: Notify,
     /// Wakes requests that wait for the first targets.
-    target_lists: watch::Sender<()>,
-    started: Instant,
+    target_list_updates: watch::Sender<()>,
+    started_at: Instant,
     /// Metrics of this host.
     pub metrics: GatewayMetrics,
-    gateway_record: watch::Sender<Option<GatewayRecord>>,
+    entry_host_record: watch::Sender<Option<GatewayRecord>>,
 }
 
 impl Gateway {
@@ -125,14 +125,14 @@
         let record = GatewayRecord {
             name: config.name.clone(),
             hall: config.hall.clone(),
-            peer: config.peer,
+            peer: config.peer_address,
             stopping: false,
         };
         let pool = UpstreamPool::default();
         let metrics = GatewayMetrics::new();
         let targets: Rc<RefCell<TargetBook>> = Rc::default();
         let notices = Rc::new(NoticeBook::new(config.recorder.clone(), targets.clone()));
-        let caller = StageCaller::new(config.dialect.clone(), pool.clone(), notices.clone());
+        let caller = StageCaller::new(config.protocol.clone(), pool.clone(), notices.clone());
         let coordinator = Rc::new(Coordinator::new(
             caller,
             config.recorder.clone(),
@@ -145,78 +145,78 @@
         };
         let engines = Rc::new(RefCell::new(EnginePlacer::default()));
         let gateway = Rc::new(Self {
-            stages: StageClient::new(
+            stage_client: StageClient::new(
                 config.identity.clone(),
                 config.name.clone(),
                 config.hall.clone(),
                 coordinator.clone(),
                 engines.clone(),
             ),
-            waits: RefCell::default(),
-            table: watch::Sender::new(None),
-            view: RefCell::default(),
+            wait_model: RefCell::default(),
+            route_table: watch::Sender::new(None),
+            directory: RefCell::default(),
             targets,
-            budget: RefCell::new(RetryBudget::new(rule)),
-            engines: engines.clone(),
+            retry_budget: RefCell::new(RetryBudget::new(rule)),
+            engine_placer: engines.clone(),
             coordinator,
-            pool,
+            connections: pool,
             suspects: SuspectWatch::default(),
-            ends: TargetEnds::default(),
+            crash_tracker: TargetEnds::default(),
             rollouts: RolloutWatch::default(),
             notices,
-            rate_turns: RateTurns::default(),
-            waiting: OpenCount::default(),
+            send_permit_issuer: RateTurns::default(),
+            waiting_requests: OpenCount::default(),
             stopping: Cell::new(false),
-            give_up_at: watch::Sender::new(None),
+            stop_deadline: watch::Sender::new(None),
             open_requests: OpenCount::default(),
-            targets_due: Notify::new(),
-            target_lists: watch::Sender::new(()),
-            started: Instant::now(),
+            targets_changed: Notify::new(),
+            target_list_updates: watch::Sender::new(()),
+            started_at: Instant::now(),
             metrics,
-            gateway_record: watch::Sender::new(Some(record)),
+            entry_host_record: watch::Sender::new(Some(record)),
             config,
         });
-        let watching = Rc::downgrade(&gateway);
+        let weak = Rc::downgrade(&gateway);
         gateway.coordinator.set_end_watch(Box::new(move |call| {
-            if let Some(gateway) = watching.upgrade() {
+            if let Some(gateway) = weak.upgrade() {
                 gateway.note_call_end(call);
             }
         }));
-        let watching = Rc::downgrade(&gateway);
+        let weak = Rc::downgrade(&gateway);
         gateway
             .coordinator
             .set_call_watch(Box::new(move |call, end, took| {
-                if let Some(gateway) = watching.upgrade() {
+                if let Some(gateway) = weak.upgrade() {
                     gateway.count_call(call, end, took);
                 }
             }));
-        gateway.watch_rates();
-        ntex::rt::spawn(keep_house(gateway.clone()));
-        ntex::rt::spawn(target_list::keep_targets(gateway.clone()));
+        gateway.install_permit_requester();
+        ntex::rt::spawn(run_maintenance(gateway.clone()));
+        ntex::rt::spawn(target_list::run_target_refresh(gateway.clone()));
         gateway
     }
 
     /// Returns a receiver of this host's record, for the control hosts.
-    pub fn record(&self) -> watch::Receiver<Option<GatewayRecord>> {
-        self.gateway_record.subscribe()
+    pub fn subscribe_record(&self) -> watch::Receiver<Option<GatewayRecord>> {
+        self.entry_host_record.subscribe()
     }
 
     /// Returns the version of the configuration that is in force here; 0 for none.
     pub fn config_version(&self) -> u64 {
-        self.table().map_or(0, |table| table.config().version)
+        self.route_table().map_or(0, |table| table.config().version)
     }
 
     /// Returns the routes that are in force here; nothing before any were.
-    pub(crate) fn table(&self) -> Option<Rc<RouteTable>> {
-        self.table.borrow().clone()
+    pub(crate) fn route_table(&self) -> Option<Rc<RouteTable>> {
+        self.route_table.borrow().clone()
     }
 
     /// Returns the routes that are in force here, and waits for the first ones for at most
     /// `patience`.
-    pub(crate) async fn table_within(&self, patience: Duration) -> Option<Rc<RouteTable>> {
-        let mut changes = self.table.subscribe();
+    pub(crate) async fn wait_for_route_table(&self, max_wait: Duration) -> Option<Rc<RouteTable>> {
+        let mut changes = self.route_table.subscribe();
         let first = changes.wait_for(Option::is_some);
-        let found = tokio::time::timeout(patience, first).await.ok()?;
+        let found = tokio::time::timeout(max_wait, first).await.ok()?;
         found.ok()?.clone()
     }
 
@@ -225,10 +225,10 @@
         if self.stopping.get() {
             return Some(NotReady::Stopping);
         }
-        if self.table.borrow().is_some() {
+        if self.route_table.borrow().is_some() {
             return None;
         }
-        let heard = self.view.borrow().is_connected();
+        let heard = self.directory.borrow().is_connected();
         Some(if heard {
             NotReady::NoConfiguration
         } else {
@@ -243,11 +243,11 @@
 
     /// Begins a planned stop: callers should go elsewhere, what is in flight goes on until `give_up`,
     /// when it is answered that there is no answer.
-    pub fn begin_stop(&self, give_up: Instant) {
+    pub fn begin_stop(&self, deadline: Instant) {
         self.stopping.set(true);
-        self.stages.begin_stop();
-        self.give_up_at.send_replace(Some(give_up));
-        self.gateway_record.send_modify(|record| {
+        self.stage_client.begin_stop();
+        self.stop_deadline.send_replace(Some(deadline));
+        self.entry_host_record.send_modify(|record| {
             if let Some(record) = record {
                 record.stopping = true;
             }
@@ -255,53 +255,55 @@
     }
 
     /// Resolves when what is in flight has to be given up.
-    pub(crate) async fn stop_reached(&self) {
-        let mut give_up_at = self.give_up_at.subscribe();
+    pub(crate) async fn wait_for_stop_deadline(&self) {
+        let mut stop_deadline = self.stop_deadline.subscribe();
         loop {
-            let at = *give_up_at.borrow_and_update();
+            let at = *stop_deadline.borrow_and_update();
             match at {
                 Some(at) => return tokio::time::sleep_until(at.into()).await,
-                None if give_up_at.changed().await.is_err() => return,
+                None if stop_deadline.changed().await.is_err() => return,
                 None => {}
             }
         }
     }
 
     /// Takes an update of the directory.
-    pub fn take_update(&self, from: SocketAddr, update: DirectoryUpdate) {
+    pub fn apply_update(&self, from: SocketAddr, update: DirectoryUpdate) {
         self.take_suspects(&update.suspects);
         self.notices.rates.take_told(&update.rates);
-        let targets_changed = !update.targets.is_empty();
+        let targets_updated = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
         // The control host is told right after this that the update was taken, and the target then that
         // it gets no more work.
-        let withdraws = self.withdraws(&update);
-        let gateways_changed = update.gateways.is_some();
-        self.view.borrow_mut().take(from, update, Instant::now());
-        let rolls = self.refresh_rollouts();
-        if gateways_changed {
-            self.refresh_gateways();
+        let withdraws_active_target = self.withdraws_active_target(&update);
+        let entry_hosts_changed = update.gateways.is_some();
+        self.directory
+            .borrow_mut()
+            .take(from, update, Instant::now());
+        let rollouts_changed = self.refresh_rollouts();
+        if entry_hosts_changed {
+            self.refresh_entry_hosts();
         }
         if evacuated {
-            self.note_evacuations();
+            self.record_evacuations();
         }
-        if withdraws || evacuated || rolls {
+        if withdraws_active_target || evacuated || rollouts_changed {
             self.refresh_targets();
-        } else if targets_changed {
-            self.targets_due.notify_one();
+        } else if targets_updated {
+            self.targets_changed.notify_one();
         }
     }
 
-    fn note_evacuations(&self) {
-        let view = self.view.borrow();
+    fn record_evacuations(&self) {
+        let view = self.directory.borrow();
         let halls: Vec<&str> = view.evacuations().evacuated_halls().collect();
         self.metrics.halls_evacuated.set(halls.len() as i64);
         let detail = format!("halls={}", halls.join(","));
-        self.note(EventCode::EvacuationInForce, &detail);
+        self.record_event(EventCode::EvacuationInForce, &detail);
     }
 
     /// Says whether an update takes a target out that gets work here.
-    fn withdraws(&self, update: &DirectoryUpdate) -> bool {
+    fn withdraws_active_target(&self, update: &DirectoryUpdate) -> bool {
         let targets = self.targets.borrow();
         let mut records = update.targets.iter();
         records.any(|record| {
@@ -310,28 +312,28 @@
     }
 
     /// Returns the newest configuration that came here.
-    pub fn held_document(&self) -> Option<Arc<HeldDocument>> {
-        self.view.borrow().document().cloned()
+    pub fn current_document(&self) -> Option<Arc<HeldDocument>> {
+        self.directory.borrow().document().cloned()
     }
 
     /// Takes a configuration; a newer one comes into force.
-    pub fn take_document(&self, document: HeldDocument) {
-        let newer = self.view.borrow_mut().take_document(document);
+    pub fn apply_document(&self, document: HeldDocument) {
+        let newer = self.directory.borrow_mut().take_document(document);
         if newer {
-            self.put_in_force();
+            self.activate_configuration();
         }
     }
 
     /// Hears that a control host was lost.
-    pub fn lose_control(&self, from: SocketAddr) {
-        self.view.borrow_mut().lose(from);
+    pub fn mark_control_lost(&self, from: SocketAddr) {
+        self.directory.borrow_mut().lose(from);
         self.refresh_rollouts();
-        self.refresh_gateways();
-        self.targets_due.notify_one();
+        self.refresh_entry_hosts();
+        self.targets_changed.notify_one();
     }
 
-    fn put_in_force(&self) {
-        let view = self.view.borrow();
+    fn activate_configuration(&self) {
+        let view = self.directory.borrow();
         let Some(document) = view.document() else {
             return;
         };
@@ -347,17 +349,17 @@
                 let table = Rc::new(RouteTable::new(config));
                 self.coordinator.set_services(&table);
                 self.targets.borrow_mut().set_services(table.config());
-                self.table.send_replace(Some(table));
-                self.note(EventCode::RoutingInForce, &detail);
+                self.route_table.send_replace(Some(table));
+                self.record_event(EventCode::RoutingInForce, &detail);
             }
             // Control hosts check before they accept, so this is a newer program's form.
-            Err(fault) => self.note(EventCode::RoutingRefused, &fault),
+            Err(fault) => self.record_event(EventCode::RoutingRefused, &fault),
         }
     }
 
-    fn refresh_gateways(&self) {
-        let gateways = self.view.borrow().gateways();
-        self.stages.set_gateways(gateways);
+    fn refresh_entry_hosts(&self) {
+        let gateways = self.directory.borrow().gateways();
+        self.stage_client.set_gateways(gateways);
     }
 
     /// Returns the way to stage targets.
@@ -366,40 +368,46 @@
     }
 
     /// Returns how many entry hosts are known, this one among them.
-    pub(crate) fn gateway_count(&self) -> usize {
-        self.stages.gateway_count()
+    pub(crate) fn entry_host_count(&self) -> usize {
+        self.stage_client.gateway_count()
     }
 
-    pub(crate) fn note(&self, code: EventCode, detail: &str) {
+    pub(crate) fn record_event(&self, code: EventCode, detail: &str) {
         self.config.recorder.record(code, "", detail);
     }
 
-    pub(crate) fn note_request(&self, code: EventCode, id: &str, peer: &str, detail: String) {
+    pub(crate) fn record_request_event(
+        &self,
+        code: EventCode,
+        id: &str,
+        peer: &str,
+        detail: String,
+    ) {
         self.config.recorder.record_request(code, id, peer, detail);
     }
 }
 
 /// Between two rounds of closing what has rested too long.
-const HOUSE_PERIOD: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-async fn keep_house(gateway: Rc<Gateway>) {
+async fn run_maintenance(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(HOUSE_PERIOD).await;
-        gateway.pool.close_rested();
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
+        gateway.connections.close_expired();
         gateway.expire_suspects();
-        gateway.ends.expire(Instant::now());
+        gateway.crash_tracker.expire(Instant::now());
         gateway.expire_notices();
         gateway.coordinator.dispatch_all();
-        gateway.stages.probe_cut_halls();
+        gateway.stage_client.probe_cut_halls();
         // Hosts that no control host names any more stay while they are reached.
-        if gateway.stages.keeps_unnamed() {
-            gateway.refresh_gateways();
+        if gateway.stage_client.keeps_unnamed() {
+            gateway.refresh_entry_hosts();
         }
-        gateway.view.borrow_mut().forget_past(Instant::now());
+        gateway.directory.borrow_mut().forget_past(Instant::now());
         gateway
             .metrics
             .connections_opened
-            .set(gateway.pool.opened() as i64);
+            .set(gateway.connections.opened_count() as i64);
         gateway
             .metrics
             .requests_open
@@ -408,7 +416,7 @@
             .metrics
             .config_version
             .set(gateway.config_version() as i64);
-        let hosts = gateway.gateway_count() as i64;
+        let hosts = gateway.entry_host_count() as i64;
         gateway.metrics.hosts_known.set(hosts);
     }
 }
--- a/crates/gateway/src/gateway/rates.rs
+++ b/crates/gateway/src/gateway/send_permits.rs
@@ -12,13 +12,13 @@
 
 impl Gateway {
     /// Has leave asked for by this host.
-    pub(super) fn watch_rates(self: &Rc<Self>) {
-        let watching = Rc::downgrade(self);
-        self.notices.rates.set_asker(Box::new(move |ask| {
-            let gateway = watching.upgrade();
+    pub(super) fn install_permit_requester(self: &Rc<Self>) {
+        let weak = Rc::downgrade(self);
+        self.notices.rates.set_asker(Box::new(move |request| {
+            let gateway = weak.upgrade();
             async move {
                 match gateway {
-                    Some(gateway) => gateway.ask_rate(ask).await,
+                    Some(gateway) => gateway.request_send_permit(request).await,
                     None => RateAnswer::UNREACHED,
                 }
             }
@@ -31,22 +31,22 @@
         let gateway = self.clone();
         RateSource {
             changes: self.notices.rates.changes(),
-            changed_after: Box::new(move |ask| {
-                let changed = gateway.notices.rates.changed_after(ask);
+            changed_after: Box::new(move |request| {
+                let changed = gateway.notices.rates.changed_after(request);
                 (changed.words, changed.number)
             }),
         }
     }
 
-    async fn ask_rate(&self, ask: RateAsk) -> RateAnswer {
-        match self.rate_host(&ask.subject) {
-            RateHost::Here => self.give_rate(&ask),
-            RateHost::Remote(address) => self.stages.ask_rate(address, ask).await,
+    async fn request_send_permit(&self, request: RateAsk) -> RateAnswer {
+        match self.send_permit_host(&request.subject) {
+            RateHost::Here => self.issue_send_permit(&request),
+            RateHost::Remote(address) => self.stage_client.ask_rate(address, request).await,
             RateHost::Unreached => RateAnswer::UNREACHED,
         }
     }
 
-    fn rate_host(&self, subject: &RateSubject) -> RateHost {
+    fn send_permit_host(&self, subject: &RateSubject) -> RateHost {
         let hall = match subject {
             RateSubject::Target(word) => {
                 let targets = self.targets.borrow();
@@ -55,31 +55,31 @@
             }
             RateSubject::Service(..) => String::new(),
         };
-        self.stages.rate_host(subject.key(), &hall)
+        self.stage_client.rate_host(subject.key(), &hall)
     }
 
     /// Answers another host that asks for leave.
-    pub(crate) fn answer_rate(&self, ask: &RateAsk) -> RateAnswer {
-        if let RateSubject::Target(word) = &ask.subject {
+    pub(crate) fn handle_send_permit_request(&self, request: &RateAsk) -> RateAnswer {
+        if let RateSubject::Target(word) = &request.subject {
             self.notices.rates.take_word(word);
         }
-        match self.rate_host(&ask.subject) {
-            RateHost::Here => self.give_rate(ask),
+        match self.send_permit_host(&request.subject) {
+            RateHost::Here => self.issue_send_permit(request),
             // Two that give leave would let twice the rate through.
             RateHost::Remote(_) | RateHost::Unreached => {
-                self.rate_turns.forget(ask.subject.key());
+                self.send_permit_issuer.forget(request.subject.key());
                 RateAnswer::UNREACHED
             }
         }
     }
 
     /// Gives leave, as the host that does for all.
-    fn give_rate(&self, ask: &RateAsk) -> RateAnswer {
-        if !self.view.borrow().is_connected() && !self.stages.reaches_any() {
+    fn issue_send_permit(&self, request: &RateAsk) -> RateAnswer {
+        if !self.directory.borrow().is_connected() && !self.stage_client.reaches_any() {
             // Others that do not reach this host either take another one.
             return RateAnswer::UNREACHED;
         }
-        let rate = match &ask.subject {
+        let rate = match &request.subject {
             RateSubject::Target(word) => self.notices.rates.rate(&word.target),
             RateSubject::Service(_, sum) => Some(*sum),
         };
@@ -91,11 +91,12 @@
                 next_ms: 0,
             };
         };
-        self.rate_turns.give(rate, ask, BootInstant::now())
+        self.send_permit_issuer
+            .give(rate, request, BootInstant::now())
     }
 
     /// Forgets targets for which nobody has asked for long.
-    pub(super) fn expire_rates(&self) {
-        self.rate_turns.expire(BootInstant::now());
+    pub(super) fn expire_send_permits(&self) {
+        self.send_permit_issuer.expire(BootInstant::now());
     }
 }
--- a/crates/gateway/src/gateway/target_notes.rs
+++ b/crates/gateway/src/gateway/target_health.rs
@@ -17,7 +17,7 @@
     pub(super) fn expire_notices(&self) {
         let now = BootInstant::now();
         self.notices.expire(now);
-        self.expire_rates();
+        self.expire_send_permits();
         let counts = self.notices.counts(now);
         let metrics = &self.metrics;
         metrics.targets_backed_off.set(counts.backed_off as i64);
@@ -31,7 +31,7 @@
     }
 
     /// Notes that a target could not be reached.
-    pub(crate) fn note_unreachable(&self, service: &str, id: &str, cause: &str) {
+    pub(crate) fn record_unreachable(&self, service: &str, id: &str, cause: &str) {
         let now = Instant::now();
         self.targets.borrow_mut().note_unreachable(service, id, now);
         let detail = format!("service={service} cause={cause}");
@@ -41,10 +41,10 @@
     }
 
     /// Notes that a target failed; it may be left alone for a while.
-    pub(crate) fn note_target_failure(&self, service: &str, id: &str, cause: &str) {
+    pub(crate) fn record_target_failure(&self, service: &str, id: &str, cause: &str) {
         let now = Instant::now();
         if self.targets.borrow_mut().note_failure(service, id, now) {
-            self.engines.borrow_mut().forget_engine(id);
+            self.engine_placer.borrow_mut().forget_engine(id);
             let detail = format!("service={service} cause={cause}");
             self.config
                 .recorder
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -3,9 +3,9 @@
 use linnet_telemetry::HybridClock;
 use linnet_wire::{PeerKey, PeerKeyRing};
 
-use super::target_list::TARGETS_SPAN;
+use super::target_list::MIN_REFRESH_INTERVAL;
 use super::*;
-use crate::{CallerDialect, HeaderNames, TargetDialect};
+use crate::{CallerProtocol, HeaderNames, TargetProtocol};
 
 const TARGETS: u16 = 285;
 const CONTROL_HOSTS: u16 = 5;
@@ -14,8 +14,8 @@
     HeaderName::from_static(name)
 }
 
-pub(crate) fn dialect() -> Dialect {
-    Dialect {
+pub(crate) fn protocol() -> Protocol {
+    Protocol {
         headers: HeaderNames {
             request_id: header("x-request"),
             deadline_ms: header("x-deadline"),
@@ -34,11 +34,11 @@
             results: header("x-results"),
             last_event: header("x-last-event"),
         },
-        callers: CallerDialect {
+        callers: CallerProtocol {
             private: Vec::new(),
             status: |_| StatusCode::SERVICE_UNAVAILABLE,
         },
-        targets: TargetDialect {
+        targets: TargetProtocol {
             stage_run_path: "/run",
             stage_free_path: "/free",
             encode_stage_run: |_| Vec::new(),
@@ -56,7 +56,7 @@
 fn gateway() -> Rc<Gateway> {
     let clock = Arc::new(HybridClock::new());
     Gateway::new(GatewayConfig {
-        dialect: dialect(),
+        protocol: protocol(),
         read_config: Box::new(|_| Err("no configuration".to_owned())),
         identity: PeerIdentity {
             name: "host".to_owned(),
@@ -66,12 +66,12 @@
         recorder: Arc::new(EventRecorder::new("host", clock)),
         name: "host".to_owned(),
         hall: "hall-0".to_owned(),
-        halls: Default::default(),
-        peer: SocketAddr::from(([127, 0, 0, 1], 1)),
+        hall_regions: Default::default(),
+        peer_address: SocketAddr::from(([127, 0, 0, 1], 1)),
         retry_ratio: 0.2,
         retry_slack: 10.0,
         retry_window: Duration::from_secs(10),
-        start_patience: Duration::ZERO,
+        max_startup_wait: Duration::ZERO,
         shared_bytes_per_s: 250_000.0,
     })
 }
@@ -84,7 +84,7 @@
     SocketAddr::from(([127, 0, 0, 2], 1_000 + number))
 }
 
-fn word(number: u16, state: TargetState) -> DirectoryUpdate {
+fn target_update(number: u16, state: TargetState) -> DirectoryUpdate {
     let record = TargetRecord {
         version: String::new(),
         id: format!("t-{number}"),
@@ -107,43 +107,46 @@
 /// 285 targets register one by one at five control hosts, as after a loss of power. Each of the 1,425
 /// words asked for a list before; entry hosts worked on nothing else for 3 s.
 #[test]
-fn words_that_come_together_are_one_list() {
+fn target_updates_in_quick_succession_cause_one_refresh() {
     run(async {
         let gateway = gateway();
-        let began = Instant::now();
+        let started = Instant::now();
         for number in 0..TARGETS {
             for from in 0..CONTROL_HOSTS {
-                gateway.take_update(control(from), word(number, TargetState::Ready));
+                gateway.apply_update(control(from), target_update(number, TargetState::Ready));
             }
             tokio::task::yield_now().await;
         }
         while gateway.metrics.targets_known.get() < i64::from(TARGETS) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let spans = began.elapsed().as_millis() / TARGETS_SPAN.as_millis();
+        let intervals = started.elapsed().as_millis() / MIN_REFRESH_INTERVAL.as_millis();
         let lists = u128::from(gateway.metrics.target_lists.get());
-        assert!(lists <= spans + 2, "{lists} lists in {spans} spans");
+        assert!(
+            lists <= intervals + 2,
+            "{lists} refreshes in {intervals} intervals"
+        );
     });
 }
 
 /// The control host is told that the word was taken as soon as this returns, and the target that it gets
 /// no more work.
 #[test]
-fn a_target_that_leaves_is_out_of_the_list_at_once() {
+fn a_draining_target_is_removed_from_the_list_at_once() {
     run(async {
         let gateway = gateway();
         for number in 0..3 {
-            gateway.take_update(control(0), word(number, TargetState::Ready));
+            gateway.apply_update(control(0), target_update(number, TargetState::Ready));
         }
         while gateway.metrics.targets_known.get() < 3 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        gateway.take_update(control(1), word(1, TargetState::Draining));
+        gateway.apply_update(control(1), target_update(1, TargetState::Draining));
         assert!(!gateway.targets.borrow().has("engines", "t-1"));
         assert!(gateway.targets.borrow().has("engines", "t-2"));
         // Others that say the same again ask for no list.
         let lists = gateway.metrics.target_lists.get();
-        gateway.take_update(control(0), word(1, TargetState::Draining));
+        gateway.apply_update(control(0), target_update(1, TargetState::Draining));
         assert_eq!(gateway.metrics.target_lists.get(), lists);
     });
 }
@@ -158,20 +161,20 @@
             let gateway = gateway();
             for number in 0..targets {
                 for from in 0..3 {
-                    gateway.take_update(control(from), word(number, TargetState::Ready));
+                    gateway.apply_update(control(from), target_update(number, TargetState::Ready));
                 }
             }
             gateway.refresh_targets();
             const ROUNDS: u16 = 100;
-            let began = Instant::now();
+            let started = Instant::now();
             for round in 0..ROUNDS {
-                let mut update = word(round, TargetState::Ready);
+                let mut update = target_update(round, TargetState::Ready);
                 update.targets[0].sequence = 2;
                 update.targets[0].slots = 65;
-                gateway.take_update(control(0), update);
+                gateway.apply_update(control(0), update);
                 gateway.refresh_targets();
             }
-            let micros = began.elapsed().as_micros() / u128::from(ROUNDS);
+            let micros = started.elapsed().as_micros() / u128::from(ROUNDS);
             println!("a change of one of {targets} targets: {micros} us");
         });
     }
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -5,8 +5,8 @@
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
-use crate::admission::RETRY_LEAST;
-use crate::ask::Ask;
+use crate::admission::MIN_RETRY_AFTER;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::HALL_BYTES;
 use crate::hall_bytes::HallBytes;
 use crate::path_time::{last_stages, pool_of, time_after};
@@ -34,7 +34,7 @@
         if !handles.is_empty() {
             let home = self.home;
             self.gateway
-                .stages
+                .stage_client
                 .free(home, &self.pool, handles, self.bytes);
         }
     }
@@ -43,19 +43,19 @@
 /// The results that a request takes; released when this is dropped.
 pub(crate) struct RequestResults {
     stages: Vec<Option<StageResults>>,
-    taken: Vec<usize>,
+    final_stages: Vec<usize>,
 }
 
 impl RequestResults {
     /// Returns where the results lie that the request's target takes.
-    pub(crate) fn places(&self, ask: &Ask, book: &TargetBook) -> HallBytes {
-        bytes_by_hall(ask, &self.stages, &self.taken, book)
+    pub(crate) fn bytes_by_hall(&self, request: &CallerRequest, book: &TargetBook) -> HallBytes {
+        bytes_by_hall(request, &self.stages, &self.final_stages, book)
     }
 
     /// Returns the handles of the stages that no other comes after.
     pub(crate) fn handles(&self) -> Vec<String> {
         let stages = self
-            .taken
+            .final_stages
             .iter()
             .filter_map(|stage| self.stages[*stage].as_ref());
         stages
@@ -76,7 +76,7 @@
 impl StageFailure {
     /// Says whether the stages may well succeed when they are run anew: what they lost was lost with a
     /// target or a host, and others make it again.
-    pub(crate) fn is_worth_again(&self) -> bool {
+    pub(crate) fn is_retryable(&self) -> bool {
         matches!(
             self.fault,
             PieceFault::InputGone | PieceFault::Failed | PieceFault::Lost
@@ -92,29 +92,33 @@
             fault,
         } = self;
         let detail = format!("stage={number} service={service} cause={fault}");
-        Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(RETRY_LEAST)
+        Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(MIN_RETRY_AFTER)
     }
 }
 
 /// Runs all stages of a request whose generation will run in `hall`.
 pub(crate) async fn run_stages(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     hall: &str,
 ) -> Result<RequestResults, StageFailure> {
-    let stages = &ask.route.stages;
+    let stages = &request.route.stages;
     let mut results: Vec<Option<StageResults>> = stages.iter().map(|_| None).collect();
-    let mut done: Vec<bool> = ask.piece_counts.iter().map(|count| *count == 0).collect();
+    let mut done: Vec<bool> = request
+        .piece_counts
+        .iter()
+        .map(|count| *count == 0)
+        .collect();
     let mut started = done.clone();
     let mut running = FuturesUnordered::new();
-    let mut schedule = StageSchedule::new(gateway, ask);
-    let mut expected = expect_later(gateway, ask, &schedule);
+    let mut schedule = StageSchedule::new(gateway, request);
+    let mut expected = announce_later_stages(gateway, request, &schedule);
     loop {
         let now = Instant::now();
         let mut next_start: Option<Instant> = None;
         for number in 0..stages.len() {
-            let due = stages[number].after.iter().all(|after| done[*after]);
-            if started[number] || !due {
+            let is_ready = stages[number].after.iter().all(|after| done[*after]);
+            if started[number] || !is_ready {
                 continue;
             }
             if let Some(start) = schedule.start_of(number).filter(|start| *start > now) {
@@ -122,11 +126,11 @@
                 continue;
             }
             started[number] = true;
-            let inputs = inputs_of(ask, &results, number);
-            let stage_hall = hall_of_stage(gateway, ask, number, &results, hall);
+            let inputs = input_handles(request, &results, number);
+            let stage_hall = preferred_hall(gateway, request, number, &results, hall);
             // From here on the pieces wait themselves.
             expected[number] = None;
-            running.push(run_stage(gateway, ask, number, inputs, stage_hall));
+            running.push(run_stage(gateway, request, number, inputs, stage_hall));
         }
         let ended = tokio::select! {
             ended = running.next(), if !running.is_empty() => ended,
@@ -137,12 +141,12 @@
             results[number] = Some(outcome?);
             done[number] = true;
             schedule.note_end(number, Instant::now());
-            release_taken(ask, &mut results, &done);
+            release_consumed(request, &mut results, &done);
         }
     }
     Ok(RequestResults {
         stages: results,
-        taken: last_stages(ask),
+        final_stages: last_stages(request),
     })
 }
 
@@ -153,18 +157,23 @@
 }
 
 /// Tells the coordinators of all stages that start later of the pieces that will come.
-fn expect_later(
+fn announce_later_stages(
     gateway: &Gateway,
-    ask: &Ask,
+    request: &CallerRequest,
     schedule: &StageSchedule,
 ) -> Vec<Option<Expectation>> {
-    let stages = ask.route.stages.iter().zip(&ask.piece_counts).enumerate();
+    let stages = request
+        .route
+        .stages
+        .iter()
+        .zip(&request.piece_counts)
+        .enumerate();
     let later = stages.map(|(number, (stage, count))| {
-        let comes = *count > 0 && (!stage.after.is_empty() || schedule.is_deferred(number));
-        comes.then(|| {
-            gateway.stages.expect(ExpectedPieces {
-                pool: choose_part(gateway, ask, number, None),
-                rank: ask.rank,
+        let starts_later = *count > 0 && (!stage.after.is_empty() || schedule.is_deferred(number));
+        starts_later.then(|| {
+            gateway.stage_client.expect(ExpectedPieces {
+                pool: select_partition(gateway, request, number, None),
+                rank: request.rank,
                 pieces: *count,
             })
         })
@@ -174,19 +183,24 @@
 
 /// Releases the results that every stage which takes them has taken, since room for results is
 /// scarce at their targets.
-fn release_taken(ask: &Ask, results: &mut [Option<StageResults>], done: &[bool]) {
-    let stages = &ask.route.stages;
-    let last = last_stages(ask);
+fn release_consumed(request: &CallerRequest, results: &mut [Option<StageResults>], done: &[bool]) {
+    let stages = &request.route.stages;
+    let last = last_stages(request);
     for (number, held) in results.iter_mut().enumerate() {
-        let mut takers = (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
-        if !last.contains(&number) && takers.all(|later| done[later]) {
+        let mut consumers =
+            (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
+        if !last.contains(&number) && consumers.all(|later| done[later]) {
             *held = None;
         }
     }
 }
 
-fn inputs_of(ask: &Ask, results: &[Option<StageResults>], number: usize) -> Vec<String> {
-    let before = ask.route.stages[number].after.iter();
+fn input_handles(
+    request: &CallerRequest,
+    results: &[Option<StageResults>],
+    number: usize,
+) -> Vec<String> {
+    let before = request.route.stages[number].after.iter();
     let stages = before.filter_map(|after| results[*after].as_ref());
     stages
         .flat_map(|stage| stage.handles.iter().cloned())
@@ -195,92 +209,92 @@
 
 /// Returns where the results of some stages lie.
 fn bytes_by_hall(
-    ask: &Ask,
+    request: &CallerRequest,
     results: &[Option<StageResults>],
     numbers: &[usize],
     book: &TargetBook,
 ) -> HallBytes {
-    let mut places = HallBytes::default();
+    let mut bytes_by_hall = HallBytes::default();
     for number in numbers {
         let Some(stage) = &results[*number] else {
             continue;
         };
-        let bytes = ask.route.stages[*number].result_bytes;
+        let bytes = request.route.stages[*number].result_bytes;
         for handle in &stage.handles {
             if let Some(hall) = book.hall_at(&stage.service, maker_of(handle)) {
-                places.add(&hall, bytes);
+                bytes_by_hall.add(&hall, bytes);
             }
         }
     }
-    places
+    bytes_by_hall
 }
 
 /// Returns the hall where the pieces of a stage should run, where that matters: each piece fetches
 /// all results of the stages before it, and the request's target fetches those of the last ones.
-fn hall_of_stage(
+fn preferred_hall(
     gateway: &Gateway,
-    ask: &Ask,
+    request: &CallerRequest,
     number: usize,
     results: &[Option<StageResults>],
     target_hall: &str,
 ) -> Option<String> {
-    let stage = &ask.route.stages[number];
-    let inputs = bytes_by_hall(ask, results, &stage.after, &gateway.targets.borrow());
+    let stage = &request.route.stages[number];
+    let inputs = bytes_by_hall(request, results, &stage.after, &gateway.targets.borrow());
     if let Some((hall, bytes)) = inputs.heaviest()
         && bytes >= HALL_BYTES
     {
         return Some(hall.to_owned());
     }
-    let taken = stage.result_bytes >= HALL_BYTES && last_stages(ask).contains(&number);
+    let taken = stage.result_bytes >= HALL_BYTES && last_stages(request).contains(&number);
     taken.then(|| target_hall.to_owned())
 }
 
 async fn run_stage(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     number: usize,
     inputs: Vec<String>,
     hall: Option<String>,
 ) -> (usize, Result<StageResults, StageFailure>) {
-    let stage = &ask.route.stages[number];
+    let stage = &request.route.stages[number];
     let input = if stage.after.is_empty() {
-        PieceInput::Key(ask.piece_key.clone())
+        PieceInput::Key(request.piece_key.clone())
     } else {
         PieceInput::Results(inputs)
     };
-    let after = time_after(gateway, ask)[number];
-    let wanted = ask
+    let after = time_after(gateway, request)[number];
+    let objective = request
         .objective_left()
         .saturating_sub(Duration::from_secs_f64(after / 1_000.0));
     let batch = PieceBatch {
         number: 0,
-        pool: choose_part(gateway, ask, number, hall.as_deref()),
-        rank: ask.rank,
+        pool: select_partition(gateway, request, number, hall.as_deref()),
+        rank: request.rank,
         first: stage.after.is_empty(),
-        wanted_ms: wanted.as_millis() as u64,
-        remaining_ms: ask.time_left().as_millis() as u64,
+        wanted_ms: objective.as_millis() as u64,
+        remaining_ms: request.time_left().as_millis() as u64,
         hall,
-        homes: ask.homes.to_told(),
+        homes: request.allowed_halls.to_told(),
         result_bytes: stage.result_bytes,
-        key: ask.subject().key,
-        apart: ask.apart.get(),
+        key: request.subject().key,
+        apart: request.isolated.get(),
         work: StageWork {
-            request: ask.id.clone(),
+            request: request.id.clone(),
             stage: number,
             input,
         },
-        count: ask.piece_counts[number],
+        count: request.piece_counts[number],
     };
     let GatheredBatch {
         results,
         home,
         pool,
-    } = gateway.stages.run(batch).await;
+    } = gateway.stage_client.run(batch).await;
     let fault = results
         .iter()
         .find_map(|result| result.as_ref().err().copied());
     // Made results are released even where another piece failed.
-    let made = StageResults {
+    let produced = StageResults {
         gateway: gateway.clone(),
         service: stage.service.clone(),
         home,
@@ -289,7 +303,7 @@
         bytes: stage.result_bytes,
     };
     let outcome = match fault {
-        None => Ok(made),
+        None => Ok(produced),
         Some(fault) => Err(StageFailure {
             number,
             service: stage.service.clone(),
@@ -300,15 +314,20 @@
 }
 
 /// Chooses the part of a stage's pool that takes its pieces.
-fn choose_part(gateway: &Gateway, ask: &Ask, number: usize, hall: Option<&str>) -> PoolKey {
-    let table = gateway.table();
-    let service = &ask.route.stages[number].service;
-    let want = PartWant {
+fn select_partition(
+    gateway: &Gateway,
+    request: &CallerRequest,
+    number: usize,
+    hall: Option<&str>,
+) -> PoolKey {
+    let table = gateway.route_table();
+    let service = &request.route.stages[number].service;
+    let requirements = PartWant {
         spec: pool_of(table.as_deref(), service),
         hall,
-        rank: ask.rank,
-        pieces: ask.piece_counts[number],
-        homes: &ask.homes,
+        rank: request.rank,
+        pieces: request.piece_counts[number],
+        homes: &request.allowed_halls,
     };
-    gateway.stages.choose_part(service, &want)
+    gateway.stage_client.choose_part(service, &requirements)
 }
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -6,7 +6,7 @@
 use linnet_routing::RouteKind;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 
 /// Counts a request at its target until it is dropped.
 pub(crate) struct InFlight {
@@ -19,7 +19,7 @@
 }
 
 impl InFlight {
-    pub(crate) fn new(gateway: &Rc<Gateway>, service: &str, id: &str, ask: &Ask) -> Self {
+    pub(crate) fn new(gateway: &Rc<Gateway>, service: &str, id: &str, ask: &CallerRequest) -> Self {
         if let Some(target) = gateway.targets.borrow_mut().find_mut(service, id) {
             target.in_flight += 1;
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,18 +6,15 @@
 //! - [`serve_callers`] runs the callers' port, [`serve_pieces`] the port for other entry hosts.
 
 mod admission;
-mod answer;
-mod ask;
 mod attempt;
 mod body;
 mod budget;
+mod caller_request;
 mod caller_watch;
-mod choose;
 mod closed_service;
 mod cold;
 mod confinement;
 mod coordinator;
-mod dialect;
 mod engine;
 mod events;
 mod first_form;
@@ -28,6 +25,7 @@
 mod home_halls;
 mod in_flight;
 mod load;
+mod message_heads;
 mod metrics;
 mod notice;
 mod notice_book;
@@ -38,6 +36,7 @@
 mod piece;
 mod piece_message;
 mod pool_key;
+mod protocol;
 mod rate_permit;
 mod rate_turn;
 mod rate_watch;
@@ -54,16 +53,19 @@
 mod target;
 mod target_ask;
 mod target_end;
+mod target_selection;
 mod target_slowness;
 mod turn;
 mod upstream;
 mod version_split;
 mod wait_model;
 
-pub use body::{AnswerBody, BrokenAnswer};
-pub use dialect::{CallerDialect, Dialect, HeaderNames, StageAnswer, StageItem, TargetDialect};
+pub use body::{IncompleteResponse, ResponseBody};
 pub use gateway::{Gateway, GatewayConfig, NotReady};
 pub use outcome::{Refusal, RefusalReason};
 pub use piece::{PieceFault, PieceInput, StageWork};
+pub use protocol::{
+    CallerProtocol, HeaderNames, Protocol, StageItem, StageResponse, TargetProtocol,
+};
 pub use serve::serve_callers;
 pub use serve_pieces::serve_pieces;
--- /dev/null
+++ b/crates/gateway/src/message_heads.rs
@@ -0,0 +1,167 @@
+//! Heads of requests to targets and of answers to callers.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{HeaderMap, HeaderName, HeaderValue, Request, Response, Uri, header};
+use http_body_util::Full;
+
+use crate::caller_request::CallerRequest;
+use crate::protocol::{HeaderNames, Protocol};
+use crate::{Refusal, ResponseBody};
+
+/// Headers that concern one connection only.
+const CONNECTION_HEADERS: [HeaderName; 8] = [
+    header::CONNECTION,
+    HeaderName::from_static("keep-alive"),
+    header::PROXY_AUTHENTICATE,
+    header::PROXY_AUTHORIZATION,
+    header::TE,
+    header::TRAILER,
+    header::TRANSFER_ENCODING,
+    header::UPGRADE,
+];
+
+/// What the gateway tells a target beside the caller's request.
+pub(crate) struct TargetHeaders<'a> {
+    pub(crate) expected_target: &'a str,
+    pub(crate) results: Option<String>,
+    pub(crate) last_event: Option<&'a str>,
+    pub(crate) with_priority: bool,
+}
+
+/// Writes a caller's request for a target.
+pub(crate) fn build_target_request(
+    protocol: &Protocol,
+    request: &CallerRequest,
+    additions: &TargetHeaders<'_>,
+    left: Duration,
+) -> Result<Request<Full<Bytes>>, http::Error> {
+    let names = &protocol.headers;
+    let mut headers = end_to_end_headers(&request.headers);
+    for name in &protocol.callers.private {
+        headers.remove(name);
+    }
+    if request.account.is_some() {
+        headers.remove(header::AUTHORIZATION);
+    }
+    headers.remove(header::CONTENT_LENGTH);
+    headers.remove(header::EXPECT);
+    set_header(
+        &mut headers,
+        &names.deadline_ms,
+        &left.as_millis().to_string(),
+    );
+    set_header(
+        &mut headers,
+        &names.expect_target,
+        additions.expected_target,
+    );
+    if let Some(account) = &request.account {
+        set_header(&mut headers, &names.account, account);
+    }
+    if let Some(results) = &additions.results {
+        set_header(&mut headers, &names.results, results);
+    }
+    if let Some(last_event) = additions.last_event {
+        set_header(&mut headers, &names.last_event, last_event);
+    }
+    if additions.with_priority {
+        set_header(
+            &mut headers,
+            &names.priority,
+            &request.rank.engine_priority().to_string(),
+        );
+    }
+    // Only path and query: the host travels in its header, as the caller sent it.
+    let path = request
+        .uri
+        .path_and_query()
+        .map_or("/", |path| path.as_str());
+    let mut outgoing = Request::builder()
+        .method(request.method.clone())
+        .uri(Uri::try_from(path)?)
+        .body(Full::new(request.body.clone()))?;
+    *outgoing.headers_mut() = headers;
+    Ok(outgoing)
+}
+
+fn set_header(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
+    if let Ok(value) = HeaderValue::from_str(value) {
+        headers.insert(name, value);
+    }
+}
+
+/// Returns the headers that are passed on.
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers.clone();
+    let listed: Vec<HeaderName> = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
+    for name in listed.iter().chain(&CONNECTION_HEADERS) {
+        forwarded.remove(name);
+    }
+    forwarded
+}
+
+/// Writes the answer of a target for the caller.
+pub(crate) fn build_response(
+    status: http::StatusCode,
+    headers: &HeaderMap,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    let mut forwarded = end_to_end_headers(headers);
+    // The length of a whole body is known again; that of a stream may change when it goes on at
+    // another target.
+    forwarded.remove(header::CONTENT_LENGTH);
+    *response.headers_mut() = forwarded;
+    response
+}
+
+/// Writes a refusal for the caller.
+pub(crate) fn refusal_response(
+    protocol: &Protocol,
+    id: &str,
+    refusal: &Refusal,
+) -> Response<ResponseBody> {
+    let body = serde_json::json!({
+        "error": refusal.reason.to_string(),
+        "ran": if refusal.reason.promises_not_run() { "no" } else { "unknown" },
+        "detail": refusal.detail,
+    });
+    let mut response = Response::new(ResponseBody::full(body.to_string()));
+    *response.status_mut() = (protocol.callers.status)(refusal.reason);
+    let headers = response.headers_mut();
+    let json = HeaderValue::from_static("application/json");
+    headers.insert(header::CONTENT_TYPE, json);
+    if let Some(retry_after) = refusal.retry_after {
+        set_header(
+            headers,
+            &header::RETRY_AFTER,
+            &format!("{:.3}", retry_after.as_secs_f64()),
+        );
+    }
+    if !id.is_empty() {
+        set_header(headers, &protocol.headers.request_id, id);
+    }
+    response
+}
+
+/// Says whether an answer tells where its body ends, other than by the end of the connection.
+pub(crate) fn has_body_framing(headers: &HeaderMap) -> bool {
+    headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
+}
+
+/// Says whether an answer names the request that it belongs to.
+pub(crate) fn echoes_request_id(names: &HeaderNames, headers: &HeaderMap, id: &str) -> bool {
+    let echoed_id = headers
+        .get(&names.request_id)
+        .and_then(|value| value.to_str().ok());
+    echoed_id == Some(id)
+}
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -193,7 +193,7 @@
         metrics
     }
 
-    pub(crate) fn count(&self, outcome: &str, priority: u8) {
+    pub(crate) fn count_request(&self, outcome: &str, priority: u8) {
         let labels = OutcomeLabels {
             outcome: outcome.to_owned(),
             priority,
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, header};
 use linnet_rate::{NamedRate, read_rate};
 
-use crate::Dialect;
+use crate::Protocol;
 
 /// The longest back-off that is taken, so that a target which writes a number without meaning is not lost
 /// until its next start.
@@ -61,7 +61,7 @@
 ///
 /// A head that names another request than `asked` is a surplus answer, which may be old, and says nothing.
 /// Answers without an identity are taken: a target that refuses need not have read the request's.
-pub(crate) fn read_notice(dialect: &Dialect, head: &Parts, asked: Option<&str>) -> TargetNotice {
+pub(crate) fn read_notice(dialect: &Protocol, head: &Parts, asked: Option<&str>) -> TargetNotice {
     let echoed = head.headers.get(&dialect.headers.request_id);
     let echoed = echoed.filter(|echoed| !echoed.is_empty());
     if echoed.is_some_and(|echoed| asked != echoed.to_str().ok()) {
--- a/crates/gateway/src/notice/tests.rs
+++ b/crates/gateway/src/notice/tests.rs
@@ -1,7 +1,7 @@
 use http::Response;
 
 use super::*;
-use crate::gateway::tests::dialect;
+use crate::gateway::tests::protocol;
 
 /// 6 November 1994, 8:49:37, as in the standard of the dates.
 const SENT: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
@@ -15,7 +15,7 @@
 }
 
 fn back_off(headers: &[(&str, &str)]) -> Option<Duration> {
-    read_notice(&dialect(), &head(503, headers), Some("r")).back_off
+    read_notice(&protocol(), &head(503, headers), Some("r")).back_off
 }
 
 fn named(value: &str) -> Option<Duration> {
@@ -76,7 +76,7 @@
     assert!(back_off(&[wait]).is_some());
     assert!(back_off(&[wait, ("x-not-run", "1")]).is_some());
     for status in [200, 301, 409, 421, 429, 500, 502] {
-        let notice = read_notice(&dialect(), &head(status, &[wait]), Some("r"));
+        let notice = read_notice(&protocol(), &head(status, &[wait]), Some("r"));
         assert!(!notice.closes(), "{status}");
     }
 }
@@ -86,7 +86,7 @@
     let said = [("retry-after", "2"), ("x-leaving", "1")];
     let read = |id: &[(&str, &str)], asked| {
         let headers = [&said[..], id].concat();
-        read_notice(&dialect(), &head(503, &headers), asked)
+        read_notice(&protocol(), &head(503, &headers), asked)
     };
     let all = TargetNotice {
         back_off: Some(Duration::from_secs(2)),
@@ -110,12 +110,12 @@
 #[test]
 fn any_answer_may_say_that_its_target_leaves() {
     for status in [200, 409, 500, 503] {
-        let notice = read_notice(&dialect(), &head(status, &[("x-leaving", "1")]), Some("r"));
+        let notice = read_notice(&protocol(), &head(status, &[("x-leaving", "1")]), Some("r"));
         assert!(notice.leaving, "{status}");
-        let notice = read_notice(&dialect(), &head(status, &[("x-leaving", "0")]), Some("r"));
+        let notice = read_notice(&protocol(), &head(status, &[("x-leaving", "0")]), Some("r"));
         assert!(!notice.leaving, "{status}");
     }
-    let other = read_notice(&dialect(), &head(421, &[("x-leaving", "1")]), Some("r"));
+    let other = read_notice(&protocol(), &head(421, &[("x-leaving", "1")]), Some("r"));
     assert!(
         !other.leaving,
         "another start at the address speaks for itself"
@@ -123,7 +123,7 @@
 }
 
 fn rate(status: u16, headers: &[(&str, &str)]) -> RateNotice {
-    read_notice(&dialect(), &head(status, headers), Some("r")).rate
+    read_notice(&protocol(), &head(status, headers), Some("r")).rate
 }
 
 #[test]
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -30,7 +30,7 @@
     Overloaded,
     /// Targets ended while it ran, each time it came, so it is not sent to any.
     #[display("ends_targets")]
-    EndsTargets,
+    CrashesTargets,
     /// A target may have run it and gave no usable answer.
     #[display("target_failed")]
     TargetFailed,
@@ -49,7 +49,7 @@
         Self::NotReady,
         Self::NoTarget,
         Self::Overloaded,
-        Self::EndsTargets,
+        Self::CrashesTargets,
         Self::TargetFailed,
         Self::TimedOut,
     ];
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -3,7 +3,7 @@
 use linnet_routing::{RouteTable, StagePool};
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::wait_model::PathPlan;
 
 /// Time that a request takes for its stages, as far as is known.
@@ -17,8 +17,8 @@
 }
 
 /// Returns how long the stages of a request would take if it began now.
-pub(crate) fn path_time(gateway: &Gateway, ask: &Ask) -> PathTime {
-    let table = gateway.table();
+pub(crate) fn path_time(gateway: &Gateway, ask: &CallerRequest) -> PathTime {
+    let table = gateway.route_table();
     let stages = &ask.route.stages;
     // End and waits of each stage. What waits at a later pool now is served meanwhile.
     let mut ends: Vec<(f64, f64)> = Vec::with_capacity(stages.len());
@@ -27,7 +27,7 @@
         let before = stage.after.iter().map(|before| ends[*before]);
         let (start, waits) = before.fold((0.0, 0.0), longer);
         let count = ask.piece_counts[number];
-        let load = gateway.stages.load_of(&stage.service);
+        let load = gateway.stage_client.load_of(&stage.service);
         let pool = pool_of(table.as_deref(), &stage.service);
         let own_ms = own_ms(pool, count);
         let wait = match (pool, load) {
@@ -53,8 +53,8 @@
 
 /// Returns the time from the end of each stage to the first event, where nothing waits, in
 /// milliseconds.
-pub(crate) fn time_after(gateway: &Gateway, ask: &Ask) -> Vec<f64> {
-    let table = gateway.table();
+pub(crate) fn time_after(gateway: &Gateway, ask: &CallerRequest) -> Vec<f64> {
+    let table = gateway.route_table();
     let stages = &ask.route.stages;
     let mut after = vec![reading_ms(gateway, ask); stages.len()];
     for (number, stage) in stages.iter().enumerate().rev() {
@@ -84,16 +84,16 @@
     if b.0 > a.0 { b } else { a }
 }
 
-fn reading_ms(gateway: &Gateway, ask: &Ask) -> f64 {
+fn reading_ms(gateway: &Gateway, ask: &CallerRequest) -> f64 {
     ask.prompt.as_ref().map_or(0.0, |prompt| {
-        let unshared = prompt.own_tokens();
-        let engines = gateway.engines.borrow();
+        let unshared = prompt.unshared_tokens();
+        let engines = gateway.engine_placer.borrow();
         engines.reading_time(unshared).as_secs_f64() * 1_000.0
     })
 }
 
 /// Returns the stages that no stage with pieces comes after.
-pub(crate) fn last_stages(ask: &Ask) -> Vec<usize> {
+pub(crate) fn last_stages(ask: &CallerRequest) -> Vec<usize> {
     let stages = &ask.route.stages;
     let taken_by_later = |number: usize| {
         let later = stages.iter().zip(&ask.piece_counts);
--- a/crates/gateway/src/piece.rs
+++ b/crates/gateway/src/piece.rs
@@ -7,7 +7,7 @@
 use linnet_routing::StagePool;
 use serde::{Deserialize, Serialize};
 
-use crate::ask::Rank;
+use crate::caller_request::Rank;
 use crate::pool_key::PoolKey;
 
 /// What a piece works on.
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -6,7 +6,7 @@
 use linnet_rate::{NamedRate, RateWord};
 
 use super::*;
-use crate::ask::{Prompt, PromptPart, Rank};
+use crate::caller_request::{Prompt, PromptPart, Rank};
 use crate::hall_bytes::HallBytes;
 use crate::load::ReportedLoad;
 use crate::piece::{PieceInput, StageWork};
@@ -32,8 +32,8 @@
 }
 
 const RANK: Rank = Rank {
-    first: 1,
-    second: 2,
+    account_priority: 1,
+    route_priority: 2,
 };
 
 fn work() -> StageWork {
@@ -68,9 +68,9 @@
     PlaceAsk {
         service: "engine".to_owned(),
         prompt: Prompt {
-            tokens_in: 1_460,
-            tokens_out: 80,
-            shared: vec![PromptPart {
+            input_tokens: 1_460,
+            max_output_tokens: 80,
+            shared_parts: vec![PromptPart {
                 id: "5c1e07a2".to_owned(),
                 tokens: 800,
             }],
--- a/crates/gateway/src/pool_key.rs
+++ b/crates/gateway/src/pool_key.rs
@@ -9,7 +9,7 @@
 use linnet_directory::TargetRecord;
 use serde::{Deserialize, Serialize};
 
-use crate::ask::Prompt;
+use crate::caller_request::Prompt;
 use crate::rendezvous;
 
 /// The most targets for which one host gathers pieces.
@@ -81,7 +81,7 @@
     if all <= MAX_PLACED_TARGETS {
         return PoolKey::whole(service);
     }
-    let key = prompt.place_score();
+    let key = prompt.affinity_key();
     let parts = halls.iter().flat_map(|(hall, count)| {
         let of = count.div_ceil(MAX_PLACED_TARGETS) as u16;
         let weight = f64::from(*count) / f64::from(of);
--- a/crates/gateway/src/pool_key/tests.rs
+++ b/crates/gateway/src/pool_key/tests.rs
@@ -1,7 +1,7 @@
 use linnet_directory::TargetState;
 
 use super::*;
-use crate::ask::PromptPart;
+use crate::caller_request::PromptPart;
 
 /// Targets of one service: so many in each hall.
 fn records(halls: &[usize]) -> Vec<TargetRecord> {
@@ -97,15 +97,15 @@
     assert!(map.parts_of("stage").is_empty());
 }
 
-fn prompt(shared: &str, tokens_in: u64) -> Prompt {
+fn prompt(shared: &str, input_tokens: u64) -> Prompt {
     let part = PromptPart {
         id: shared.to_owned(),
         tokens: 100,
     };
     Prompt {
-        tokens_in,
-        tokens_out: 1,
-        shared: if shared.is_empty() {
+        input_tokens,
+        max_output_tokens: 1,
+        shared_parts: if shared.is_empty() {
             Vec::new()
         } else {
             vec![part]
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/protocol.rs
@@ -44,7 +44,7 @@
 
 /// How callers speak.
 #[derive(Debug, Clone)]
-pub struct CallerDialect {
+pub struct CallerProtocol {
     /// Headers that callers may send and that are the gateway's to set.
     pub private: Vec<HeaderName>,
     /// The status of a refusal.
@@ -63,11 +63,11 @@
 }
 
 /// What a stage target answered for each piece: a handle of the result, or why there is none.
-pub type StageAnswer = Vec<Result<String, PieceFault>>;
+pub type StageResponse = Vec<Result<String, PieceFault>>;
 
 /// How targets speak.
 #[derive(Debug, Clone)]
-pub struct TargetDialect {
+pub struct TargetProtocol {
     /// Path at which stage targets take calls.
     pub stage_run_path: &'static str,
     /// Path at which stage targets are told that results are not needed any more.
@@ -75,7 +75,7 @@
     /// Writes the body of a call.
     pub encode_stage_run: fn(&[StageItem<'_>]) -> Vec<u8>,
     /// Reads the answer to a call; nothing where it is no answer.
-    pub decode_stage_run: fn(&[u8]) -> Option<StageAnswer>,
+    pub decode_stage_run: fn(&[u8]) -> Option<StageResponse>,
     /// Writes the body of a release of results.
     pub encode_stage_free: fn(&[String]) -> Vec<u8>,
     /// Path at which a stage target reports what it has.
@@ -92,11 +92,11 @@
 
 /// How callers and targets speak.
 #[derive(Debug, Clone)]
-pub struct Dialect {
+pub struct Protocol {
     /// Header names, common to both.
     pub headers: HeaderNames,
     /// Callers.
-    pub callers: CallerDialect,
+    pub callers: CallerProtocol,
     /// Targets.
-    pub targets: TargetDialect,
+    pub targets: TargetProtocol,
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -10,24 +10,24 @@
 use linnet_telemetry::EventCode;
 use tokio::time::timeout;
 
-use crate::answer::{answer_of, is_framed};
-use crate::ask::Ask;
-use crate::attempt::{Attempt, AttemptEnd, EventStream, send_attempt};
-use crate::body::BrokenAnswer;
-use crate::choose::{PassedTargets, next_target};
+use crate::attempt::{Attempt, AttemptOutcome, EventStream, send_attempt};
+use crate::body::IncompleteResponse;
+use crate::caller_request::CallerRequest;
 use crate::events::last_event_id;
-use crate::forward::take_repeat;
+use crate::forward::take_retry;
 use crate::graph::RequestResults;
+use crate::message_heads::{build_response, has_body_framing};
 use crate::rollouts::AnswerQuality;
 use crate::target::Chosen;
+use crate::target_selection::{ExcludedTargets, select_or_await_target};
 use crate::turn::{RunTurn, take_turn};
-use crate::upstream::is_break;
-use crate::{AnswerBody, Gateway};
+use crate::upstream::is_peer_disconnect;
+use crate::{Gateway, ResponseBody};
 
 /// What a stream needs to go on.
-pub(crate) struct Relay {
+pub(crate) struct StreamRelay {
     gateway: Rc<Gateway>,
-    ask: Rc<Ask>,
+    request: Rc<CallerRequest>,
     service: String,
     chosen: Chosen,
     /// Kept where the stream may have to begin anew elsewhere.
@@ -41,105 +41,105 @@
     /// Whether its end has a line in the log.
     ended: bool,
     /// The leave to run that it needed.
-    turn: Option<RunTurn>,
+    run_permit: Option<RunTurn>,
 }
 
 // The HTTP library drops a stream whose caller has closed the connection.
-impl Drop for Relay {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
         if !self.ended {
             let outcome = "outcome=the caller left its stream";
-            self.note(EventCode::RequestCancelled, outcome);
+            self.record(EventCode::RequestCancelled, outcome);
         }
     }
 }
 
-impl Relay {
+impl StreamRelay {
     pub(crate) fn new(
         gateway: &Rc<Gateway>,
-        ask: &Rc<Ask>,
+        request: &Rc<CallerRequest>,
         service: String,
         chosen: Chosen,
         results: Option<RequestResults>,
         attempts: u32,
     ) -> Self {
-        let keeps = ask.route.may_repeat() && attempts < ask.route.max_attempts;
+        let may_resume = request.route.may_repeat() && attempts < request.route.max_attempts;
         Self {
             gateway: gateway.clone(),
-            ask: ask.clone(),
+            request: request.clone(),
             service,
             tried: vec![chosen.id.clone()],
             chosen,
             // The target has taken the results with its first event.
-            results: results.filter(|_| keeps),
+            results: results.filter(|_| may_resume),
             attempts,
             sent: Instant::now(),
             last_event: None,
             events: 0,
             ended: false,
-            turn: None,
+            run_permit: None,
         }
     }
 
     /// Sets the leave to run that it has.
-    pub(crate) fn with_turn(mut self, turn: Option<RunTurn>) -> Self {
-        self.turn = turn;
+    pub(crate) fn with_run_permit(mut self, run_permit: Option<RunTurn>) -> Self {
+        self.run_permit = run_permit;
         self
     }
 
-    fn take(&mut self, events: &Bytes) {
+    fn record_events(&mut self, events: &Bytes) {
         self.events += 1;
         if let Some(id) = last_event_id(events) {
             self.last_event = Some(id);
         }
     }
 
-    fn note(&self, code: EventCode, outcome: &str) {
+    fn record(&self, code: EventCode, outcome: &str) {
         let detail = format!(
             "route={} chunks={} last_event={} took_ms={} {outcome}",
-            self.ask.route.name,
+            self.request.route.name,
             self.events,
             self.last_event.as_deref().unwrap_or("-"),
-            self.ask.arrived.elapsed().as_millis()
+            self.request.arrived_at.elapsed().as_millis()
         );
         self.gateway
-            .note_request(code, &self.ask.id, &self.chosen.id, detail);
+            .record_request_event(code, &self.request.id, &self.chosen.id, detail);
     }
 
     /// Writes the line of its end.
-    fn end(&mut self, code: EventCode, outcome: &str) {
+    fn finish(&mut self, code: EventCode, outcome: &str) {
         self.ended = true;
-        self.note(code, outcome);
+        self.record(code, outcome);
     }
 
     /// Notes that the target broke the stream off.
-    async fn note_break(&self) {
+    async fn probe_target(&self) {
         let (service, chosen) = (&self.service, &self.chosen);
         self.gateway
-            .note_break(service, chosen, &self.ask, self.sent)
+            .note_break(service, chosen, &self.request, self.sent)
             .await;
     }
 
     /// Finds another target that goes on with the stream.
     async fn resume(&mut self, cause: &str) -> Option<Box<EventStream>> {
         let (service, target) = (&self.service, &self.chosen.id);
-        self.gateway.note_target_failure(service, target, cause);
-        let route = &self.ask.route.name;
+        self.gateway.record_target_failure(service, target, cause);
+        let route = &self.request.route.name;
         self.gateway
             .count_answer(service, target, route, AnswerQuality::Failed);
-        while self.ask.route.may_repeat()
-            && self.attempts < self.ask.route.max_attempts
-            && take_turn(&self.gateway, &self.ask, &mut self.turn)
+        while self.request.route.may_repeat()
+            && self.attempts < self.request.route.max_attempts
+            && take_turn(&self.gateway, &self.request, &mut self.run_permit)
                 .await
                 .is_ok()
-            && take_repeat(&self.gateway, &self.service)
+            && take_retry(&self.gateway, &self.service)
         {
             self.attempts += 1;
-            self.turn.iter_mut().for_each(RunTurn::note_sending);
-            if let (chosen, AttemptEnd::Events(stream)) = self.send_on().await? {
+            self.run_permit.iter_mut().for_each(RunTurn::note_sending);
+            if let (chosen, AttemptOutcome::Streaming(stream)) = self.try_next_target().await? {
                 self.chosen = chosen;
                 self.sent = Instant::now();
-                self.note(EventCode::StreamResumed, &format!("cause={cause}"));
+                self.record(EventCode::StreamResumed, &format!("cause={cause}"));
                 return Some(stream);
             }
         }
@@ -147,14 +147,16 @@
     }
 
     /// Sends the request to another target, which is to go on after the last event; nothing where there is none.
-    async fn send_on(&mut self) -> Option<(Chosen, AttemptEnd)> {
+    async fn try_next_target(&mut self) -> Option<(Chosen, AttemptOutcome)> {
         loop {
             let (gateway, results) = (&self.gateway, self.results.as_ref());
-            let passed = PassedTargets {
+            let excluded = ExcludedTargets {
                 tried: &self.tried,
-                rated: false,
+                rate_limited: false,
             };
-            let next = next_target(gateway, &self.service, &self.ask, passed, results).await;
+            let next =
+                select_or_await_target(gateway, &self.service, &self.request, excluded, results)
+                    .await;
             let (chosen, placement) = next.ok()?;
             let attempt = Attempt {
                 service: &self.service,
@@ -163,91 +165,96 @@
                 results,
                 last_event: self.last_event.as_deref(),
             };
-            let end = send_attempt(gateway, &self.ask, attempt, false).await;
+            let outcome = send_attempt(gateway, &self.request, attempt, false).await;
             self.tried.push(chosen.id.clone());
-            if !matches!(end, AttemptEnd::Withheld) {
-                return Some((chosen, end));
+            if !matches!(outcome, AttemptOutcome::Withheld) {
+                return Some((chosen, outcome));
             }
         }
     }
 }
 
 /// Where a stream stands.
-enum Stage {
+enum RelayState {
     /// Events that are to be handed out before more are read.
-    Holding(Relay, Box<EventStream>),
+    FirstEvents(StreamRelay, Box<EventStream>),
     /// Events are to be read.
-    Reading(Relay, Box<EventStream>),
+    Reading(StreamRelay, Box<EventStream>),
     /// It has ended.
     Ended,
 }
 
 /// Answers with a stream. The head is that of the first target, whichever goes on later.
-pub(crate) fn relay_events(relay: Relay, stream: Box<EventStream>) -> Response<AnswerBody> {
+pub(crate) fn relay_stream(relay: StreamRelay, stream: Box<EventStream>) -> Response<ResponseBody> {
     let (status, headers) = (stream.status, stream.headers.clone());
-    let chunks = stream::unfold(Stage::Holding(relay, stream), next_chunk);
-    answer_of(status, &headers, AnswerBody::Chunks(Box::pin(chunks)))
+    let chunks = stream::unfold(RelayState::FirstEvents(relay, stream), next_chunk);
+    build_response(status, &headers, ResponseBody::Stream(Box::pin(chunks)))
 }
 
-async fn next_chunk(stage: Stage) -> Option<(Result<Bytes, BrokenAnswer>, Stage)> {
-    let (mut relay, mut stream) = match stage {
-        Stage::Holding(mut relay, mut stream) => {
+async fn next_chunk(state: RelayState) -> Option<(Result<Bytes, IncompleteResponse>, RelayState)> {
+    let (mut relay, mut stream) = match state {
+        RelayState::FirstEvents(mut relay, mut stream) => {
             let first = std::mem::take(&mut stream.first);
-            relay.take(&first);
-            return Some((Ok(first), Stage::Reading(relay, stream)));
+            relay.record_events(&first);
+            return Some((Ok(first), RelayState::Reading(relay, stream)));
         }
-        Stage::Reading(relay, stream) => (relay, stream),
-        Stage::Ended => return None,
+        RelayState::Reading(relay, stream) => (relay, stream),
+        RelayState::Ended => return None,
     };
-    let deadline = relay.ask.deadline.saturating_duration_since(Instant::now());
+    let deadline = relay
+        .request
+        .deadline
+        .saturating_duration_since(Instant::now());
     match timeout(deadline, read_events(&mut stream)).await {
         Ok(Ok(Some(events))) => {
-            relay.take(&events);
-            Some((Ok(events), Stage::Reading(relay, stream)))
+            relay.record_events(&events);
+            Some((Ok(events), RelayState::Reading(relay, stream)))
         }
         Ok(Ok(None)) => {
             let EventStream { lease, headers, .. } = *stream;
-            lease.finish(&headers);
+            lease.release(&headers);
             // The end of a target looks like the end of an answer that ends with its connection.
-            if is_framed(&headers) {
-                relay.gateway.note_whole_run(&relay.ask, &relay.chosen.id);
+            if has_body_framing(&headers) {
+                relay
+                    .gateway
+                    .note_whole_run(&relay.request, &relay.chosen.id);
             } else {
-                relay.note_break().await;
+                relay.probe_target().await;
             }
-            relay.end(EventCode::RequestFinished, "outcome=stream ended");
+            relay.finish(EventCode::RequestFinished, "outcome=stream ended");
             None
         }
         Ok(Err(error)) => {
-            if is_break(&error) {
-                relay.note_break().await;
+            if is_peer_disconnect(&error) {
+                relay.probe_target().await;
             }
-            go_on(relay, stream, &format!("stream cut short: {error}")).await
+            resume_or_abort(relay, stream, &format!("stream cut short: {error}")).await
         }
         Err(_) => {
-            relay.end(EventCode::RequestFailed, "outcome=timed out in its stream");
-            Some((Err(BrokenAnswer), Stage::Ended))
+            relay.finish(EventCode::RequestFailed, "outcome=timed out in its stream");
+            Some((Err(IncompleteResponse), RelayState::Ended))
         }
     }
 }
 
-async fn go_on(
-    mut relay: Relay,
+async fn resume_or_abort(
+    mut relay: StreamRelay,
     stream: Box<EventStream>,
     cause: &str,
-) -> Option<(Result<Bytes, BrokenAnswer>, Stage)> {
+) -> Option<(Result<Bytes, IncompleteResponse>, RelayState)> {
     drop(stream);
     match relay.resume(cause).await {
         Some(mut stream) => {
             let first = std::mem::take(&mut stream.first);
-            relay.take(&first);
-            Some((Ok(first), Stage::Reading(relay, stream)))
+            relay.record_events(&first);
+            Some((Ok(first), RelayState::Reading(relay, stream)))
         }
         None => {
-            relay.end(
+            relay.finish(
                 EventCode::RequestFailed,
                 &format!("outcome=stream cut cause={cause}"),
             );
-            Some((Err(BrokenAnswer), Stage::Ended))
+            Some((Err(IncompleteResponse), RelayState::Ended))
         }
     }
 }
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -10,8 +10,8 @@
 use linnet_telemetry::EventCode;
 
 use crate::Gateway;
-use crate::ask::Ask;
-use crate::attempt::AttemptEnd;
+use crate::attempt::AttemptOutcome;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::DueCall;
 use crate::engine::PlaceFacts;
 use crate::piece::PieceFault;
@@ -71,22 +71,22 @@
     }
 
     fn of_end(
-        ask: &Ask,
-        end: &AttemptEnd,
+        ask: &CallerRequest,
+        end: &AttemptOutcome,
         took: Duration,
         facts: Option<PlaceFacts>,
     ) -> Option<Self> {
         let took_ms = took.as_secs_f64() * 1_000.0;
         match end {
             // Nothing ran, which says how full a target is.
-            AttemptEnd::NotRun { .. } | AttemptEnd::Withheld => None,
-            AttemptEnd::MayHaveRun { .. } => Some(Self::Failed),
-            AttemptEnd::Whole(status, ..) if status.is_server_error() => Some(Self::Failed),
-            AttemptEnd::Whole(..) if ask.route.kind != RouteKind::Streaming => {
+            AttemptOutcome::NotRun { .. } | AttemptOutcome::Withheld => None,
+            AttemptOutcome::MayHaveRun { .. } => Some(Self::Failed),
+            AttemptOutcome::Complete(status, ..) if status.is_server_error() => Some(Self::Failed),
+            AttemptOutcome::Complete(..) if ask.route.kind != RouteKind::Streaming => {
                 Some(Self::Took(took_ms))
             }
-            AttemptEnd::Whole(..) => Some(Self::Good),
-            AttemptEnd::Events(_) => Some(match facts {
+            AttemptOutcome::Complete(..) => Some(Self::Good),
+            AttemptOutcome::Streaming(_) => Some(match facts {
                 Some(facts) => Self::of_ratio(
                     took_ms + PROMPT_BASE_MS,
                     f64::from(facts.expected_ms) + PROMPT_BASE_MS,
@@ -112,7 +112,7 @@
 
     /// Takes what control hosts told of roll-outs, and whether any is heard; says whether that is news.
     pub(crate) fn refresh_rollouts(&self) -> bool {
-        let view = self.view.borrow();
+        let view = self.directory.borrow();
         let (told, hears) = (view.rollouts(), view.is_connected());
         let heard = self.rollouts.hears.replace(hears);
         if *self.rollouts.book.borrow() == *told && heard == hears {
@@ -138,16 +138,16 @@
                 "service={service} version={} revision={} step={} permille={} state={} heard={hears}",
                 record.version, record.revision, record.step, record.permille, record.state
             );
-            self.note(EventCode::RolloutInForce, &detail);
+            self.record_event(EventCode::RolloutInForce, &detail);
         }
     }
 
     /// Counts how an attempt at a target ended.
     pub(crate) fn count_attempt(
         &self,
-        ask: &Ask,
+        ask: &CallerRequest,
         (service, chosen): (&str, &Chosen),
-        end: &AttemptEnd,
+        end: &AttemptOutcome,
         took: Duration,
         facts: Option<PlaceFacts>,
     ) {
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::HALL_BYTES;
 use crate::path_time::{last_stages, path_time};
 
@@ -36,7 +36,7 @@
 
 impl StageSchedule {
     /// Plans the stages of a request that starts now.
-    pub(crate) fn new(gateway: &Gateway, ask: &Ask) -> Self {
+    pub(crate) fn new(gateway: &Gateway, ask: &CallerRequest) -> Self {
         let path = path_time(gateway, ask);
         let last = last_stages(ask);
         let stages = ask.route.stages.iter().enumerate();
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -16,11 +16,11 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use crate::answer::refusal_answer;
-use crate::ask::{Ask, read_ask, read_time};
+use crate::caller_request::{CallerRequest, parse_millis_header, parse_request};
 use crate::forward::forward;
+use crate::message_heads::refusal_response;
 use crate::open_request::OpenRequest;
-use crate::{AnswerBody, Gateway, Refusal, RefusalReason};
+use crate::{Gateway, Refusal, RefusalReason, ResponseBody};
 
 /// The least buffer that the HTTP library takes for a head, in bytes.
 const LEAST_HEAD_BUFFER: usize = 8 * 1024;
@@ -54,7 +54,7 @@
     socket: TcpStream,
     mut stop: watch::Receiver<bool>,
 ) {
-    let table = gateway.table();
+    let table = gateway.route_table();
     let limits = table.map_or_else(Default::default, |table| table.config().limits.clone());
     let serving = gateway.clone();
     let service = service_fn(move |request| {
@@ -82,18 +82,20 @@
     }
 }
 
-async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     let open = OpenRequest::new(&gateway.open_requests);
     match take_request(&gateway, request).await {
         Ok(mut ask) => {
-            ask.open = Some(open);
+            ask.in_flight_guard = Some(open);
             forward(gateway, ask).await
         }
         Err((id, refusal)) => {
             let code = EventCode::RequestRefused;
-            gateway.metrics.count(&refusal.reason.to_string(), 0);
-            gateway.note_request(code, &id, "", format!("outcome={refusal}"));
-            refusal_answer(&gateway.config.dialect, &id, &refusal)
+            gateway
+                .metrics
+                .count_request(&refusal.reason.to_string(), 0);
+            gateway.record_request_event(code, &id, "", format!("outcome={refusal}"));
+            refusal_response(&gateway.config.protocol, &id, &refusal)
         }
     }
 }
@@ -101,22 +103,22 @@
 async fn take_request(
     gateway: &Gateway,
     request: Request<Incoming>,
-) -> Result<Ask, (String, Refusal)> {
+) -> Result<CallerRequest, (String, Refusal)> {
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let names = &gateway.config.dialect.headers;
+    let names = &gateway.config.protocol.headers;
     let id = head.headers.get(&names.request_id);
     let id = id
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default()
         .to_owned();
-    let patience = gateway.start_patience(read_time(&head.headers, &names.deadline_ms));
-    let Some(table) = gateway.table_within(patience).await else {
+    let patience = gateway.startup_wait(parse_millis_header(&head.headers, &names.deadline_ms));
+    let Some(table) = gateway.wait_for_route_table(patience).await else {
         let refusal = Refusal::new(RefusalReason::NotReady, "no configuration yet")
             .with_retry_after(NOT_READY_RETRY_AFTER);
         return Err((id, refusal));
     };
-    let mut ask = read_ask(&table, names, &gateway.config.halls, head, arrived)
+    let mut ask = parse_request(&table, names, &gateway.config.hall_regions, head, arrived)
         .map_err(|refusal| (id.clone(), refusal))?;
     ask.body = read_body(body, table.config().limits.max_body_bytes, &ask)
         .await
@@ -124,7 +126,7 @@
     Ok(ask)
 }
 
-async fn read_body(body: Incoming, most: usize, ask: &Ask) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, most: usize, ask: &CallerRequest) -> Result<Bytes, Refusal> {
     match timeout(ask.time_left(), Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -125,7 +125,7 @@
     /// Notes the form that the other host speaks, which it did not announce.
     fn note_form(&self, peer: &str, form: MessageForm) {
         let detail = format!("peer={peer} form={form}");
-        self.gateway.note(EventCode::PeerEarlier, &detail);
+        self.gateway.record_event(EventCode::PeerEarlier, &detail);
     }
 
     fn take(&mut self, request: PieceRequest) {
@@ -157,7 +157,7 @@
             PieceRequest::EndTurn(number) => self.end_turn(number),
             PieceRequest::Alive => {}
             PieceRequest::TakeRate { number, ask } => {
-                let answer = self.gateway.answer_rate(&ask);
+                let answer = self.gateway.handle_send_permit_request(&ask);
                 let _ = self.replies.send(PieceReply::Rate { number, answer });
             }
         }
@@ -195,7 +195,7 @@
 
     fn plan(&self, number: u64, ask: &PlaceAsk) {
         let book = self.gateway.targets.borrow();
-        let engines = self.gateway.engines.borrow();
+        let engines = self.gateway.engine_placer.borrow();
         let planned = engines.plan(&book, ask, Instant::now());
         let engine = planned.map(|(chosen, facts)| (chosen.id, facts));
         let _ = self.replies.send(PieceReply::Placed { number, engine });
@@ -204,7 +204,7 @@
     fn place(&mut self, number: u64, ask: &PlaceAsk) {
         let placed = {
             let book = self.gateway.targets.borrow();
-            let mut engines = self.gateway.engines.borrow_mut();
+            let mut engines = self.gateway.engine_placer.borrow_mut();
             engines.place(&book, ask, Instant::now())
         };
         let engine = placed.map(|(key, chosen, facts)| {
@@ -216,14 +216,14 @@
 
     fn note_read(&self, number: u64) {
         if let Some(key) = self.placements.get(&number) {
-            let mut engines = self.gateway.engines.borrow_mut();
+            let mut engines = self.gateway.engine_placer.borrow_mut();
             engines.note_read(*key, Instant::now());
         }
     }
 
     fn end_placement(&mut self, number: u64) {
         if let Some(key) = self.placements.remove(&number) {
-            self.gateway.engines.borrow_mut().end(key);
+            self.gateway.engine_placer.borrow_mut().end(key);
         }
     }
 
@@ -261,7 +261,7 @@
 
 impl Drop for PieceSession {
     fn drop(&mut self) {
-        let mut engines = self.gateway.engines.borrow_mut();
+        let mut engines = self.gateway.engine_placer.borrow_mut();
         self.placements.values().for_each(|key| engines.end(*key));
         drop(engines);
         let turns = self.turns.values();
@@ -307,7 +307,7 @@
     loop {
         sleep(ALIVE_PERIOD).await;
         let would_gather = |pool: &PoolKey| {
-            let successors = gateway.stages.successors(pool);
+            let successors = gateway.stage_client.successors(pool);
             successors.iter().any(|name| name == peer)
         };
         let mut uses = gateway.coordinator.uses(would_gather);
--- a/crates/gateway/src/serve_pieces/tests/fleet.rs
+++ b/crates/gateway/src/serve_pieces/tests/fleet.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::ask::{Prompt, PromptPart, Rank};
+use crate::caller_request::{Prompt, PromptPart, Rank};
 use crate::engine::PlaceAsk;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceInput, StageWork};
 use crate::piece_message::{PieceReply, PieceRequest};
@@ -177,8 +177,8 @@
 /// pieces.
 fn batch_requests(number: u64) -> [PieceRequest; 3] {
     let rank = Rank {
-        first: 1,
-        second: 1,
+        account_priority: 1,
+        route_priority: 1,
     };
     let expected = ExpectedPieces {
         pool: PoolKey::whole(STAGE),
@@ -216,9 +216,9 @@
     PlaceAsk {
         service: ENGINES.to_owned(),
         prompt: Prompt {
-            tokens_in: 15_000,
-            tokens_out: 100,
-            shared: vec![PromptPart {
+            input_tokens: 15_000,
+            max_output_tokens: 100,
+            shared_parts: vec![PromptPart {
                 id: format!("{part:08x}"),
                 tokens: 13_000,
             }],
--- a/crates/gateway/src/serve_pieces/tests/role_cost.rs
+++ b/crates/gateway/src/serve_pieces/tests/role_cost.rs
@@ -16,9 +16,9 @@
 use super::fleet::{
     CALL_MS, ENGINES, PIECE_MS, PIECES, Role, STAGE, identity, run_peer, run_target,
 };
-use crate::dialect::{StageAnswer, StageItem};
 use crate::piece::PieceInput;
-use crate::{Dialect, Gateway, GatewayConfig, serve_pieces};
+use crate::protocol::{StageItem, StageResponse};
+use crate::{Gateway, GatewayConfig, Protocol, serve_pieces};
 
 /// Entry hosts that use the one that is measured.
 const FLEETS: [usize; 3] = [75, 295, 1_000];
@@ -51,13 +51,13 @@
     lines.into_bytes()
 }
 
-fn decode_run(body: &[u8]) -> Option<StageAnswer> {
+fn decode_run(body: &[u8]) -> Option<StageResponse> {
     let lines = std::str::from_utf8(body).ok()?.lines();
     Some(lines.map(|line| Ok(line.to_owned())).collect())
 }
 
-fn dialect() -> Dialect {
-    let mut dialect = crate::gateway::tests::dialect();
+fn dialect() -> Protocol {
+    let mut dialect = crate::gateway::tests::protocol();
     dialect.targets.encode_stage_run = encode_run;
     dialect.targets.decode_stage_run = decode_run;
     dialect.targets.encode_stage_free = |handles| handles.join("\n").into_bytes();
@@ -104,18 +104,18 @@
 fn gateway() -> Rc<Gateway> {
     let clock = Arc::new(HybridClock::new());
     Gateway::new(GatewayConfig {
-        dialect: dialect(),
+        protocol: dialect(),
         read_config: Box::new(|_| Ok(config())),
         identity: identity("measured"),
         recorder: Arc::new(EventRecorder::new("measured", clock)),
         name: "measured".to_owned(),
         hall: "hall-0".to_owned(),
-        halls: Default::default(),
-        peer: SocketAddr::from(([127, 0, 0, 1], 1)),
+        hall_regions: Default::default(),
+        peer_address: SocketAddr::from(([127, 0, 0, 1], 1)),
         retry_ratio: 0.2,
         retry_slack: 10.0,
         retry_window: Duration::from_secs(10),
-        start_patience: Duration::ZERO,
+        max_startup_wait: Duration::ZERO,
         shared_bytes_per_s: f64::MAX,
     })
 }
@@ -182,7 +182,7 @@
         version: 1,
         body: Vec::new(),
     };
-    gateway.take_document(linnet_directory::HeldDocument::new(document));
+    gateway.apply_document(linnet_directory::HeldDocument::new(document));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let serving = gateway.clone();
@@ -200,7 +200,7 @@
         targets: records(&targets),
         ..DirectoryUpdate::default()
     };
-    gateway.take_update(SocketAddr::from(([127, 0, 0, 2], 1)), update);
+    gateway.apply_update(SocketAddr::from(([127, 0, 0, 2], 1)), update);
     sleep(WARM_UP).await;
     let (before, rests) = thread_time();
     let (messages, bytes) = (PEER_TRAFFIC.messages(), PEER_TRAFFIC.sent());
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -15,12 +15,12 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
-use crate::Dialect;
-use crate::dialect::StageItem;
+use crate::Protocol;
 use crate::load::ReportedLoad;
 use crate::notice::read_notice;
 use crate::notice_book::NoticeBook;
 use crate::piece::{PieceFault, PieceInput, StageWork};
+use crate::protocol::StageItem;
 use crate::rate_permit::SendPermit;
 use crate::send_gate::SendKind;
 use crate::target_ask::TargetStanding;
@@ -125,13 +125,13 @@
 /// Calls stage targets. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct StageCaller {
-    dialect: Dialect,
+    dialect: Protocol,
     pub(crate) upstream: UpstreamPool,
     notices: Rc<NoticeBook>,
 }
 
 impl StageCaller {
-    pub(crate) fn new(dialect: Dialect, upstream: UpstreamPool, notices: Rc<NoticeBook>) -> Self {
+    pub(crate) fn new(dialect: Protocol, upstream: UpstreamPool, notices: Rc<NoticeBook>) -> Self {
         Self {
             dialect,
             upstream,
@@ -160,7 +160,10 @@
             Ok(answered) => answered,
             // Whoever gathers lets its pieces wait, or gives them to another target.
             Err(SendError::Withheld) => return CallEnd::Busy,
-            Err(SendError::MayHaveRun { cause, broke: true }) => return CallEnd::Broke(cause),
+            Err(SendError::MayHaveRun {
+                cause,
+                disconnected: true,
+            }) => return CallEnd::Broke(cause),
             Err(error) => return CallEnd::Failed(error.to_string()),
         };
         if head.status == targets.other_target {
--- a/crates/gateway/src/stage_client/parts.rs
+++ b/crates/gateway/src/stage_client/parts.rs
@@ -5,7 +5,7 @@
 use linnet_routing::StagePool;
 
 use super::{Home, StageClient};
-use crate::ask::Rank;
+use crate::caller_request::Rank;
 use crate::home_halls::HomeHalls;
 use crate::piece::{PieceBatch, PoolLoad};
 use crate::pool_key::PoolKey;
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -44,7 +44,7 @@
     let recorder = linnet_telemetry::EventRecorder::new(name, clock.clone());
     let recorder = std::sync::Arc::new(recorder);
     let caller = crate::stage_call::StageCaller::new(
-        crate::gateway::tests::dialect(),
+        crate::gateway::tests::protocol(),
         crate::upstream::UpstreamPool::default(),
         Rc::new(crate::notice_book::NoticeBook::new(
             recorder.clone(),
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::confinement::RememberedTargets;
 use crate::target::TargetBook;
 
@@ -44,7 +44,7 @@
     }
 
     /// Returns what holds of a request.
-    pub(crate) fn standing(&self, ask: &Ask) -> RequestStanding {
+    pub(crate) fn standing(&self, ask: &CallerRequest) -> RequestStanding {
         if self.book.borrow().is_empty() {
             return RequestStanding::Free;
         }
@@ -106,7 +106,7 @@
         &self,
         book: &TargetBook,
         service: &str,
-        ask: &Ask,
+        ask: &CallerRequest,
     ) -> Vec<String> {
         let confined = self.confined.borrow();
         if confined.is_empty() {
@@ -174,14 +174,14 @@
     }
 
     /// Notes that a target answered a request whole, which speaks for the request.
-    pub(crate) fn note_whole_run(&self, ask: &Ask, target: &str) {
+    pub(crate) fn note_whole_run(&self, ask: &CallerRequest, target: &str) {
         if self.suspects.book.borrow().is_empty() {
             return;
         }
         let subject = ask.subject();
         if self.suspects.book.borrow_mut().acquit(subject.key) {
             let code = EventCode::RequestAcquitted;
-            self.note_request(code, &ask.id, target, describe(subject));
+            self.record_request_event(code, &ask.id, target, describe(subject));
             self.suspects.tell_changes();
         }
     }
@@ -201,17 +201,17 @@
     pub(crate) fn expire_suspects(&self) {
         for record in self.suspects.drain_held() {
             let detail = format!("{} ends={}", describe(&record.subject), record.ends.len());
-            self.note(EventCode::RequestHeld, &detail);
+            self.record_event(EventCode::RequestHeld, &detail);
         }
         for subject in self.suspects.expire(Instant::now()) {
             let detail = format!("{} cause=not seen for long", describe(&subject));
-            self.note(EventCode::RequestReleased, &detail);
+            self.record_event(EventCode::RequestReleased, &detail);
         }
         self.suspects
             .remember_targets(&self.targets.borrow(), Instant::now());
         if let Some(accounts) = self.suspects.look_for_confined(Instant::now()) {
             let detail = format!("accounts={}", accounts.join(","));
-            self.note(EventCode::AccountsConfined, &detail);
+            self.record_event(EventCode::AccountsConfined, &detail);
         }
         let (held, known) = self.suspects.counts();
         self.metrics.requests_held.set(held as i64);
--- a/crates/gateway/src/target_end.rs
+++ b/crates/gateway/src/target_end.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::DueCall;
 use crate::suspects::describe;
 use crate::target::{Chosen, TargetBook};
@@ -101,7 +101,7 @@
         self: &Rc<Self>,
         service: &str,
         chosen: &Chosen,
-        ask: &Ask,
+        ask: &CallerRequest,
         sent: Instant,
     ) {
         // A target that was withdrawn ends its connections itself.
@@ -134,7 +134,7 @@
     ) -> Option<oneshot::Receiver<()>> {
         let end = EndKey::new(&chosen.id, chosen.born);
         let (done, probed) = oneshot::channel();
-        let mut ends = self.ends.known.borrow_mut();
+        let mut ends = self.crash_tracker.known.borrow_mut();
         match ends.get_mut(&end) {
             Some(EndState::Ended(_)) => {
                 drop(ends);
@@ -160,7 +160,7 @@
     }
 
     fn take_probe(&self, service: String, chosen: Chosen, end: EndKey, outcome: ProbeOutcome) {
-        let state = self.ends.known.borrow_mut().remove(&end);
+        let state = self.crash_tracker.known.borrow_mut().remove(&end);
         let Some(EndState::Probing { cut, .. }) = state else {
             return;
         };
@@ -174,7 +174,7 @@
                     cut,
                     since: Instant::now(),
                 };
-                self.ends.silent.borrow_mut().push(silent);
+                self.crash_tracker.silent.borrow_mut().push(silent);
             }
         }
     }
@@ -182,10 +182,10 @@
     /// Notes that a target has ended while these requests ran there.
     fn note_end(&self, service: &str, chosen: &Chosen, end: EndKey, cut: &[CutRequest]) {
         let state = EndState::Ended(Instant::now());
-        self.ends.known.borrow_mut().insert(end, state);
+        self.crash_tracker.known.borrow_mut().insert(end, state);
         let listed = self.targets.borrow().find(service, &chosen.id);
         if listed.is_some_and(|listed| listed.born == chosen.born) {
-            self.note_unreachable(service, &chosen.id, "it has ended");
+            self.record_unreachable(service, &chosen.id, "it has ended");
         }
         self.metrics.targets_ended.inc();
         let keys: Vec<String> = cut.iter().map(|one| one.subject.key.to_string()).collect();
@@ -212,7 +212,7 @@
                     one.ran.as_millis()
                 );
                 let code = EventCode::RequestAccused;
-                self.note_request(code, &one.id, &chosen.id, detail);
+                self.record_request_event(code, &one.id, &chosen.id, detail);
             }
         }
     }
@@ -241,7 +241,7 @@
 
     /// Accuses the requests that were cut off by targets which did not answer and have started anew.
     pub(crate) fn note_starts(&self) {
-        let over = self.ends.started_anew(&self.targets.borrow());
+        let over = self.crash_tracker.started_anew(&self.targets.borrow());
         for one in over {
             let end = EndKey::new(&one.chosen.id, one.chosen.born);
             self.note_end(&one.service, &one.chosen, end, &one.cut);
@@ -250,7 +250,7 @@
 }
 
 async fn probe_target(gateway: Rc<Gateway>, service: String, chosen: Chosen, end: EndKey) {
-    let outcome = gateway.pool.probe(chosen.address).await;
+    let outcome = gateway.connections.probe(chosen.address).await;
     gateway.take_probe(service, chosen, end, outcome);
 }
 
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/target_selection.rs
@@ -5,7 +5,7 @@
 use linnet_routing::Route;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::closed_service::{await_open, has_unrated, next_opening, used_up};
 use crate::coordinator::HALL_BYTES;
 use crate::engine::PlaceAsk;
@@ -15,25 +15,25 @@
 use crate::{Refusal, RefusalReason};
 
 /// Targets that the host which places prompts is asked to pass over, at most.
-const MAX_AVOIDED: usize = 32;
+const MAX_AVOIDED_TARGETS: usize = 32;
 
 /// How often a target is chosen anew for one sending where all were closed.
-const MOST_CHOICES: u32 = 4;
+const MAX_SELECTIONS: u32 = 4;
 
 /// When a caller should come back where no target is known.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Range of what is drawn beside the load of a target, so that hosts with the same news do not all choose
 /// the same.
-const DRAWN_LOAD: f64 = 0.05;
+const LOAD_JITTER: f64 = 0.05;
 
 /// The targets that a request passes over.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct PassedTargets<'a> {
+pub(crate) struct ExcludedTargets<'a> {
     /// Those that were tried.
     pub(crate) tried: &'a [String],
     /// Whether also those that name rates, where another takes any.
-    pub(crate) rated: bool,
+    pub(crate) rate_limited: bool,
 }
 
 /// Picks the service of a request by the weights of its route.
@@ -55,58 +55,59 @@
 /// # Errors
 ///
 /// [`RefusalReason::Overloaded`] where it is not, [`RefusalReason::NoTarget`] where there is none.
-pub(crate) async fn next_target(
+pub(crate) async fn select_or_await_target(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
-    passed: PassedTargets<'_>,
+    request: &CallerRequest,
+    excluded: ExcludedTargets<'_>,
     results: Option<&RequestResults>,
 ) -> Result<(Chosen, Option<Placement>), Refusal> {
-    for _ in 0..MOST_CHOICES {
-        if let Some(chosen) = choose(gateway, service, ask, passed, results).await {
+    for _ in 0..MAX_SELECTIONS {
+        if let Some(chosen) = select_target(gateway, service, request, excluded, results).await {
             return Ok(chosen);
         }
-        let opening = next_opening(gateway, service, ask, passed.tried).ok_or_else(no_target)?;
-        await_open(gateway, service, ask, opening).await?;
+        let opening = next_opening(gateway, service, request, excluded.tried)
+            .ok_or_else(no_target_refusal)?;
+        await_open(gateway, service, request, opening).await?;
     }
-    Err(used_up(gateway, service, ask).unwrap_or_else(no_target))
+    Err(used_up(gateway, service, request).unwrap_or_else(no_target_refusal))
 }
 
-pub(crate) fn no_target() -> Refusal {
+pub(crate) fn no_target_refusal() -> Refusal {
     Refusal::new(RefusalReason::NoTarget, "no target is registered")
         .with_retry_after(NO_TARGET_RETRY_AFTER)
 }
 
 /// Chooses a target, passing over those that were tried.
-pub(crate) async fn choose(
+pub(crate) async fn select_target(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
-    passed: PassedTargets<'_>,
+    request: &CallerRequest,
+    excluded: ExcludedTargets<'_>,
     results: Option<&RequestResults>,
 ) -> Option<(Chosen, Option<Placement>)> {
-    if let Some(place) = place_ask(gateway, service, ask, passed, results) {
-        let (chosen, placement) = gateway.stages.place(&gateway.targets, place).await?;
+    if let Some(place) = placement_request(gateway, service, request, excluded, results) {
+        let (chosen, placement) = gateway.stage_client.place(&gateway.targets, place).await?;
         return Some((chosen, Some(placement)));
     }
-    let (now, hosts) = (Instant::now(), gateway.gateway_count());
-    let closed = gateway
+    let (now, hosts) = (Instant::now(), gateway.entry_host_count());
+    let throttled = gateway
         .targets
         .borrow_mut()
         .closed_by_cold(service, hosts, now);
     let book = gateway.targets.borrow();
-    let closed_here = closed_here(gateway, &book, service, ask, passed);
+    let closed_targets = closed_targets(gateway, &book, service, request, excluded);
     let usable = book.usable(service, now);
-    let fresh = usable
+    let eligible = usable
         .iter()
-        .filter(|target| !passed.tried.contains(&target.id) && !closed.contains(&target.id))
-        .filter(|target| !closed_here.contains(&target.id))
-        .filter(|target| ask.homes.allow(&target.hall));
+        .filter(|target| !excluded.tried.contains(&target.id) && !throttled.contains(&target.id))
+        .filter(|target| !closed_targets.contains(&target.id))
+        .filter(|target| request.allowed_halls.allow(&target.hall));
     let load = |target: &Target| {
         let other_hall = target.hall != gateway.config.hall;
-        target.load(other_hall, now) + DRAWN_LOAD * fastrand::f64()
+        target.load(other_hall, now) + LOAD_JITTER * fastrand::f64()
     };
-    let scored = fresh.map(|target| (load(target), target));
+    let scored = eligible.map(|target| (load(target), target));
     let best = Chosen::new(scored.min_by(|a, b| a.0.total_cmp(&b.0))?.1);
     drop(book);
     let mut book = gateway.targets.borrow_mut();
@@ -116,54 +117,54 @@
 
 /// Returns the targets of a service that a request must not use: those that want nothing from this host, and
 /// those that other accounts are confined to, or its own is not.
-fn closed_here(
+fn closed_targets(
     gateway: &Gateway,
     book: &TargetBook,
     service: &str,
-    ask: &Ask,
-    passed: PassedTargets<'_>,
+    request: &CallerRequest,
+    excluded: ExcludedTargets<'_>,
 ) -> Vec<String> {
-    let mut closed = gateway.suspects.closed_targets(book, service, ask);
+    let mut closed = gateway.suspects.closed_targets(book, service, request);
     closed.extend(gateway.notices.closed(book.ids_of(service)));
-    if passed.rated && has_unrated(gateway, service, ask) {
-        let rated = book.ids_of(service).filter(|id| book.rate(id).is_some());
-        closed.extend(rated.cloned());
+    if excluded.rate_limited && has_unrated(gateway, service, request) {
+        let rate_limited = book.ids_of(service).filter(|id| book.rate(id).is_some());
+        closed.extend(rate_limited.cloned());
     }
     closed
 }
 
 /// Returns what to ask of the host that places prompts; nothing for a request without one.
-pub(crate) fn place_ask(
+pub(crate) fn placement_request(
     gateway: &Gateway,
     service: &str,
-    ask: &Ask,
-    passed: PassedTargets<'_>,
+    request: &CallerRequest,
+    excluded: ExcludedTargets<'_>,
     results: Option<&RequestResults>,
 ) -> Option<PlaceAsk> {
-    let prompt = ask.prompt.as_ref()?;
-    let largest = ask
+    let prompt = request.prompt.as_ref()?;
+    let largest = request
         .route
         .stages
         .iter()
         .max_by_key(|stage| stage.result_bytes);
-    let heavy = largest.filter(|stage| stage.result_bytes >= HALL_BYTES);
+    let large_stage = largest.filter(|stage| stage.result_bytes >= HALL_BYTES);
     let book = gateway.targets.borrow();
-    let places = results.map(|results| results.places(ask, &book));
+    let result_bytes = results.map(|results| results.bytes_by_hall(request, &book));
     // The host that places may not know yet what this one cannot reach.
-    let out_of_reach = book.passed_over(service, Instant::now());
-    let avoid = passed
+    let unreachable = book.passed_over(service, Instant::now());
+    let avoid = excluded
         .tried
         .iter()
-        .chain(out_of_reach.map(|target| &target.id));
+        .chain(unreachable.map(|target| &target.id));
     Some(PlaceAsk {
         service: service.to_owned(),
         prompt: prompt.clone(),
-        heavy_stage: heavy.map(|stage| stage.service.clone()),
-        results: places.unwrap_or_default(),
-        avoid: avoid.take(MAX_AVOIDED).cloned().collect(),
+        heavy_stage: large_stage.map(|stage| stage.service.clone()),
+        results: result_bytes.unwrap_or_default(),
+        avoid: avoid.take(MAX_AVOIDED_TARGETS).cloned().collect(),
         // That host may use what is only to be avoided where there is no other, but never these.
-        closed: closed_here(gateway, &book, service, ask, passed),
-        homes: ask.homes.to_told(),
-        apart: ask.apart.get(),
+        closed: closed_targets(gateway, &book, service, request, excluded),
+        homes: request.allowed_halls.to_told(),
+        apart: request.isolated.get(),
     })
 }
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::suspects::describe;
 use crate::{Gateway, Refusal, RefusalReason};
 
@@ -70,8 +70,8 @@
             TurnHome::Remote(address, number) => {
                 // What came of the run reaches that host before it lets the request run again.
                 let record = self.gateway.suspects.record(self.key);
-                self.gateway.stages.tell_suspect(address, record);
-                self.gateway.stages.end_turn(address, number);
+                self.gateway.stage_client.tell_suspect(address, record);
+                self.gateway.stage_client.end_turn(address, number);
             }
         }
     }
@@ -82,11 +82,11 @@
 ///
 /// # Errors
 ///
-/// [`RefusalReason::EndsTargets`] where it is held, [`RefusalReason::Overloaded`] where it did not get its
+/// [`RefusalReason::CrashesTargets`] where it is held, [`RefusalReason::Overloaded`] where it did not get its
 /// turn in time.
 pub(crate) async fn take_turn(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    ask: &CallerRequest,
     turn: &mut Option<RunTurn>,
 ) -> Result<(), Refusal> {
     // The stages of a request run between its turn and its sending.
@@ -125,13 +125,16 @@
 }
 
 /// Asks the host that gives turns; returns its answer where it gave none.
-async fn ask_turn(gateway: &Rc<Gateway>, ask: &Ask) -> Result<Option<RunTurn>, TurnAnswer> {
+async fn ask_turn(
+    gateway: &Rc<Gateway>,
+    ask: &CallerRequest,
+) -> Result<Option<RunTurn>, TurnAnswer> {
     let key = ask.subject().key;
-    let (answer, home) = match gateway.stages.turn_host(key) {
+    let (answer, home) = match gateway.stage_client.turn_host(key) {
         None => (gateway.grant_turn(key, &ask.id), TurnHome::Here),
         Some(address) => {
             // That host may not have heard yet what is held against the request.
-            let stages = &gateway.stages;
+            let stages = &gateway.stage_client;
             stages.tell_suspect(address, gateway.suspects.record(key));
             let (answer, number) = stages.ask_turn(address, key, &ask.id).await;
             (answer, TurnHome::Remote(address, number))
@@ -140,7 +143,7 @@
     if answer != TurnAnswer::Granted {
         return Err(answer);
     }
-    ask.apart.set(true);
+    ask.isolated.set(true);
     Ok(Some(RunTurn {
         gateway: gateway.clone(),
         key,
@@ -149,7 +152,7 @@
     }))
 }
 
-fn held(gateway: &Gateway, ask: &Ask) -> Refusal {
+fn held(gateway: &Gateway, ask: &CallerRequest) -> Refusal {
     let key = ask.subject().key;
     gateway.suspects.note_refused(key);
     let record = gateway.suspects.record(key);
@@ -157,10 +160,10 @@
     let detail = format!(
         "{ends} targets ended while this request ran, the last one {age_ms} ms ago; key={key}"
     );
-    Refusal::new(RefusalReason::EndsTargets, detail)
+    Refusal::new(RefusalReason::CrashesTargets, detail)
 }
 
-fn no_turn(ask: &Ask) -> Refusal {
+fn no_turn(ask: &CallerRequest) -> Refusal {
     let key = ask.subject().key;
     let detail = format!("targets ended under this request; it runs once at a time; key={key}");
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(TURN_RETRY_AFTER)
@@ -177,7 +180,7 @@
                 self.suspects.note_trial(key);
                 if let Some(record) = self.suspects.record(key) {
                     let detail = format!("{} trials={}", describe(&record.subject), record.trials);
-                    self.note_request(EventCode::RequestTried, id, "", detail);
+                    self.record_request_event(EventCode::RequestTried, id, "", detail);
                 }
             }
             RequestStanding::Free | RequestStanding::Suspect => {}
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -27,19 +27,19 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a connection may be silent before the system asks whether the other side is there.
-const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(1);
 
 /// Between two such questions.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long sent bytes may stay unacknowledged before the system gives a connection up.
-const SILENT_PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How long a connection may rest where the target does not say.
-const DEFAULT_REST: Duration = Duration::from_secs(20);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Part of the rest that a target allows after which a connection is not used any more.
-const USED_REST_PART: f64 = 0.7;
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 
 /// Why a request got no answer.
 #[derive(Debug, Display, derive_more::Error)]
@@ -56,7 +56,7 @@
     MayHaveRun {
         cause: String,
         /// Whether the other side ended the connection.
-        broke: bool,
+        disconnected: bool,
     },
 }
 
@@ -64,14 +64,14 @@
     fn may_have_run(error: &hyper::Error) -> Self {
         Self::MayHaveRun {
             cause: error.to_string(),
-            broke: is_break(error),
+            disconnected: is_peer_disconnect(error),
         }
     }
 }
 
 /// Says whether a connection ended since the other side closed or reset it. One that was given up since the
 /// other side was silent says nothing of the target.
-pub(crate) fn is_break(error: &(dyn Error + 'static)) -> bool {
+pub(crate) fn is_peer_disconnect(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(one) = cause {
         if let Some(error) = one.downcast_ref::<io::Error>() {
@@ -104,14 +104,14 @@
     sender: SendRequest<Full<Bytes>>,
     /// Dropped to close the connection at once.
     closer: oneshot::Sender<()>,
-    rested_since: Instant,
-    rest: Duration,
+    idle_since: Instant,
+    idle_timeout: Duration,
 }
 
 #[derive(Default)]
 struct PoolState {
-    resting: HashMap<SocketAddr, Vec<Connection>>,
-    opened: u64,
+    idle: HashMap<SocketAddr, Vec<Connection>>,
+    opened_count: u64,
 }
 
 /// Resting connections by address. Cheap to clone.
@@ -122,7 +122,7 @@
 
 /// A connection in use. Dropped before [`Lease::finish`] it is closed, which tells the target that
 /// nobody waits for the answer.
-pub(crate) struct Lease {
+pub(crate) struct ConnectionLease {
     pool: UpstreamPool,
     address: SocketAddr,
     connection: Connection,
@@ -130,8 +130,8 @@
 
 impl UpstreamPool {
     /// Returns how many connections were opened.
-    pub(crate) fn opened(&self) -> u64 {
-        self.state.borrow().opened
+    pub(crate) fn opened_count(&self) -> u64 {
+        self.state.borrow().opened_count
     }
 
     /// Sends a request and returns the head of the answer. The gate is asked right before bytes are written:
@@ -141,14 +141,14 @@
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         mut gate: SendGate<'_>,
-    ) -> Result<(Response<Incoming>, Lease), SendError> {
-        while let Some(mut connection) = self.take_resting(address) {
+    ) -> Result<(Response<Incoming>, ConnectionLease), SendError> {
+        while let Some(mut connection) = self.take_idle(address) {
             if !gate.passes() {
-                self.rest(address, connection);
+                self.keep_idle(address, connection);
                 return Err(SendError::Withheld);
             }
             match connection.sender.try_send_request(request).await {
-                Ok(answer) => return Ok((answer, self.lease(address, connection))),
+                Ok(response) => return Ok((response, self.lease(address, connection))),
                 Err(mut error) => match error.take_message() {
                     // The connection had ended; the request was never written.
                     Some(unsent) => request = unsent,
@@ -156,13 +156,13 @@
                 },
             }
         }
-        let mut connection = self.open(address).await?;
+        let mut connection = self.connect(address).await?;
         if !gate.passes() {
-            self.rest(address, connection);
+            self.keep_idle(address, connection);
             return Err(SendError::Withheld);
         }
         match connection.sender.try_send_request(request).await {
-            Ok(answer) => Ok((answer, self.lease(address, connection))),
+            Ok(response) => Ok((response, self.lease(address, connection))),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 let error = error.into_error();
@@ -182,13 +182,13 @@
         request: Request<Full<Bytes>>,
         gate: SendGate<'_>,
     ) -> Result<(Parts, Bytes), SendError> {
-        let (answer, lease) = self.send(address, request, gate).await?;
-        let (head, body) = answer.into_parts();
+        let (response, lease) = self.send(address, request, gate).await?;
+        let (head, body) = response.into_parts();
         let body = body
             .collect()
             .await
             .map_err(|error| SendError::may_have_run(&error))?;
-        lease.finish(&head.headers);
+        lease.release(&head.headers);
         Ok((head, body.to_bytes()))
     }
 
@@ -201,8 +201,8 @@
             }
             _ => return ProbeOutcome::Silent,
         };
-        if let Ok(connection) = self.prepare(socket).await {
-            self.rest(address, connection);
+        if let Ok(connection) = self.establish(socket).await {
+            self.keep_idle(address, connection);
         }
         ProbeOutcome::Open
     }
@@ -211,19 +211,19 @@
     pub(crate) fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         self.state
             .borrow_mut()
-            .resting
+            .idle
             .retain(|address, _| wanted(address));
     }
 
     /// Closes connections that have rested too long.
-    pub(crate) fn close_rested(&self) {
-        for resting in self.state.borrow_mut().resting.values_mut() {
-            resting.retain(Connection::is_usable);
+    pub(crate) fn close_expired(&self) {
+        for idle in self.state.borrow_mut().idle.values_mut() {
+            idle.retain(Connection::is_usable);
         }
     }
 
-    fn lease(&self, address: SocketAddr, connection: Connection) -> Lease {
-        Lease {
+    fn lease(&self, address: SocketAddr, connection: Connection) -> ConnectionLease {
+        ConnectionLease {
             pool: self.clone(),
             address,
             connection,
@@ -231,15 +231,15 @@
     }
 
     /// Keeps a connection that nothing was sent on for the next request.
-    fn rest(&self, address: SocketAddr, connection: Connection) {
+    fn keep_idle(&self, address: SocketAddr, connection: Connection) {
         let mut state = self.state.borrow_mut();
-        state.resting.entry(address).or_default().push(connection);
+        state.idle.entry(address).or_default().push(connection);
     }
 
-    fn take_resting(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut state = self.state.borrow_mut();
-        let resting = state.resting.get_mut(&address)?;
-        while let Some(connection) = resting.pop() {
+        let idle = state.idle.get_mut(&address)?;
+        while let Some(connection) = idle.pop() {
             if connection.is_usable() {
                 return Some(connection);
             }
@@ -247,22 +247,22 @@
         None
     }
 
-    async fn open(&self, address: SocketAddr) -> Result<Connection, SendError> {
+    async fn connect(&self, address: SocketAddr) -> Result<Connection, SendError> {
         let socket = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(socket)) => socket,
             Ok(Err(error)) => return Err(SendError::NotSent(error.to_string())),
             Err(_) => return Err(SendError::NotSent("no answer in time".to_owned())),
         };
-        self.prepare(socket).await
+        self.establish(socket).await
     }
 
-    async fn prepare(&self, socket: TcpStream) -> Result<Connection, SendError> {
+    async fn establish(&self, socket: TcpStream) -> Result<Connection, SendError> {
         let _ = socket.set_nodelay(true);
         // Without these a connection behind a cut hangs for minutes.
         let options = SockRef::from(&socket);
-        let _ = options.set_tcp_user_timeout(Some(SILENT_PEER_TIMEOUT));
+        let _ = options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT));
         let keepalive = TcpKeepalive::new()
-            .with_time(KEEPALIVE_TIME)
+            .with_time(KEEPALIVE_IDLE_TIME)
             .with_interval(KEEPALIVE_INTERVAL);
         let _ = options.set_tcp_keepalive(&keepalive);
         let (sender, driver) = Builder::new()
@@ -276,49 +276,49 @@
                 _ = closed => {}
             }
         });
-        self.state.borrow_mut().opened += 1;
+        self.state.borrow_mut().opened_count += 1;
         Ok(Connection {
             sender,
             closer,
-            rested_since: Instant::now(),
-            rest: DEFAULT_REST,
+            idle_since: Instant::now(),
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         })
     }
 }
 
 impl Connection {
     fn is_usable(&self) -> bool {
-        let rested = self.rested_since.elapsed() < self.rest.mul_f64(USED_REST_PART);
-        rested && !self.sender.is_closed() && !self.closer.is_closed()
+        let is_fresh = self.idle_since.elapsed() < self.idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE);
+        is_fresh && !self.sender.is_closed() && !self.closer.is_closed()
     }
 }
 
-impl Lease {
+impl ConnectionLease {
     /// Gives the connection back after a whole answer, unless its head said that it closes.
-    pub(crate) fn finish(self, head: &HeaderMap) {
+    pub(crate) fn release(self, head: &HeaderMap) {
         let Self {
             pool,
             address,
             mut connection,
         } = self;
-        if says_close(head) {
+        if has_close_option(head) {
             return;
         }
-        connection.rest = allowed_rest(head).unwrap_or(DEFAULT_REST);
-        connection.rested_since = Instant::now();
+        connection.idle_timeout = keep_alive_timeout(head).unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        connection.idle_since = Instant::now();
         // The connection is ready for another request only once its task has seen the end of the
         // answer. A request that was answered before its body was read is never ready again.
         ntex::rt::spawn(async move {
             let ready = timeout(Duration::from_millis(200), connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
                 let mut state = pool.state.borrow_mut();
-                state.resting.entry(address).or_default().push(connection);
+                state.idle.entry(address).or_default().push(connection);
             }
         });
     }
 }
 
-fn says_close(head: &HeaderMap) -> bool {
+fn has_close_option(head: &HeaderMap) -> bool {
     let values = head.get_all(http::header::CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
@@ -326,7 +326,7 @@
         .any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-fn allowed_rest(head: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(head: &HeaderMap) -> Option<Duration> {
     let value = head.get("keep-alive")?.to_str().ok()?;
     let seconds = value
         .split(',')
--- a/crates/gateway/src/wait_model.rs
+++ b/crates/gateway/src/wait_model.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::ask::Rank;
+use crate::caller_request::Rank;
 
 /// Weight of a new observation.
 const GAIN: f64 = 0.2;
--- a/crates/gateway/src/wait_model/tests.rs
+++ b/crates/gateway/src/wait_model/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 const RANK: Rank = Rank {
-    first: 1,
-    second: 1,
+    account_priority: 1,
+    route_priority: 1,
 };
 
 fn plan(waits_ms: f64) -> PathPlan {
@@ -22,7 +22,10 @@
     }
     let expected = model.expected_ms(RANK, &plan(200.0));
     assert!((1_190.0..=1_200.0).contains(&expected), "{expected}");
-    let other = Rank { second: 0, ..RANK };
+    let other = Rank {
+        route_priority: 0,
+        ..RANK
+    };
     assert_eq!(model.expected_ms(other, &plan(200.0)), 800.0);
 }
 
