--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 use linnet_directory::TargetRecord;
-use linnet_gateway::Dialect;
+use linnet_gateway::Protocol;
 use linnet_rollout::{RolloutOrder, RolloutRecord};
 use linnet_routing::RoutingConfig;
 
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub struct NodeDialect {
     /// Callers and targets.
-    pub data: Dialect,
+    pub data: Protocol,
     /// Operators and heartbeats.
     pub control: ControlDialect,
     /// Path at which the load balancer asks whether the host is ready.
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -75,18 +75,18 @@
         .readiness
         .ok_or("listen.readiness: missing")?;
     let gateway = Gateway::new(GatewayConfig {
-        dialect: dialect.data.clone(),
+        protocol: dialect.data.clone(),
         read_config: Box::new(dialect.control.read_config),
         identity: identity.clone(),
         recorder: recorder.clone(),
         name: settings.name.clone(),
         hall: settings.hall.clone(),
-        halls: settings.halls.clone(),
-        peer: peers,
+        hall_regions: settings.halls.clone(),
+        peer_address: peers,
         retry_ratio: settings.retry.ratio,
         retry_slack: settings.retry.slack,
         retry_window: Duration::from_millis(settings.retry.window_ms),
-        start_patience: Duration::from_millis(settings.policy.start_patience_ms),
+        max_startup_wait: Duration::from_millis(settings.policy.start_patience_ms),
         shared_bytes_per_s: settings.policy.shared_bytes_per_s,
     });
     let (seeds, seeds_read) = watch::channel(settings.seed_peers());
@@ -114,10 +114,10 @@
     ntex::rt::spawn(follow_directory(FollowConfig {
         identity,
         recorder: recorder.clone(),
-        gateway: gateway.record(),
+        gateway: gateway.subscribe_record(),
         documents: Some(DocumentSink {
-            held: Box::new(move || holding.held_document()),
-            take: Box::new(move |document| taking.take_document(document)),
+            held: Box::new(move || holding.current_document()),
+            take: Box::new(move |document| taking.apply_document(document)),
         }),
         suspects: Some(gateway.suspect_source()),
         rates: Some(gateway.rate_source()),
@@ -125,8 +125,8 @@
         control: false,
         me: peers,
         seeds: seeds_read,
-        on_update: Box::new(move |from, update| updated.take_update(from, update)),
-        on_lost: Box::new(move |from| lost.lose_control(from)),
+        on_update: Box::new(move |from, update| updated.apply_update(from, update)),
+        on_lost: Box::new(move |from| lost.mark_control_lost(from)),
         spread: None,
     }));
 
