--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken, before any work is done for it.
+//! Admission control: decides whether to accept a request before any work is done for it.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::wait_model::PathPlan;
 use crate::{Gateway, Refusal, RefusalReason};
 
-/// When a caller should come back after queues were too long: spread, so that those who were refused
-/// together do not come back together.
+/// Bounds of the `retry-after` time of a request that was refused because of long queues. The time
+/// is drawn between them, so that callers refused together do not retry together.
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(900);
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_200);
 
-/// Refuses a request before its first stage where the queues on its way leave it no chance to meet
-/// its objective. Work for what comes too late would be missing elsewhere.
+/// Refuses a request before its first stage if the queues on its path leave it no chance to meet
+/// its objective. Work on a request that finishes too late would take capacity from others.
 pub(crate) fn admit(gateway: &Gateway, request: &CallerRequest) -> Result<PathPlan, Refusal> {
     let plan = path_time(gateway, request).plan;
     let left_ms = request.objective_left().as_secs_f64() * 1_000.0;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one target.
+//! One attempt to run a request at one target.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -26,36 +26,38 @@
 use crate::target::Chosen;
 use crate::upstream::{ConnectionLease, SendError, is_peer_disconnect};
 
-/// The least time that an attempt gets before a repeatable request goes to another target.
+/// Minimum timeout of an attempt after which a repeatable request goes to another target.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Part of the time that is left after which a stream that may be resumed goes to another engine when
-/// no event has come. Engines that hang held such requests until their deadline, also where another
-/// one was free. An engine that is only late is worth waiting for longer than its prompt was
-/// expected to take, since another one would read the prompt anew.
+/// A resumable stream moves to another engine if no event has arrived within its remaining time
+/// divided by `SILENT_STREAM_TIME_DIVISOR`. Without this limit, hung engines kept such requests
+/// until their deadline, even while another engine was free. An engine that is merely slow gets at
+/// least `SLOW_STREAM_TIMEOUT_FACTOR` times the expected prefill time, since another engine would
+/// have to repeat the prefill.
 const SILENT_STREAM_TIME_DIVISOR: u32 = 2;
 const SLOW_STREAM_TIMEOUT_FACTOR: u32 = 3;
 
-/// How one sending to a target ended.
+/// Outcome of one attempt.
 pub(crate) enum AttemptOutcome {
-    /// A whole answer, whatever its status.
+    /// A complete response with any status.
     Complete(StatusCode, HeaderMap, Bytes),
-    /// An answer that comes in events; the first ones are whole.
+    /// A streamed response whose first event has arrived.
     Streaming(Box<EventStream>),
-    /// The target did not run it.
+    /// The target did not run the request.
     NotRun {
         cause: String,
         /// Whether the request reached the target.
         reached_target: bool,
-        /// Whether results that it takes are gone, so that no target can run it.
+        /// Whether stage results that it uses as input are gone, so that no target can run it.
         inputs_gone: bool,
     },
-    /// Nothing was sent: the target wants nothing from this host since it was chosen.
+    /// Nothing was sent: the target backed off, started leaving or reached its rate limit after it
+    /// was selected.
     Withheld,
-    /// It may have run, and there is no usable answer.
+    /// The request may have run, and there is no usable response.
     MayHaveRun {
         cause: String,
-        /// Whether the target ended the connection.
+        /// Whether the target closed or reset the connection.
         disconnected: bool,
     },
 }
@@ -76,7 +78,7 @@
     }
 }
 
-/// A stream of events of which the first has come.
+/// A streamed response whose first event has arrived.
 pub(crate) struct EventStream {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -86,22 +88,23 @@
     pub(crate) lease: ConnectionLease,
     /// Counts the request at its target while the stream lasts.
     pub(crate) _in_flight: InFlight,
-    /// Counts the prompt at the host that placed it.
+    /// Counts the prompt at the placer.
     pub(crate) _placement: Option<Placement>,
 }
 
-/// One sending to one target.
+/// An attempt that is about to be sent.
 pub(crate) struct Attempt<'a> {
     pub(crate) service: &'a str,
     pub(crate) chosen: &'a Chosen,
-    /// Counts the prompt at the host that placed it.
+    /// Counts the prompt at the placer.
     pub(crate) placement: Option<Placement>,
     pub(crate) results: Option<&'a RequestResults>,
     pub(crate) last_event: Option<&'a str>,
 }
 
-/// Sends a request to a target and waits for a whole answer or for the first event. `more` says
-/// whether another target may be tried after this one, so that a silent one is left in time.
+/// Sends a request to a target and waits for a complete response or for the first event. `may_retry`
+/// says whether another target may be tried after this one; the attempt then times out early enough
+/// for that.
 pub(crate) async fn send_attempt(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
@@ -125,7 +128,7 @@
     let exchange = send_and_receive(gateway, request, attempt, time_left, (in_flight, permit));
     let outcome = timeout(time_limit, exchange).await;
     let outcome = outcome.unwrap_or_else(|_| {
-        AttemptOutcome::unusable(format!("no answer within {} ms", time_limit.as_millis()))
+        AttemptOutcome::unusable(format!("no response within {} ms", time_limit.as_millis()))
     });
     gateway.count_attempt(request, (service, chosen), &outcome, sent.elapsed(), facts);
     if let AttemptOutcome::MayHaveRun {
@@ -137,7 +140,7 @@
     outcome
 }
 
-/// Takes leave for a sending by the rate of its target; nothing where there is none soon enough.
+/// Acquires a send permit under the target's rate limit; returns `None` if none is issued in time.
 async fn acquire_permit(
     gateway: &Gateway,
     request: &CallerRequest,
@@ -152,8 +155,8 @@
     permit
 }
 
-/// How long an answer, or the first event of a stream, is waited for where another target may be
-/// tried.
+/// Returns how long to wait for a response, or for the first event of a stream, if another target
+/// may be tried afterwards.
 fn attempt_timeout(
     request: &CallerRequest,
     attempt: &Attempt<'_>,
@@ -192,7 +195,7 @@
         match build_target_request(&gateway.config.protocol, request, &additions, time_left) {
             Ok(outgoing) => outgoing,
             Err(error) => {
-                let cause = format!("request: {error}");
+                let cause = format!("cannot build the request: {error}");
                 return AttemptOutcome::NotRun {
                     cause,
                     reached_target: false,
@@ -252,14 +255,14 @@
             EventCode::AnswerDropped,
             &request.id,
             &chosen.id,
-            "another id".to_owned(),
+            "the response carries another request id".to_owned(),
         );
         return AttemptOutcome::unusable("an answer of another request");
     }
-    let sealed = head
+    let has_seal = head
         .headers
         .contains_key(&gateway.config.protocol.headers.seal);
-    if head.status.is_success() && !sealed {
+    if head.status.is_success() && !has_seal {
         return AttemptOutcome::unusable("an answer without the target's seal");
     }
     if request.route.kind == RouteKind::Streaming && head.status.is_success() {
@@ -311,16 +314,17 @@
     }
 }
 
-/// Has the host that places prompts pass an engine over for a short while, for all hosts. An engine that turns
-/// prompts away looks idle to it: of two that did so for 3 s, with three hosts, each was sent 4 to 6 prompts,
-/// and 6 to 8 without this (three runs each). It may take prompts of others, so it is no more than a hint.
+/// Asks the placer to avoid an engine for a short while, on behalf of all entry hosts. To the
+/// placer an engine that refuses prompts looks idle: with three entry hosts and two engines that
+/// refused for 3 s, each engine received 4 to 6 prompts, and 6 to 8 without this hint (three
+/// runs each). The engine may accept prompts from other entry hosts, so this is only a hint.
 fn hint_placer(gateway: &Gateway, attempt: &Attempt<'_>) {
     let Some(placement) = &attempt.placement else {
         return;
     };
     let (service, engine) = (attempt.service, attempt.chosen.id.as_str());
     placement.note_unreachable(service, engine);
-    // Where this host places itself.
+    // Applies if this host is the placer.
     let mut targets = gateway.targets.borrow_mut();
     targets.take_unreachable(service, engine, Instant::now());
 }
@@ -340,7 +344,7 @@
             .directory
             .borrow_mut()
             .list_again(&attempt.chosen.id);
-        let cause = "another target has the address".to_owned();
+        let cause = "another target or incarnation runs at the address".to_owned();
         return Some(AttemptOutcome::NotRun {
             cause,
             reached_target: true,
@@ -372,7 +376,8 @@
     ConnectionLease,
 );
 
-/// Waits for the first whole event. An answer that ends before it is passed on as it is.
+/// Waits for the first complete event. A response that ends before it is returned as a complete
+/// response.
 async fn await_first_event(
     gateway: &Gateway,
     request: &CallerRequest,
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,22 +10,22 @@
 
 type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes, IncompleteResponse>>>>;
 
-/// An answer that cannot be completed; the caller's connection is broken off, so that the answer
-/// does not look whole.
+/// Error that ends a response which cannot be completed. The caller's connection is aborted, so
+/// that the response does not look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, derive_more::Error)]
-#[display("the answer cannot be completed")]
+#[display("the response cannot be completed")]
 pub struct IncompleteResponse;
 
-/// A body that is whole, or one that comes in chunks.
+/// The body of a response, complete or streamed.
 pub enum ResponseBody {
-    /// All of it; taken when it was handed out.
+    /// The complete body; `None` once it has been sent.
     Full(Option<Bytes>),
-    /// Chunks as they come; an error breaks the connection off.
+    /// Chunks in the order of arrival; an error aborts the connection.
     Stream(ChunkStream),
 }
 
 impl ResponseBody {
-    /// Creates a whole body.
+    /// Creates a complete body.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()))
     }
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read once into typed form.
+//! A caller's request, parsed once into typed form.
 
 use std::cell::{Cell, OnceCell};
 use std::collections::BTreeMap;
@@ -18,10 +18,10 @@
 use crate::rendezvous::ScoreKey;
 use crate::{Refusal, RefusalReason};
 
-/// The most pieces that a request may ask of one stage.
+/// Maximum number of pieces that a request may ask of one stage.
 const MAX_PIECES_PER_STAGE: u32 = 4_096;
 
-/// A request that passed its checks.
+/// A request that passed validation.
 pub(crate) struct CallerRequest {
     pub(crate) id: String,
     pub(crate) method: Method,
@@ -30,35 +30,37 @@
     pub(crate) body: Bytes,
     pub(crate) route: Route,
     pub(crate) account: Option<String>,
-    /// The halls in which it may run.
+    /// The data halls in which it may run.
     pub(crate) allowed_halls: HomeHalls,
     pub(crate) rank: Rank,
     pub(crate) config_version: u64,
     pub(crate) arrived_at: Instant,
-    /// When the caller or the route gives it up.
+    /// When it times out, by the caller's deadline or the route's timeout.
     pub(crate) deadline: Instant,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) piece_counts: Vec<u32>,
     pub(crate) piece_key: String,
-    /// Counts the request as in flight until its answer has ended.
+    /// Counts the request as in flight until its response has ended.
     pub(crate) in_flight_guard: Option<OpenRequest>,
-    /// By what it is known when it comes again; worked out when that is first asked.
+    /// Identifies the request across repeated attempts and entry hosts; computed on first use.
     pub(crate) subject: OnceCell<RequestSubject>,
-    /// Whether it may end its target, and so goes where the fewest others run.
+    /// Whether it is suspected of crashing targets, and so is sent where the fewest other requests
+    /// run.
     pub(crate) isolated: Cell<bool>,
 }
 
-/// How urgent a request is: its account counts before its route, the lower the more urgent.
+/// Priority of a request: the account's priority is compared before the route's. Lower values are
+/// more urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rank {
-    /// The priority of the account, or of the route where the account has none.
+    /// The priority of the account, or of the route if the account has none.
     pub account_priority: u8,
     /// The priority of the route.
     pub route_priority: u8,
 }
 
 impl Rank {
-    /// Returns the rank as one of the levels that engines know, 0 to 9.
+    /// Returns the rank as one of the priority levels of engines, 0 to 9.
     pub(crate) fn engine_priority(self) -> u8 {
         let level = self
             .account_priority
@@ -68,27 +70,27 @@
     }
 }
 
-/// A prompt by its cached parts.
+/// Sizes and cacheable parts of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Prompt {
     pub(crate) input_tokens: u64,
     pub(crate) max_output_tokens: u64,
-    /// The parts that other requests share, in their order.
+    /// The parts that other requests share, in the order in which they stand in the prompt.
     pub(crate) shared_parts: Vec<PromptPart>,
 }
 
-/// A part of a prompt that engines keep for later prompts.
+/// A part of a prompt that engines cache for later prompts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// Its name.
+    /// The identifier of the part.
     pub id: String,
-    /// Its tokens.
+    /// The number of its tokens.
     pub tokens: u64,
 }
 
 impl Prompt {
-    /// Returns the key by which a prompt comes to the same engines as others with its shared parts. One without any is
-    /// spread by its size.
+    /// Returns the key that sends prompts with the same last shared part to the same engines.
+    /// Prompts without shared parts are distributed by their size.
     pub(crate) fn affinity_key(&self) -> ScoreKey {
         match self.last_shared_id() {
             "" => ScoreKey::new(&self.input_tokens.to_string()),
@@ -96,24 +98,25 @@
         }
     }
 
-    /// Returns the last part that other requests share; empty where there is none.
+    /// Returns the id of the last shared part; empty if there is none.
     pub(crate) fn last_shared_id(&self) -> &str {
         self.shared_parts.last().map_or("", |part| &part.id)
     }
 
-    /// Returns the tokens of all shared parts.
+    /// Returns the number of tokens in all shared parts.
     pub(crate) fn shared_tokens(&self) -> u64 {
         self.shared_parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Returns the tokens that no other request shares.
+    /// Returns the number of tokens that no other request shares.
     pub(crate) fn unshared_tokens(&self) -> u64 {
         self.input_tokens.saturating_sub(self.shared_tokens())
     }
 }
 
 impl CallerRequest {
-    /// Returns by what the request is known when it comes again, here or at another host.
+    /// Returns the subject that identifies the request when it is sent again, to this or another
+    /// entry host.
     pub(crate) fn subject(&self) -> &RequestSubject {
         self.subject.get_or_init(|| {
             let host = self.headers.get(header::HOST);
@@ -124,7 +127,7 @@
         })
     }
 
-    /// Returns the time until the request is given up.
+    /// Returns the time until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
@@ -136,7 +139,11 @@
     }
 }
 
-/// Reads the head of a request against the configuration.
+/// Parses the head of a request against the routing configuration.
+///
+/// # Errors
+///
+/// A refusal if no route matches, the key is missing or unknown, or a header is malformed.
 pub(crate) fn parse_request(
     table: &RouteTable,
     names: &HeaderNames,
@@ -213,7 +220,7 @@
         Some(account) => Ok(Some(account)),
         None => {
             let detail = format!(
-                "key missing or unknown to version {}",
+                "API key missing or unknown in configuration version {}",
                 table.config().version
             );
             Err(Refusal::new(RefusalReason::Unauthorized, detail))
@@ -222,11 +229,11 @@
 }
 
 fn malformed_header(header: &http::HeaderName, expected: &str) -> Refusal {
-    let detail = format!("{header}: wanted {expected}");
+    let detail = format!("{header}: expected {expected}");
     Refusal::new(RefusalReason::BadRequest, detail)
 }
 
-/// Returns the time that a header names in milliseconds; nothing where it names none.
+/// Returns the duration that a header gives in milliseconds; `None` if it is missing or malformed.
 pub(crate) fn parse_millis_header(
     headers: &HeaderMap,
     name: &http::HeaderName,
@@ -273,7 +280,7 @@
         })
         .collect::<Option<Vec<_>>>()
         .ok_or_else(|| malformed_header(&names.prompt_parts, "ID:TOKENS,..."))?;
-    // The last part is the request's own.
+    // The last part belongs to this request alone.
     let shared_parts = parts
         .split_last()
         .map_or(&[][..], |(_, shared_parts)| shared_parts);
@@ -307,7 +314,7 @@
         })
         .collect();
     let mut counts = counts.ok_or_else(|| malformed_header(&names.piece_counts, "COUNT,..."))?;
-    // A configuration that changed a moment ago may have another number of stages.
+    // The caller may have counted the stages of an older configuration version.
     counts.resize(route.stages.len(), 0);
     Ok(counts)
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,22 +1,22 @@
-//! Splitting a stream of bytes into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Default)]
 pub(crate) struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns all events that are whole now, as one piece of bytes.
+    /// Appends bytes and returns all events that are complete now, concatenated.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(bytes);
         let end = last_event_end(&self.buffer)?;
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// Returns the bytes after the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     pub(crate) fn rest(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
@@ -34,7 +34,7 @@
     lf.max(crlf)
 }
 
-/// Returns the id of the last event that carries one.
+/// Returns the id of the last event that has one.
 pub(crate) fn last_event_id(events: &[u8]) -> Option<String> {
     let lines = events.split(|byte| *byte == b'\n');
     let mut ids = lines.rev().filter_map(|line| line.strip_prefix(b"id:"));
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! One request from its checks to its answer: stages, attempts, and when to give up.
+//! Processes one validated request up to its response: stages, attempts, retries and refusals.
 
 mod stages;
 
@@ -27,52 +27,54 @@
 
 use stages::{may_rerun_stages, record_stages_rerun, run_stages_with_rerun};
 
-/// Targets that refused without running a request before it is given up.
+/// Maximum number of attempts that targets refuse without running the request.
 const MAX_REFUSALS: u32 = 4;
 
-/// When a caller should come back where every target was full.
+/// Minimum `retry-after` time if every target was full.
 const MIN_FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// How often a request goes on to another target since the one that was chosen for it wants nothing by then.
+/// Maximum number of attempts that are withheld because the selected target stopped accepting
+/// requests.
 const MAX_WITHHELD_ATTEMPTS: u32 = 8;
 
-/// How often a request tries targets that name rates and have no leave for it while others take any.
+/// Number of withheld attempts after which targets with a rate limit are excluded, if another
+/// target without one is available.
 const MAX_RATE_LIMITED_TRIES: u32 = 2;
 
-/// What decided a request, for its line in the log.
+/// What happened to a request, for its line in the log.
 #[derive(Default)]
 struct RequestTrace {
     target: String,
     attempts: u32,
     stages_time: Option<Duration>,
-    /// How often its stages were begun.
+    /// Number of times that its stages were started.
     stage_runs: u32,
-    /// How long the request was to take by the queues at its admission.
+    /// The time that the request was expected to take, estimated at admission.
     plan: PathPlan,
-    /// What decided the engine of the last attempt.
+    /// Why the engine of the last attempt was selected.
     placement_facts: Option<PlaceFacts>,
     /// Whether a target may have run it.
     may_have_run: bool,
 }
 
-/// Serves a request; the answer is final.
+/// Processes a request and returns the final response.
 pub(crate) async fn forward(
     gateway: Rc<Gateway>,
     request: CallerRequest,
 ) -> Response<ResponseBody> {
     let request = Rc::new(request);
-    let watch = CallerWatch::new(&gateway, &request);
+    let caller_watch = CallerWatch::new(&gateway, &request);
     let mut trace = RequestTrace::default();
-    let work = timeout(
+    let running = timeout(
         request.time_left(),
         run_request(&gateway, &request, &mut trace),
     );
     let outcome = tokio::select! {
-        outcome = work => outcome.ok(),
+        outcome = running => outcome.ok(),
         () = gateway.wait_for_stop_deadline() => None,
     };
     let outcome = outcome.unwrap_or_else(|| Err(timeout_refusal(&trace)));
-    watch.answered();
+    caller_watch.answered();
     record_outcome(&gateway, &request, &trace, &outcome);
     match outcome {
         Ok(answer) => answer,
@@ -82,9 +84,12 @@
 
 fn timeout_refusal(trace: &RequestTrace) -> Refusal {
     if trace.may_have_run {
-        Refusal::new(RefusalReason::TimedOut, "no answer in time")
+        Refusal::new(RefusalReason::TimedOut, "no response before the deadline")
     } else {
-        Refusal::new(RefusalReason::Overloaded, "no target took it in time")
+        Refusal::new(
+            RefusalReason::Overloaded,
+            "no target accepted the request before the deadline",
+        )
     }
 }
 
@@ -187,11 +192,12 @@
             results = Some(run_stages_with_rerun(gateway, &service, request, trace).await?);
             trace.stages_time = Some(started.elapsed());
         }
-        // What is held against it may have grown by its own last run, or elsewhere while its stages ran.
+        // The request's status may have changed by its own last run, or at another entry host while
+        // its stages ran.
         if let Err(refusal) = take_turn(gateway, request, &mut run_permit).await {
             return Err(adjust_refusal(trace, refusal));
         }
-        // Only now: while the stages ran, targets may have gone.
+        // Selects the target only now, since targets may have left while the stages ran.
         let excluded = ExcludedTargets {
             tried: &tried,
             rate_limited: withheld >= MAX_RATE_LIMITED_TRIES,
@@ -202,7 +208,7 @@
         trace.target.clone_from(&chosen.id);
         trace.placement_facts = placement.as_ref().and_then(Placement::facts);
         trace.attempts += 1;
-        let may_have_run = std::mem::replace(&mut trace.may_have_run, true);
+        let may_have_run_before = std::mem::replace(&mut trace.may_have_run, true);
         let attempt = Attempt {
             service: &service,
             chosen: &chosen,
@@ -218,19 +224,19 @@
                 .as_mut()
                 .into_iter()
                 .for_each(RunTurn::note_sending);
-            // One that wants nothing for a while may take it after that.
+            // A target that backed off may still be used after its back-off.
             if !gateway.notices.is_backed_off(&chosen.id) {
                 tried.push(chosen.id.clone());
             }
         }
         let failure = match outcome {
             AttemptOutcome::Withheld => {
-                // Nothing was sent, so it counts neither as an attempt nor as a repeat.
+                // Nothing was sent, so this counts neither as an attempt nor as a retry.
                 trace.attempts -= 1;
-                trace.may_have_run = may_have_run;
+                trace.may_have_run = may_have_run_before;
                 withheld += 1;
                 if withheld == MAX_WITHHELD_ATTEMPTS {
-                    let cause = "targets were chosen that want no requests".to_owned();
+                    let cause = format!("{withheld} selected targets did not accept requests");
                     return Err(not_accepted_refusal(
                         gateway, &service, request, trace, cause,
                     ));
@@ -244,7 +250,8 @@
                 return Ok(relay_stream(relay, stream));
             }
             AttemptOutcome::Complete(status, headers, body) => {
-                // A target that fails part of its requests answers so without having run them.
+                // A target that fails a share of its requests responds with a server error
+                // without having run them.
                 if !status.is_server_error() {
                     gateway.note_whole_run(request, &chosen.id);
                 }
@@ -292,7 +299,7 @@
     }
 }
 
-/// Returns a refusal as it is after the attempts so far: it must not say that the request has not run where it
+/// Adjusts a refusal to the attempts so far: it must not promise that the request has not run if it
 /// may have.
 fn adjust_refusal(trace: &RequestTrace, refusal: Refusal) -> Refusal {
     if trace.may_have_run {
@@ -301,7 +308,8 @@
     refusal
 }
 
-/// On a host that has just started, lets a request wait for targets of the services on its way.
+/// Shortly after the start of the host, waits until targets of all services that the request needs
+/// are known.
 async fn wait_for_first_targets(gateway: &Gateway, service: &str, request: &CallerRequest) {
     let max_wait = gateway.startup_wait(Some(request.time_left()));
     if max_wait.is_zero() {
@@ -312,8 +320,8 @@
         .await;
 }
 
-/// Says whether each service on the way of a request has a target where the request may run. It is known
-/// at once to be hopeless otherwise.
+/// Returns whether each service that the request needs has a target in a hall where it may run.
+/// Otherwise the request can be refused at once.
 fn has_allowed_targets(gateway: &Gateway, service: &str, request: &CallerRequest) -> bool {
     let targets = gateway.targets.borrow();
     let has_allowed = |service: &&str| {
@@ -331,7 +339,7 @@
     stages.chain([service]).collect()
 }
 
-/// Returns the refusal of a request that no target took.
+/// Builds the refusal of a request that no target accepted.
 fn not_accepted_refusal(
     gateway: &Gateway,
     service: &str,
--- a/crates/gateway/src/forward/stages.rs
+++ b/crates/gateway/src/forward/stages.rs
@@ -1,4 +1,4 @@
-//! The stages of one request: where they run, and whether they are run again.
+//! Runs the stages of one request, and decides whether to run them again.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,16 +15,16 @@
 use crate::target_selection::{ExcludedTargets, no_target_refusal, placement_request};
 use crate::{Gateway, Refusal};
 
-/// How often the stages of a request are run.
+/// Maximum number of runs of the stages of a request.
 const MAX_STAGE_RUNS: u32 = 2;
 
-/// Part of the time that is left in which the stages have to be expected to end when they are run
-/// again. Something is amiss then, so there is room for twice the plan.
+/// Maximum share of the remaining time that the plan for another run of the stages may take. A
+/// first run that failed points to a disturbance, so twice the planned time has to remain.
 const MAX_RERUN_TIME_SHARE: f64 = 0.5;
 
-/// Runs the stages of a request, in the hall where its prompt will go if nothing changes. Where they
-/// fail since a target or host was lost they are run once more: the caller would have to come back
-/// for the same.
+/// Runs the stages of a request, for the hall where its prompt is expected to be placed. If they
+/// fail because a target or host was lost, they run once more, since the caller's retry would only
+/// repeat the same work.
 pub(super) async fn run_stages_with_rerun(
     gateway: &Rc<Gateway>,
     service: &str,
@@ -57,9 +57,9 @@
     }
 }
 
-/// Returns the hall of the engine where a prompt would be placed now; this host's own for a request
-/// without one, and where no stage has large results for it. The host that places prompts is asked once
-/// less for each of those, which is two of six messages for a prompt.
+/// Returns the hall of the engine where a prompt would be placed now. For a request without a
+/// prompt, and if no stage has large results for it, returns this host's own hall without asking
+/// the placer, which saves two of six messages per prompt.
 async fn expected_hall(
     gateway: &Gateway,
     service: &str,
@@ -81,7 +81,8 @@
     Ok(planned.ok_or_else(no_target_refusal)?.hall)
 }
 
-/// Says whether the target of a request fetches results that should not cross halls.
+/// Returns whether the target of a request fetches results that are too large to transfer between
+/// halls.
 fn needs_large_results(request: &CallerRequest) -> bool {
     let taken = last_stages(request).into_iter();
     let mut sizes = taken.map(|stage| request.route.stages[stage].result_bytes);
@@ -99,7 +100,7 @@
     gateway.metrics.stage_time.observe(took.as_secs_f64());
 }
 
-/// Says whether there is time to run the stages of a request once more.
+/// Returns whether the stages of a request may run once more in the time that remains.
 pub(super) fn may_rerun_stages(request: &CallerRequest, trace: &RequestTrace) -> bool {
     let planned_ms = trace.plan.stages_ms + trace.plan.waits_ms + trace.plan.reading_ms;
     let left_ms = request.time_left().as_secs_f64() * 1_000.0;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one entry host share.
+//! The state that the tasks of one entry host share.
 
 mod send_permits;
 mod target_health;
@@ -35,56 +35,56 @@
 use crate::upstream::UpstreamPool;
 use crate::wait_model::WaitModel;
 
-/// Why new callers should not come to a host.
+/// The reason why a host is not ready for new callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum NotReady {
-    /// It is about to end.
+    /// It is about to stop.
     #[display("stopping")]
     Stopping,
-    /// It has no configuration and hears no control host.
+    /// It has no configuration and is connected to no control host.
     #[display("no control host is heard")]
     NoControlHost,
-    /// It has no configuration.
+    /// It is connected to a control host and has no configuration yet.
     #[display("no configuration yet")]
     NoConfiguration,
 }
 
-/// Reads a valid configuration from the bytes of a document.
+/// Parses and validates the configuration in a document body.
 pub type ConfigReader = Box<dyn Fn(&[u8]) -> Result<RoutingConfig, String>>;
 
 /// What a gateway needs to start.
 pub struct GatewayConfig {
-    /// How callers and targets speak.
+    /// The protocol towards callers and targets.
     pub protocol: Protocol,
-    /// Reads the configuration.
+    /// Parses the configuration.
     pub read_config: ConfigReader,
-    /// Name, keys and clock towards peers.
+    /// Name, keys and clock used towards peers.
     pub identity: PeerIdentity,
-    /// Where events go.
+    /// Receives the events.
     pub recorder: Arc<EventRecorder>,
     /// Name of this host.
     pub name: String,
     /// Its data hall.
     pub hall: String,
-    /// The region of each data hall that is known.
+    /// Region of each known data hall.
     pub hall_regions: BTreeMap<String, String>,
-    /// Where other entry hosts reach it.
+    /// Address for connections of other entry hosts.
     pub peer_address: SocketAddr,
-    /// Repeated sendings that are allowed in any window, as a part of the requests.
+    /// Retries that are allowed in any window, as a share of the requests.
     pub retry_ratio: f64,
-    /// Repeated sendings that are allowed beyond that, over all hosts.
+    /// Retries that are allowed in any window beyond that share, over all hosts.
     pub retry_slack: f64,
-    /// The window.
+    /// Length of the window.
     pub retry_window: Duration,
-    /// How long a request waits, on a host that has just started, for the first configuration and the
-    /// first targets.
+    /// Maximum time that a request waits, shortly after the start of the host, for the first
+    /// configuration and the first targets.
     pub max_startup_wait: Duration,
-    /// Bytes of calls to stage targets that this host sends in a second before other hosts send them
-    /// in its place.
+    /// Bytes per second of calls to stage targets that this host sends itself; beyond that it
+    /// delegates calls to other entry hosts.
     pub shared_bytes_per_s: f64,
 }
 
-/// What the tasks of one entry host share; all on one thread.
+/// The state that the tasks of one entry host share. All of them run on one thread.
 pub struct Gateway {
     pub(crate) config: GatewayConfig,
     route_table: watch::Sender<Option<Rc<RouteTable>>>,
@@ -99,17 +99,17 @@
     pub(crate) suspects: SuspectWatch,
     pub(crate) crash_tracker: TargetEnds,
     pub(crate) rollouts: RolloutWatch,
-    /// What targets have asked of this host.
+    /// Back-offs, leave notices and rate limits that targets sent to this host.
     pub(crate) notices: Rc<NoticeBook>,
-    /// The targets for which this host gives leave to send.
+    /// Issues send permits for the targets that this host is responsible for.
     send_permit_issuer: RateTurns,
-    /// Requests that wait until a target takes requests again.
+    /// Counts requests that wait until a target accepts requests again.
     pub(crate) waiting_requests: OpenCount,
     pub(crate) stopping: Cell<bool>,
-    /// When requests that are still in flight are given up, since the process is about to end.
+    /// When requests still in flight are aborted, because the process is about to stop.
     stop_deadline: watch::Sender<Option<Instant>>,
     pub(crate) open_requests: OpenCount,
-    /// Wakes the task that works the list of targets out anew.
+    /// Wakes the task that recomputes the list of targets.
     targets_changed: Notify,
     /// Wakes requests that wait for the first targets.
     target_list_updates: watch::Sender<()>,
@@ -120,7 +120,7 @@
 }
 
 impl Gateway {
-    /// Creates a gateway that knows nothing yet, and starts its tasks.
+    /// Creates a gateway without configuration or targets, and starts its tasks.
     pub fn new(config: GatewayConfig) -> Rc<Self> {
         let record = GatewayRecord {
             name: config.name.clone(),
@@ -196,23 +196,22 @@
         gateway
     }
 
-    /// Returns a receiver of this host's record, for the control hosts.
+    /// Returns a receiver of this host's record, which is reported to the control hosts.
     pub fn subscribe_record(&self) -> watch::Receiver<Option<GatewayRecord>> {
         self.entry_host_record.subscribe()
     }
 
-    /// Returns the version of the configuration that is in force here; 0 for none.
+    /// Returns the version of the active configuration; 0 if there is none.
     pub fn config_version(&self) -> u64 {
         self.route_table().map_or(0, |table| table.config().version)
     }
 
-    /// Returns the routes that are in force here; nothing before any were.
+    /// Returns the active route table; `None` before the first configuration.
     pub(crate) fn route_table(&self) -> Option<Rc<RouteTable>> {
         self.route_table.borrow().clone()
     }
 
-    /// Returns the routes that are in force here, and waits for the first ones for at most
-    /// `patience`.
+    /// Returns the active route table, waiting for the first one for at most `max_wait`.
     pub(crate) async fn wait_for_route_table(&self, max_wait: Duration) -> Option<Rc<RouteTable>> {
         let mut changes = self.route_table.subscribe();
         let first = changes.wait_for(Option::is_some);
@@ -220,7 +219,7 @@
         found.ok()?.clone()
     }
 
-    /// Says why new callers should not come here; nothing where they should.
+    /// Returns why new callers should not use this host; `None` if it is ready.
     pub fn not_ready(&self) -> Option<NotReady> {
         if self.stopping.get() {
             return Some(NotReady::Stopping);
@@ -228,21 +227,21 @@
         if self.route_table.borrow().is_some() {
             return None;
         }
-        let heard = self.directory.borrow().is_connected();
-        Some(if heard {
+        let is_connected = self.directory.borrow().is_connected();
+        Some(if is_connected {
             NotReady::NoConfiguration
         } else {
             NotReady::NoControlHost
         })
     }
 
-    /// Returns how many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn open_requests(&self) -> usize {
         self.open_requests.get()
     }
 
-    /// Begins a planned stop: callers should go elsewhere, what is in flight goes on until `give_up`,
-    /// when it is answered that there is no answer.
+    /// Begins a planned stop. New callers should use other hosts; requests in flight continue until
+    /// `deadline` and are then answered with a refusal.
     pub fn begin_stop(&self, deadline: Instant) {
         self.stopping.set(true);
         self.stage_client.begin_stop();
@@ -254,7 +253,7 @@
         });
     }
 
-    /// Resolves when what is in flight has to be given up.
+    /// Resolves when requests in flight have to be aborted.
     pub(crate) async fn wait_for_stop_deadline(&self) {
         let mut stop_deadline = self.stop_deadline.subscribe();
         loop {
@@ -267,14 +266,15 @@
         }
     }
 
-    /// Takes an update of the directory.
+    /// Applies an update of the directory.
     pub fn apply_update(&self, from: SocketAddr, update: DirectoryUpdate) {
         self.take_suspects(&update.suspects);
         self.notices.rates.take_told(&update.rates);
         let targets_updated = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
-        // The control host is told right after this that the update was taken, and the target then that
-        // it gets no more work.
+        // After this returns, the control host receives the acknowledgement of the update and in
+        // turn tells the target that it gets no more work. A withdrawn target must therefore be out
+        // of the list by then.
         let withdraws_active_target = self.withdraws_active_target(&update);
         let entry_hosts_changed = update.gateways.is_some();
         self.directory
@@ -302,7 +302,7 @@
         self.record_event(EventCode::EvacuationInForce, &detail);
     }
 
-    /// Says whether an update takes a target out that gets work here.
+    /// Returns whether an update withdraws a target that this host sends work to.
     fn withdraws_active_target(&self, update: &DirectoryUpdate) -> bool {
         let targets = self.targets.borrow();
         let mut records = update.targets.iter();
@@ -311,12 +311,12 @@
         })
     }
 
-    /// Returns the newest configuration that came here.
+    /// Returns the newest configuration document that this host has received.
     pub fn current_document(&self) -> Option<Arc<HeldDocument>> {
         self.directory.borrow().document().cloned()
     }
 
-    /// Takes a configuration; a newer one comes into force.
+    /// Stores a configuration document and activates it if it is newer than the current one.
     pub fn apply_document(&self, document: HeldDocument) {
         let newer = self.directory.borrow_mut().take_document(document);
         if newer {
@@ -324,7 +324,7 @@
         }
     }
 
-    /// Hears that a control host was lost.
+    /// Records that the connection to a control host was lost.
     pub fn mark_control_lost(&self, from: SocketAddr) {
         self.directory.borrow_mut().lose(from);
         self.refresh_rollouts();
@@ -352,7 +352,8 @@
                 self.route_table.send_replace(Some(table));
                 self.record_event(EventCode::RoutingInForce, &detail);
             }
-            // Control hosts check before they accept, so this is a newer program's form.
+            // Control hosts validate a configuration before they accept it, so this one has the
+            // format of a newer program version.
             Err(fault) => self.record_event(EventCode::RoutingRefused, &fault),
         }
     }
@@ -362,12 +363,12 @@
         self.stage_client.set_gateways(gateways);
     }
 
-    /// Returns the way to stage targets.
+    /// Returns the client that calls stage targets.
     pub(crate) fn stage_caller(&self) -> &StageCaller {
         &self.coordinator.caller
     }
 
-    /// Returns how many entry hosts are known, this one among them.
+    /// Returns the number of known entry hosts, including this one.
     pub(crate) fn entry_host_count(&self) -> usize {
         self.stage_client.gateway_count()
     }
@@ -387,7 +388,7 @@
     }
 }
 
-/// Between two rounds of closing what has rested too long.
+/// Interval between two runs of the periodic maintenance.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 async fn run_maintenance(gateway: Rc<Gateway>) {
@@ -399,7 +400,8 @@
         gateway.expire_notices();
         gateway.coordinator.dispatch_all();
         gateway.stage_client.probe_cut_halls();
-        // Hosts that no control host names any more stay while they are reached.
+        // Entry hosts that no control host lists any more stay known as long as this host reaches
+        // them.
         if gateway.stage_client.keeps_unnamed() {
             gateway.refresh_entry_hosts();
         }
--- a/crates/gateway/src/gateway/send_permits.rs
+++ b/crates/gateway/src/gateway/send_permits.rs
@@ -1,4 +1,5 @@
-//! Leave to send to targets that name rates: whom this host asks, and what it answers.
+//! Send permits for targets with a rate limit: which host issues them, and how this host requests
+//! and issues them.
 
 use std::rc::Rc;
 
@@ -11,7 +12,7 @@
 use crate::stage_client::RateHost;
 
 impl Gateway {
-    /// Has leave asked for by this host.
+    /// Makes this gateway the requester of send permits for its own requests.
     pub(super) fn install_permit_requester(self: &Rc<Self>) {
         let weak = Rc::downgrade(self);
         self.notices.rates.set_asker(Box::new(move |request| {
@@ -26,7 +27,7 @@
         }));
     }
 
-    /// Returns the rates that targets named to this host, for the control hosts.
+    /// Returns the rate limits that targets sent to this host, for the control hosts.
     pub fn rate_source(self: &Rc<Self>) -> RateSource {
         let gateway = self.clone();
         RateSource {
@@ -58,14 +59,14 @@
         self.stage_client.rate_host(subject.key(), &hall)
     }
 
-    /// Answers another host that asks for leave.
+    /// Handles the request of another host for a send permit.
     pub(crate) fn handle_send_permit_request(&self, request: &RateAsk) -> RateAnswer {
         if let RateSubject::Target(word) = &request.subject {
             self.notices.rates.take_word(word);
         }
         match self.send_permit_host(&request.subject) {
             RateHost::Here => self.issue_send_permit(request),
-            // Two that give leave would let twice the rate through.
+            // Two hosts that issue permits for the same target would admit twice its rate.
             RateHost::Remote(_) | RateHost::Unreached => {
                 self.send_permit_issuer.forget(request.subject.key());
                 RateAnswer::UNREACHED
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Gives leave, as the host that does for all.
+    /// Issues a send permit, as the responsible host.
     fn issue_send_permit(&self, request: &RateAsk) -> RateAnswer {
         if !self.directory.borrow().is_connected() && !self.stage_client.reaches_any() {
-            // Others that do not reach this host either take another one.
+            // Hosts that cannot reach this one either select another host to issue permits.
             return RateAnswer::UNREACHED;
         }
         let rate = match &request.subject {
@@ -84,7 +85,8 @@
             RateSubject::Service(_, sum) => Some(*sum),
         };
         let Some(rate) = rate else {
-            // The host that asks has yet to hear that the target takes any rate.
+            // The target has lifted its rate limit, and the requesting host has not received that
+            // update yet.
             return RateAnswer::Granted {
                 wait_ms: 0,
                 more: 0,
@@ -95,7 +97,7 @@
             .give(rate, request, BootInstant::now())
     }
 
-    /// Forgets targets for which nobody has asked for long.
+    /// Removes the state of targets for which no permit was requested for a long time.
     pub(super) fn expire_send_permits(&self) {
         self.send_permit_issuer.expire(BootInstant::now());
     }
--- a/crates/gateway/src/gateway/target_health.rs
+++ b/crates/gateway/src/gateway/target_health.rs
@@ -1,4 +1,4 @@
-//! What this host notes of targets: failures, and what they asked.
+//! What this host records of targets: failures, back-offs, leave notices and rate limits.
 
 use std::time::Instant;
 
@@ -8,12 +8,13 @@
 use super::Gateway;
 
 impl Gateway {
-    /// Returns what targets have asked of this host, for operators.
+    /// Returns the back-offs, leave notices and rate limits that targets sent to this host, for
+    /// operators.
     pub fn notice_lines(&self) -> Vec<NoticeLine> {
         self.notices.lines(BootInstant::now())
     }
 
-    /// Forgets what targets asked and is over, and counts what holds.
+    /// Removes expired entries of targets and updates the metrics for the remaining ones.
     pub(super) fn expire_notices(&self) {
         let now = BootInstant::now();
         self.notices.expire(now);
@@ -30,7 +31,7 @@
         metrics.rates_unreadable.set(rates.unreadable as i64);
     }
 
-    /// Notes that a target could not be reached.
+    /// Records that a target could not be reached.
     pub(crate) fn record_unreachable(&self, service: &str, id: &str, cause: &str) {
         let now = Instant::now();
         self.targets.borrow_mut().note_unreachable(service, id, now);
@@ -40,7 +41,7 @@
             .record(EventCode::TargetEjected, id, detail);
     }
 
-    /// Notes that a target failed; it may be left alone for a while.
+    /// Records that a target failed; repeated failures put it into cooldown.
     pub(crate) fn record_target_failure(&self, service: &str, id: &str, cause: &str) {
         let now = Instant::now();
         if self.targets.borrow_mut().note_failure(service, id, now) {
--- a/crates/gateway/src/gateway/target_list.rs
+++ b/crates/gateway/src/gateway/target_list.rs
@@ -1,4 +1,4 @@
-//! When the list of targets is worked out anew, and requests that wait for the first one.
+//! Recomputes the list of targets, and lets requests wait for the first list.
 
 use std::collections::{BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 
 use super::Gateway;
 
-/// For how long after its start, as a multiple of the longest wait, a host lets requests wait for what it
-/// does not know yet, and the part of the time that a caller gives that is waited at most.
+/// Length of the startup phase, as a multiple of the maximum startup wait, and the maximum share of
+/// a caller's timeout that a request waits in that phase.
 const STARTUP_PHASE_FACTOR: f64 = 2.5;
 const MAX_STARTUP_WAIT_SHARE: f64 = 0.25;
 
-/// The least time between two looks at what changed of the targets, unless one is taken out. When all register one by
-/// one, as after a loss of power, a look at each would cost more than the changes. A new target waits so long for its
-/// first request.
+/// Minimum interval between two refreshes of the target list, unless a target is withdrawn. When
+/// all targets register one by one, as after a power failure, a refresh for each would cost more
+/// than applying the changes. A new target gets its first request at most this much later.
 pub(super) const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How much longer than a look took the next one waits, so that looks take a twentieth of the time at most, and the
-/// longest such wait.
+/// The interval is this multiple of the duration of the last refresh, so that refreshes take at
+/// most a twentieth of the time, up to the maximum interval.
 const REFRESH_INTERVAL_FACTOR: u32 = 20;
 const MAX_REFRESH_INTERVAL: Duration = Duration::from_millis(400);
 
@@ -62,7 +62,7 @@
         self.target_list_updates.send_replace(());
     }
 
-    /// Tells the parts of the gateway all targets that take work.
+    /// Passes the complete list of targets to the components of the gateway.
     fn propagate_list(&self, ready: &[TargetRecord]) {
         self.stage_client.set_targets(&self.targets.borrow());
         self.coordinator.set_targets(ready);
@@ -71,14 +71,14 @@
             .retain(|address| addresses.contains(address));
     }
 
-    /// Tells the parts of the gateway which targets have changed.
+    /// Passes changes of the target list to the components of the gateway.
     fn propagate_changes(&self, listed: &[TargetRecord], unlisted: &[TargetRecord]) {
         let changed = listed.iter().chain(unlisted);
         let services: BTreeSet<&str> = changed.map(|one| one.service.as_str()).collect();
         self.stage_client
             .update_targets(&self.targets.borrow(), &services);
         self.coordinator.update_targets(listed, unlisted);
-        // Another target may have the address by now; it only costs a new connection then.
+        // Another target may have the address by now, which only costs a new connection.
         let removed: HashSet<SocketAddr> = unlisted.iter().map(|target| target.address).collect();
         if !removed.is_empty() {
             self.connections
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Returns how long a request waits here for what a host has to know first: nothing any more where the
-    /// host started a while ago and is not about to know it.
+    /// Returns how long a request may wait for data that a starting host does not have yet; zero
+    /// once the startup phase is over.
     pub(crate) fn startup_wait(&self, time_left: Option<Duration>) -> Duration {
         let max_wait = self.config.max_startup_wait;
         if self.started_at.elapsed() > max_wait.mul_f64(STARTUP_PHASE_FACTOR) {
@@ -99,14 +99,13 @@
         bound.min(max_wait)
     }
 
-    /// Waits, on a host that has just started, until targets of some services are known, for at most
-    /// `patience`.
+    /// Waits until targets of all `services` are known, for at most `max_wait`.
     pub(crate) async fn wait_for_targets(&self, services: &[&str], max_wait: Duration) {
         let known = |service: &&str| self.targets.borrow().of_service(service).next().is_some();
         let mut lists = self.target_list_updates.subscribe();
         let all_known =
             async { while !services.iter().all(known) && lists.changed().await.is_ok() {} };
-        // What is still missing is told by whoever needs it.
+        // A caller that needs a missing service reports it.
         let _ = tokio::time::timeout(max_wait, all_known).await;
     }
 }
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// 285 targets register one by one at five control hosts, as after a loss of power. Each of the 1,425
-/// words asked for a list before; entry hosts worked on nothing else for 3 s.
+/// 285 targets register one by one at five control hosts, as after a power failure. A refresh of
+/// the target list for each of the 1,425 messages kept entry hosts busy for 3 s.
 #[test]
 fn target_updates_in_quick_succession_cause_one_refresh() {
     run(async {
@@ -129,8 +129,8 @@
     });
 }
 
-/// The control host is told that the word was taken as soon as this returns, and the target that it gets
-/// no more work.
+/// The control host receives the acknowledgement of the update as soon as `apply_update` returns,
+/// and then tells the target that it gets no more work. The target must be out of the list by then.
 #[test]
 fn a_draining_target_is_removed_from_the_list_at_once() {
     run(async {
@@ -144,14 +144,14 @@
         gateway.apply_update(control(1), target_update(1, TargetState::Draining));
         assert!(!gateway.targets.borrow().has("engines", "t-1"));
         assert!(gateway.targets.borrow().has("engines", "t-2"));
-        // Others that say the same again ask for no list.
+        // The same state from another control host causes no refresh.
         let lists = gateway.metrics.target_lists.get();
         gateway.apply_update(control(0), target_update(1, TargetState::Draining));
         assert_eq!(gateway.metrics.target_lists.get(), lists);
     });
 }
 
-/// Prints what one change of a target costs a host, in microseconds, by the targets of the fleet:
+/// Prints what one change of a target costs a host, in microseconds, by the number of targets:
 /// `cargo test --release -p linnet-gateway -- --ignored --nocapture measure_a_change`.
 #[test]
 #[ignore = "measures"]
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -1,4 +1,4 @@
-//! Runs the stages of a request in the order of their results.
+//! Runs the stages of a request in dependency order.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,14 +17,14 @@
 use crate::target::TargetBook;
 use crate::{Gateway, Refusal, RefusalReason};
 
-/// The results of one stage, which are released when this is dropped.
+/// Handles of the results of one stage; the results are released on drop.
 struct StageResults {
     gateway: Rc<Gateway>,
     service: String,
     home: Home,
     pool: PoolKey,
     handles: Vec<String>,
-    /// About how large one of them is, in bytes.
+    /// Approximate size of one result, in bytes.
     bytes: u64,
 }
 
@@ -40,19 +40,19 @@
     }
 }
 
-/// The results that a request takes; released when this is dropped.
+/// The stage results that a request takes as input; released on drop.
 pub(crate) struct RequestResults {
     stages: Vec<Option<StageResults>>,
     final_stages: Vec<usize>,
 }
 
 impl RequestResults {
-    /// Returns where the results lie that the request's target takes.
+    /// Returns how many bytes of the final stages' results lie in each hall.
     pub(crate) fn bytes_by_hall(&self, request: &CallerRequest, book: &TargetBook) -> HallBytes {
         bytes_by_hall(request, &self.stages, &self.final_stages, book)
     }
 
-    /// Returns the handles of the stages that no other comes after.
+    /// Returns the result handles of the final stages, which no other stage comes after.
     pub(crate) fn handles(&self) -> Vec<String> {
         let stages = self
             .final_stages
@@ -64,18 +64,18 @@
     }
 }
 
-/// A stage of which a piece has no result.
+/// A stage that has a piece without a result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct StageFailure {
-    /// The stage of the route, from 0.
+    /// Index of the stage in the route, from 0.
     number: usize,
     service: String,
     fault: PieceFault,
 }
 
 impl StageFailure {
-    /// Says whether the stages may well succeed when they are run anew: what they lost was lost with a
-    /// target or a host, and others make it again.
+    /// Returns whether another run of the stages may succeed: the results were lost with a target
+    /// or a host, and other targets can compute them again.
     pub(crate) fn is_retryable(&self) -> bool {
         matches!(
             self.fault,
@@ -83,9 +83,10 @@
         )
     }
 
-    /// Returns the refusal of its request.
+    /// Returns the refusal of the request.
     pub(crate) fn refusal(&self) -> Refusal {
-        // No stage counts as a run of the request, so it may be told as not run.
+        // A stage run does not count as a run of the request, so the refusal may promise that it
+        // did not run.
         let Self {
             number,
             service,
@@ -96,7 +97,7 @@
     }
 }
 
-/// Runs all stages of a request whose generation will run in `hall`.
+/// Runs all stages of a request whose target is expected to be in `hall`.
 pub(crate) async fn run_stages(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
@@ -112,7 +113,7 @@
     let mut started = done.clone();
     let mut running = FuturesUnordered::new();
     let mut schedule = StageSchedule::new(gateway, request);
-    let mut expected = announce_later_stages(gateway, request, &schedule);
+    let mut announced = announce_later_stages(gateway, request, &schedule);
     loop {
         let now = Instant::now();
         let mut next_start: Option<Instant> = None;
@@ -128,8 +129,8 @@
             started[number] = true;
             let inputs = input_handles(request, &results, number);
             let stage_hall = preferred_hall(gateway, request, number, &results, hall);
-            // From here on the pieces wait themselves.
-            expected[number] = None;
+            // The submitted pieces replace the announced ones.
+            announced[number] = None;
             running.push(run_stage(gateway, request, number, inputs, stage_hall));
         }
         let ended = tokio::select! {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Tells the coordinators of all stages that start later of the pieces that will come.
+/// Announces the pieces of all stages that start later to the coordinators of their pools.
 fn announce_later_stages(
     gateway: &Gateway,
     request: &CallerRequest,
@@ -181,16 +182,16 @@
     later.collect()
 }
 
-/// Releases the results that every stage which takes them has taken, since room for results is
-/// scarce at their targets.
+/// Releases results that all dependent stages have consumed, since memory for results is scarce at
+/// the stage targets.
 fn release_consumed(request: &CallerRequest, results: &mut [Option<StageResults>], done: &[bool]) {
     let stages = &request.route.stages;
     let last = last_stages(request);
-    for (number, held) in results.iter_mut().enumerate() {
+    for (number, stage_results) in results.iter_mut().enumerate() {
         let mut consumers =
             (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
         if !last.contains(&number) && consumers.all(|later| done[later]) {
-            *held = None;
+            *stage_results = None;
         }
     }
 }
@@ -207,7 +208,7 @@
         .collect()
 }
 
-/// Returns where the results of some stages lie.
+/// Returns how many bytes of the results of some stages lie in each hall.
 fn bytes_by_hall(
     request: &CallerRequest,
     results: &[Option<StageResults>],
@@ -229,8 +230,8 @@
     bytes_by_hall
 }
 
-/// Returns the hall where the pieces of a stage should run, where that matters: each piece fetches
-/// all results of the stages before it, and the request's target fetches those of the last ones.
+/// Returns the preferred hall for the pieces of a stage, if it matters: each piece fetches all
+/// results of the preceding stages, and the request's target fetches those of the final stages.
 fn preferred_hall(
     gateway: &Gateway,
     request: &CallerRequest,
@@ -245,8 +246,8 @@
     {
         return Some(hall.to_owned());
     }
-    let taken = stage.result_bytes >= HALL_BYTES && last_stages(request).contains(&number);
-    taken.then(|| target_hall.to_owned())
+    let is_fetched = stage.result_bytes >= HALL_BYTES && last_stages(request).contains(&number);
+    is_fetched.then(|| target_hall.to_owned())
 }
 
 async fn run_stage(
@@ -293,7 +294,7 @@
     let fault = results
         .iter()
         .find_map(|result| result.as_ref().err().copied());
-    // Made results are released even where another piece failed.
+    // Results that were produced are released even if another piece failed.
     let produced = StageResults {
         gateway: gateway.clone(),
         service: stage.service.clone(),
@@ -313,7 +314,7 @@
     (number, outcome)
 }
 
-/// Chooses the part of a stage's pool that takes its pieces.
+/// Selects the partition of a stage's pool that takes its pieces.
 fn select_partition(
     gateway: &Gateway,
     request: &CallerRequest,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,12 @@
-//! The data path of an entry host: takes callers' requests, runs their stages, sends them to
-//! targets and passes the answers on.
+//! The data path of an entry host: accepts callers' requests, runs their stages, forwards them to
+//! targets and relays the responses.
 //!
-//! - [`Gateway`] is what one process shares: configuration, targets, connections, counters.
-//! - [`Dialect`] is how callers and targets speak; the gateway itself knows no names of theirs.
-//! - [`serve_callers`] runs the callers' port, [`serve_pieces`] the port for other entry hosts.
+//! - [`Gateway`] is the state that all tasks of one process share: configuration, targets,
+//!   connections, metrics.
+//! - [`Protocol`] defines the header names, paths, codecs and status codes of a deployment. The
+//!   gateway itself hard-codes none of them.
+//! - [`serve_callers`] serves the port for callers, [`serve_pieces`] the port for other entry
+//!   hosts.
 
 mod admission;
 mod attempt;
--- a/crates/gateway/src/message_heads.rs
+++ b/crates/gateway/src/message_heads.rs
@@ -1,4 +1,4 @@
-//! Heads of requests to targets and of answers to callers.
+//! Builds the heads of requests to targets and of responses to callers.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::protocol::{HeaderNames, Protocol};
 use crate::{Refusal, ResponseBody};
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -22,7 +22,7 @@
     header::UPGRADE,
 ];
 
-/// What the gateway tells a target beside the caller's request.
+/// Headers that the gateway adds to a caller's request for a target.
 pub(crate) struct TargetHeaders<'a> {
     pub(crate) expected_target: &'a str,
     pub(crate) results: Option<String>,
@@ -30,7 +30,7 @@
     pub(crate) with_priority: bool,
 }
 
-/// Writes a caller's request for a target.
+/// Builds the request that is sent to a target for a caller's request.
 pub(crate) fn build_target_request(
     protocol: &Protocol,
     request: &CallerRequest,
@@ -73,7 +73,8 @@
             &request.rank.engine_priority().to_string(),
         );
     }
-    // Only path and query: the host travels in its header, as the caller sent it.
+    // The URI holds only path and query: the host stays in the `host` header, as the caller sent
+    // it.
     let path = request
         .uri
         .path_and_query()
@@ -92,7 +93,7 @@
     }
 }
 
-/// Returns the headers that are passed on.
+/// Returns the headers without hop-by-hop headers and those that `connection` lists.
 pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = headers.clone();
     let listed: Vec<HeaderName> = headers
@@ -108,7 +109,7 @@
     forwarded
 }
 
-/// Writes the answer of a target for the caller.
+/// Builds the response to the caller from a target's response.
 pub(crate) fn build_response(
     status: http::StatusCode,
     headers: &HeaderMap,
@@ -117,14 +118,14 @@
     let mut response = Response::new(body);
     *response.status_mut() = status;
     let mut forwarded = end_to_end_headers(headers);
-    // The length of a whole body is known again; that of a stream may change when it goes on at
-    // another target.
+    // Removes the length: that of a complete body is set again from the body, and that of a stream
+    // may change when another target resumes it.
     forwarded.remove(header::CONTENT_LENGTH);
     *response.headers_mut() = forwarded;
     response
 }
 
-/// Writes a refusal for the caller.
+/// Builds the response to the caller for a refusal.
 pub(crate) fn refusal_response(
     protocol: &Protocol,
     id: &str,
@@ -153,12 +154,12 @@
     response
 }
 
-/// Says whether an answer tells where its body ends, other than by the end of the connection.
+/// Returns whether a response delimits its body by other means than closing the connection.
 pub(crate) fn has_body_framing(headers: &HeaderMap) -> bool {
     headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Says whether an answer names the request that it belongs to.
+/// Returns whether a response echoes the id of the request that it belongs to.
 pub(crate) fn echoes_request_id(names: &HeaderNames, headers: &HeaderMap, id: &str) -> bool {
     let echoed_id = headers
         .get(&names.request_id)
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an entry host.
+//! Counters, gauges and histograms of an entry host.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -9,20 +9,20 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// Labels of a finished request. Routes and accounts are not among them, so that the number of
-/// series stays bounded.
+/// Labels of a finished request. They exclude routes and accounts, which would make the number of
+/// series unbounded.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// `ok`, a failing status class of the target, or the reason of a refusal.
+    /// `ok`, `target_status` for an error status of the target, or the reason of a refusal.
     pub outcome: String,
-    /// Rank of the request.
+    /// Priority of the request's route.
     pub priority: u8,
 }
 
 /// Metrics of an entry host.
 #[derive(Clone)]
 pub struct GatewayMetrics {
-    /// All of them, for the metrics page.
+    /// The registry of all metrics, for the metrics page.
     pub registry: Arc<Mutex<Registry>>,
     pub(crate) requests: Family<OutcomeLabels, Counter>,
     pub(crate) first_answer: Histogram,
@@ -80,12 +80,12 @@
         };
         registry.register(
             "targets_ended",
-            "Targets that ended while requests of this host ran there",
+            "Targets that crashed while requests of this host ran on them",
             metrics.targets_ended.clone(),
         );
         registry.register(
             "targets_backed_off",
-            "Targets that want no requests of this host for a while",
+            "Targets that are backed off for this host",
             metrics.targets_backed_off.clone(),
         );
         registry.register(
@@ -105,7 +105,7 @@
         );
         registry.register(
             "rated_sent",
-            "Requests since the start that this host sent to such targets",
+            "Requests sent by this host since its start to targets with a rate limit",
             metrics.rated_sent.clone(),
         );
         registry.register(
@@ -115,12 +115,12 @@
         );
         registry.register(
             "rates_unreadable",
-            "Rates in answers since the start that could not be read",
+            "Rate limits in responses since the start that could not be parsed",
             metrics.rates_unreadable.clone(),
         );
         registry.register(
             "requests_suspected",
-            "Requests against which the end of a target stands",
+            "Requests that are suspected of having crashed a target",
             metrics.requests_suspected.clone(),
         );
         registry.register(
@@ -130,13 +130,13 @@
         );
         registry.register(
             "rollouts_open",
-            "Services of which a version is rolled out, as far as this host was told",
+            "Services with a roll-out in progress, as reported to this host",
             metrics.rollouts_open.clone(),
         );
         registry.register("requests", "Requests by outcome", metrics.requests.clone());
         registry.register_with_unit(
             "first_answer",
-            "Time to the answer, or to the first event of a stream",
+            "Time to the response, or to the first event of a stream",
             Unit::Seconds,
             metrics.first_answer.clone(),
         );
@@ -148,7 +148,7 @@
         );
         registry.register(
             "attempts_failed",
-            "Sendings to a target without a usable answer",
+            "Attempts at a target without a usable response",
             metrics.attempts_failed.clone(),
         );
         registry.register(
@@ -168,7 +168,7 @@
         );
         registry.register(
             "hosts_known",
-            "Entry hosts that are known, this one among them",
+            "Known entry hosts, including this one",
             metrics.hosts_known.clone(),
         );
         registry.register(
@@ -178,7 +178,7 @@
         );
         registry.register(
             "target_lists",
-            "Lists of targets that were worked out from the words of control hosts",
+            "Recomputations of the target list after updates of control hosts",
             metrics.target_lists.clone(),
         );
         registry.register(
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -1,46 +1,46 @@
-//! Why a request was refused or failed.
+//! Reasons why a request is refused or fails.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// The reason of a refusal, independent of any dialect.
+/// The reason of a refusal, independent of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum RefusalReason {
-    /// No route fits host and path.
+    /// No route matches host and path.
     #[display("no_route")]
     NoRoute,
     /// The key is missing or unknown.
     #[display("unauthorized")]
     Unauthorized,
-    /// A header is not as it must be.
+    /// A header is malformed.
     #[display("bad_request")]
     BadRequest,
-    /// The body is over its limit.
+    /// The body exceeds the size limit.
     #[display("body_too_large")]
     BodyTooLarge,
-    /// This host has no configuration yet or is about to end.
+    /// This host has no configuration yet or is about to stop.
     #[display("not_ready")]
     NotReady,
-    /// No target takes work.
+    /// No target is available.
     #[display("no_target")]
     NoTarget,
-    /// Targets are full, or the time left does not hold the work. It did not run.
+    /// Targets are full, or the remaining time is too short. The request did not run.
     #[display("overloaded")]
     Overloaded,
-    /// Targets ended while it ran, each time it came, so it is not sent to any.
+    /// Targets crashed repeatedly while the request ran, so it is not sent to any target.
     #[display("ends_targets")]
     CrashesTargets,
-    /// A target may have run it and gave no usable answer.
+    /// A target may have run the request and gave no usable response.
     #[display("target_failed")]
     TargetFailed,
-    /// The time was over; it may have run.
+    /// The deadline passed; the request may have run.
     #[display("timed_out")]
     TimedOut,
 }
 
 impl RefusalReason {
-    /// Returns every reason.
+    /// All reasons.
     pub const ALL: [Self; 10] = [
         Self::NoRoute,
         Self::Unauthorized,
@@ -54,21 +54,21 @@
         Self::TimedOut,
     ];
 
-    /// Says whether the refusal promises that nothing ran and nothing will.
+    /// Returns whether the refusal guarantees that the request did not run and will not run.
     pub fn promises_not_run(self) -> bool {
         !matches!(self, Self::TargetFailed | Self::TimedOut)
     }
 }
 
-/// A final answer that is not a target's.
+/// A final response that does not come from a target.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{reason}: {detail}")]
 pub struct Refusal {
     /// The reason.
     pub reason: RefusalReason,
-    /// What decided it, for the log and the caller.
+    /// Details for the log and the caller.
     pub detail: String,
-    /// When the caller should come back, where it did not run and may later.
+    /// When the caller may retry, if the request did not run and may succeed later.
     pub retry_after: Option<Duration>,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sets when the caller should come back.
+    /// Sets when the caller may retry.
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How callers and targets speak, as plain data and functions.
+//! The HTTP protocol of a deployment towards callers and targets, as plain data and functions.
 
 use http::HeaderName;
 use http::StatusCode;
@@ -8,95 +8,97 @@
 /// Names of the headers that the gateway reads or sets.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identity of one sending of a caller; echoed by the target.
+    /// Id of one attempt of a caller; echoed by the target.
     pub request_id: HeaderName,
-    /// Milliseconds that are left.
+    /// Milliseconds until the deadline.
     pub deadline_ms: HeaderName,
-    /// The target's proof that an answer is its own.
+    /// Proof by which a target marks a response as its own.
     pub seal: HeaderName,
-    /// Name of the account, for the target.
+    /// Name of the account, sent to the target.
     pub account: HeaderName,
-    /// The start of a target that the request is meant for.
+    /// The incarnation of a target that the request is meant for.
     pub expect_target: HeaderName,
     /// Set by a target that did not run the request.
     pub not_run: HeaderName,
-    /// Set, to anything but 0, by a target that leaves.
+    /// Set to anything but 0 by a target that is leaving.
     pub leaving: HeaderName,
-    /// Requests a second that a target takes from all hosts together, for as long as it names them.
+    /// Rate limit of a target: requests per second from all entry hosts together. It applies as
+    /// long as responses carry it.
     pub rate: HeaderName,
-    /// Load that a target reports with its answers.
+    /// Load that a target reports with its responses.
     pub load: HeaderName,
-    /// Rank of a request at an engine.
+    /// Priority of a request at an engine.
     pub priority: HeaderName,
     /// Parts of a prompt, as `ID:TOKENS` separated by commas.
     pub prompt_parts: HeaderName,
-    /// Tokens of the prompt, and the most that come out.
+    /// Number of input tokens and maximum number of output tokens, as `IN,OUT`.
     pub tokens: HeaderName,
-    /// How many pieces each stage has, separated by commas.
+    /// Number of pieces of each stage, separated by commas.
     pub piece_counts: HeaderName,
-    /// Key of the pieces of stages that take no results.
+    /// Key of the pieces of stages that take no results as input.
     pub piece_key: HeaderName,
-    /// Results that the request takes, separated by commas.
+    /// Handles of the stage results that the request takes as input, separated by commas.
     pub results: HeaderName,
-    /// The last event of a stream that the caller has.
+    /// Id of the last event of a stream that the caller has received.
     pub last_event: HeaderName,
 }
 
-/// How callers speak.
+/// The protocol towards callers.
 #[derive(Debug, Clone)]
 pub struct CallerProtocol {
-    /// Headers that callers may send and that are the gateway's to set.
+    /// Headers that only the gateway may set; they are removed from callers' requests.
     pub private: Vec<HeaderName>,
-    /// The status of a refusal.
+    /// Maps the reason of a refusal to a status code.
     pub status: fn(RefusalReason) -> StatusCode,
 }
 
 /// One piece in a call to a stage target.
 #[derive(Debug, Clone, Copy)]
 pub struct StageItem<'a> {
-    /// What all pieces of the stage share.
+    /// The work that all pieces of the stage share.
     pub work: &'a StageWork,
-    /// The piece of the stage, from 0.
+    /// Index of the piece within the stage, from 0.
     pub number: u32,
-    /// Milliseconds that are left for it.
+    /// Milliseconds until its deadline.
     pub remaining_ms: u64,
 }
 
-/// What a stage target answered for each piece: a handle of the result, or why there is none.
+/// The results of a call to a stage target: for each piece the handle of its result, or the fault.
 pub type StageResponse = Vec<Result<String, PieceFault>>;
 
-/// How targets speak.
+/// The protocol towards targets.
 #[derive(Debug, Clone)]
 pub struct TargetProtocol {
-    /// Path at which stage targets take calls.
+    /// Path of calls to stage targets.
     pub stage_run_path: &'static str,
-    /// Path at which stage targets are told that results are not needed any more.
+    /// Path at which results of stage targets are released.
     pub stage_free_path: &'static str,
-    /// Writes the body of a call.
+    /// Encodes the body of a call.
     pub encode_stage_run: fn(&[StageItem<'_>]) -> Vec<u8>,
-    /// Reads the answer to a call; nothing where it is no answer.
+    /// Decodes the response to a call; returns `None` if it is malformed.
     pub decode_stage_run: fn(&[u8]) -> Option<StageResponse>,
-    /// Writes the body of a release of results.
+    /// Encodes the body of a release of results.
     pub encode_stage_free: fn(&[String]) -> Vec<u8>,
-    /// Path at which a stage target reports what it has.
+    /// Path at which a stage target reports its resources.
     pub report_path: &'static str,
-    /// Reads how many bytes a stage target has free for results.
+    /// Decodes how many bytes a stage target has free for results.
     pub decode_free_bytes: fn(&[u8]) -> Option<u64>,
-    /// The status with which a target says that it is another start than was meant.
+    /// Status of a target whose incarnation is not the one that the request was meant for.
     pub other_target: StatusCode,
-    /// The status with which a target turns a request away; it may name a time to come back.
+    /// Status with which a target refuses a request; the response may carry a `retry-after` time.
     pub turned_away: StatusCode,
-    /// The status with which a target that did not run a request says that results it takes are gone.
+    /// Status with which a target that did not run a request reports that its input results are
+    /// gone.
     pub inputs_gone: StatusCode,
 }
 
-/// How callers and targets speak.
+/// The HTTP protocol of a deployment.
 #[derive(Debug, Clone)]
 pub struct Protocol {
-    /// Header names, common to both.
+    /// Header names, common to callers and targets.
     pub headers: HeaderNames,
-    /// Callers.
+    /// The protocol towards callers.
     pub callers: CallerProtocol,
-    /// Targets.
+    /// The protocol towards targets.
     pub targets: TargetProtocol,
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passes a stream of events on to the caller, and goes on at another target where that is allowed.
+//! Relays a stream of events to the caller, and resumes it at another target if the route allows
+//! that.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -24,27 +25,27 @@
 use crate::upstream::is_peer_disconnect;
 use crate::{Gateway, ResponseBody};
 
-/// What a stream needs to go on.
+/// State of a relayed stream, with everything that resuming it needs.
 pub(crate) struct StreamRelay {
     gateway: Rc<Gateway>,
     request: Rc<CallerRequest>,
     service: String,
     chosen: Chosen,
-    /// Kept where the stream may have to begin anew elsewhere.
+    /// Retained if the stream may have to start again at another target.
     results: Option<RequestResults>,
     tried: Vec<String>,
     attempts: u32,
-    /// About when the stream began at its target.
+    /// Approximate time when the stream began at its target.
     sent: Instant,
     last_event: Option<String>,
     events: u64,
-    /// Whether its end has a line in the log.
+    /// Whether the end of the stream has been logged.
     ended: bool,
-    /// The leave to run that it needed.
+    /// The run permit of the request, if it needs one.
     run_permit: Option<RunTurn>,
 }
 
-// The HTTP library drops a stream whose caller has closed the connection.
+// The HTTP library drops a stream when its caller closes the connection.
 impl Drop for StreamRelay {
     fn drop(&mut self) {
         if !self.ended {
@@ -70,7 +71,7 @@
             service,
             tried: vec![chosen.id.clone()],
             chosen,
-            // The target has taken the results with its first event.
+            // The target has consumed the results by the time of its first event.
             results: results.filter(|_| may_resume),
             attempts,
             sent: Instant::now(),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Sets the leave to run that it has.
+    /// Sets the run permit that the request holds.
     pub(crate) fn with_run_permit(mut self, run_permit: Option<RunTurn>) -> Self {
         self.run_permit = run_permit;
         self
@@ -106,13 +107,13 @@
             .record_request_event(code, &self.request.id, &self.chosen.id, detail);
     }
 
-    /// Writes the line of its end.
+    /// Logs the end of the stream.
     fn finish(&mut self, code: EventCode, outcome: &str) {
         self.ended = true;
         self.record(code, outcome);
     }
 
-    /// Notes that the target broke the stream off.
+    /// Starts the check whether the target that broke the connection has crashed.
     async fn probe_target(&self) {
         let (service, chosen) = (&self.service, &self.chosen);
         self.gateway
@@ -120,7 +121,7 @@
             .await;
     }
 
-    /// Finds another target that goes on with the stream.
+    /// Finds another target that resumes the stream.
     async fn resume(&mut self, cause: &str) -> Option<Box<EventStream>> {
         let (service, target) = (&self.service, &self.chosen.id);
         self.gateway.record_target_failure(service, target, cause);
@@ -146,7 +147,8 @@
         None
     }
 
-    /// Sends the request to another target, which is to go on after the last event; nothing where there is none.
+    /// Sends the request to another target, which is to resume after the last event; returns `None`
+    /// if no target is available.
     async fn try_next_target(&mut self) -> Option<(Chosen, AttemptOutcome)> {
         loop {
             let (gateway, results) = (&self.gateway, self.results.as_ref());
@@ -174,17 +176,18 @@
     }
 }
 
-/// Where a stream stands.
+/// The state of a relayed stream.
 enum RelayState {
-    /// Events that are to be handed out before more are read.
+    /// The first events have arrived and are returned before any more are read.
     FirstEvents(StreamRelay, Box<EventStream>),
-    /// Events are to be read.
+    /// More events are to be read.
     Reading(StreamRelay, Box<EventStream>),
-    /// It has ended.
+    /// The stream has ended.
     Ended,
 }
 
-/// Answers with a stream. The head is that of the first target, whichever goes on later.
+/// Builds the streamed response. Its head is that of the first target, even if another target
+/// resumes the stream.
 pub(crate) fn relay_stream(relay: StreamRelay, stream: Box<EventStream>) -> Response<ResponseBody> {
     let (status, headers) = (stream.status, stream.headers.clone());
     let chunks = stream::unfold(RelayState::FirstEvents(relay, stream), next_chunk);
@@ -213,7 +216,8 @@
         Ok(Ok(None)) => {
             let EventStream { lease, headers, .. } = *stream;
             lease.release(&headers);
-            // The end of a target looks like the end of an answer that ends with its connection.
+            // A body without framing ends with its connection, so its end cannot be told from a
+            // crash of the target.
             if has_body_framing(&headers) {
                 relay
                     .gateway
@@ -259,7 +263,7 @@
     }
 }
 
-/// Reads until an event is whole; nothing at the end of the stream.
+/// Reads until an event is complete; returns `None` at the end of the stream.
 async fn read_events(stream: &mut EventStream) -> Result<Option<Bytes>, hyper::Error> {
     loop {
         match stream.rest.frame().await {
--- a/crates/gateway/src/target_selection.rs
+++ b/crates/gateway/src/target_selection.rs
@@ -1,4 +1,4 @@
-//! Choosing the service and the target of a request.
+//! Selects the service and the target of a request.
 
 use std::time::{Duration, Instant};
 
@@ -14,47 +14,49 @@
 use crate::target::{Chosen, Target, TargetBook};
 use crate::{Refusal, RefusalReason};
 
-/// Targets that the host which places prompts is asked to pass over, at most.
+/// Maximum number of targets that the placer is asked to avoid.
 const MAX_AVOIDED_TARGETS: usize = 32;
 
-/// How often a target is chosen anew for one sending where all were closed.
+/// Maximum number of selections for one attempt if all targets were closed to new requests.
 const MAX_SELECTIONS: u32 = 4;
 
-/// When a caller should come back where no target is known.
+/// The `retry-after` time if no target is registered.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Range of what is drawn beside the load of a target, so that hosts with the same news do not all choose
-/// the same.
+/// Range of the random amount that is added to a target's load, so that entry hosts with the same
+/// data do not all select the same target.
 const LOAD_JITTER: f64 = 0.05;
 
-/// The targets that a request passes over.
+/// The targets that a request must not be sent to.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ExcludedTargets<'a> {
-    /// Those that were tried.
+    /// Targets that were already tried.
     pub(crate) tried: &'a [String],
-    /// Whether also those that name rates, where another takes any.
+    /// Whether to exclude targets with a rate limit as well, if another target without one is
+    /// available.
     pub(crate) rate_limited: bool,
 }
 
-/// Picks the service of a request by the weights of its route.
+/// Picks the service of a request at random by the weights of its route.
 pub(crate) fn pick_service(route: &Route) -> &str {
     let total: u32 = route.split.iter().map(|part| part.weight).sum();
-    let mut drawn = fastrand::u32(0..total.max(1));
+    let mut remaining = fastrand::u32(0..total.max(1));
     for part in &route.split {
-        if drawn < part.weight {
+        if remaining < part.weight {
             return &part.service;
         }
-        drawn -= part.weight;
+        remaining -= part.weight;
     }
     route.split.last().map_or("", |part| part.service.as_str())
 }
 
-/// Chooses a target, passing over those that were tried. Where all others want no requests for a while it
-/// waits for the first one, if that is soon enough.
+/// Selects a target that has not been tried. If all others accept no requests for a while, waits
+/// for the first one to accept them again, provided that is soon enough.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::Overloaded`] where it is not, [`RefusalReason::NoTarget`] where there is none.
+/// [`RefusalReason::Overloaded`] if the wait would be too long, [`RefusalReason::NoTarget`] if
+/// there is no target.
 pub(crate) async fn select_or_await_target(
     gateway: &Gateway,
     service: &str,
@@ -78,7 +80,7 @@
         .with_retry_after(NO_TARGET_RETRY_AFTER)
 }
 
-/// Chooses a target, passing over those that were tried.
+/// Selects a target that is not excluded, without waiting; returns `None` if there is none.
 pub(crate) async fn select_target(
     gateway: &Gateway,
     service: &str,
@@ -115,8 +117,9 @@
     Some((best, None))
 }
 
-/// Returns the targets of a service that a request must not use: those that want nothing from this host, and
-/// those that other accounts are confined to, or its own is not.
+/// Returns the targets of a service that a request must not use now: targets that accept nothing
+/// from this host, and targets outside the share of confined accounts if its account is confined,
+/// or within that share if it is not.
 fn closed_targets(
     gateway: &Gateway,
     book: &TargetBook,
@@ -133,7 +136,7 @@
     closed
 }
 
-/// Returns what to ask of the host that places prompts; nothing for a request without one.
+/// Builds the placement request for the placer; returns `None` for a request without a prompt.
 pub(crate) fn placement_request(
     gateway: &Gateway,
     service: &str,
@@ -150,7 +153,7 @@
     let large_stage = largest.filter(|stage| stage.result_bytes >= HALL_BYTES);
     let book = gateway.targets.borrow();
     let result_bytes = results.map(|results| results.bytes_by_hall(request, &book));
-    // The host that places may not know yet what this one cannot reach.
+    // The placer may not know yet which targets this host cannot reach.
     let unreachable = book.passed_over(service, Instant::now());
     let avoid = excluded
         .tried
@@ -162,7 +165,7 @@
         heavy_stage: large_stage.map(|stage| stage.service.clone()),
         results: result_bytes.unwrap_or_default(),
         avoid: avoid.take(MAX_AVOIDED_TARGETS).cloned().collect(),
-        // That host may use what is only to be avoided where there is no other, but never these.
+        // The placer may use an avoided target if there is no other, but never a closed one.
         closed: closed_targets(gateway, &book, service, request, excluded),
         homes: request.allowed_halls.to_told(),
         apart: request.isolated.get(),
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to targets. One connection carries one request at a time.
+//! Pool of connections to targets. A connection carries one request at a time.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,39 +23,39 @@
 
 use crate::send_gate::SendGate;
 
-/// How long a connection may take to open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a connection may be silent before the system asks whether the other side is there.
+/// Idle time after which the operating system starts to send keep-alive probes.
 const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// Between two such questions.
+/// Interval between two keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long sent bytes may stay unacknowledged before the system gives a connection up.
+/// How long sent data may stay unacknowledged before the operating system closes the connection.
 const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long a connection may rest where the target does not say.
+/// Idle timeout of a connection if the target announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Part of the rest that a target allows after which a connection is not used any more.
+/// Share of the target's idle timeout after which a connection is not reused.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug, Display, derive_more::Error)]
 pub(crate) enum SendError {
-    /// Nothing of it reached the target.
+    /// The request did not reach the target.
     #[display("connect: {_0}")]
     #[error(ignore)]
     NotSent(String),
-    /// Nothing of it was written, since the target wants nothing now.
+    /// Nothing was written, since the target does not accept requests now.
     #[display("withheld")]
     Withheld,
-    /// It may have reached the target.
+    /// The request may have reached the target.
     #[display("send: {cause}")]
     MayHaveRun {
         cause: String,
-        /// Whether the other side ended the connection.
+        /// Whether the target closed or reset the connection.
         disconnected: bool,
     },
 }
@@ -69,12 +69,12 @@
     }
 }
 
-/// Says whether a connection ended since the other side closed or reset it. One that was given up since the
-/// other side was silent says nothing of the target.
+/// Returns whether an error means that the peer closed or reset the connection. A connection that
+/// was closed because the peer was silent says nothing about the target.
 pub(crate) fn is_peer_disconnect(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
-    while let Some(one) = cause {
-        if let Some(error) = one.downcast_ref::<io::Error>() {
+    while let Some(current) = cause {
+        if let Some(error) = current.downcast_ref::<io::Error>() {
             return matches!(
                 error.kind(),
                 ErrorKind::ConnectionReset
@@ -83,26 +83,26 @@
                     | ErrorKind::UnexpectedEof
             );
         }
-        cause = one.source();
+        cause = current.source();
     }
     let error = error.downcast_ref::<hyper::Error>();
     error.is_some_and(|error| error.is_incomplete_message() || error.is_closed())
 }
 
-/// What a new connection to a target tells of it.
+/// What an attempt to connect shows about a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProbeOutcome {
-    /// It takes connections.
+    /// It accepts connections.
     Open,
-    /// Nothing listens there.
+    /// Nothing listens at its address.
     Refused,
-    /// No answer came.
+    /// The connection attempt timed out or failed otherwise.
     Silent,
 }
 
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Dropped to close the connection at once.
+    /// Closes the connection at once when dropped.
     closer: oneshot::Sender<()>,
     idle_since: Instant,
     idle_timeout: Duration,
@@ -114,14 +114,14 @@
     opened_count: u64,
 }
 
-/// Resting connections by address. Cheap to clone.
+/// Idle connections by address. Cheap to clone.
 #[derive(Clone, Default)]
 pub(crate) struct UpstreamPool {
     state: Rc<RefCell<PoolState>>,
 }
 
-/// A connection in use. Dropped before [`Lease::finish`] it is closed, which tells the target that
-/// nobody waits for the answer.
+/// A connection in use. If it is dropped before [`ConnectionLease::release`], the connection is
+/// closed, which tells the target that nobody waits for the response.
 pub(crate) struct ConnectionLease {
     pool: UpstreamPool,
     address: SocketAddr,
@@ -129,13 +129,13 @@
 }
 
 impl UpstreamPool {
-    /// Returns how many connections were opened.
+    /// Returns how many connections have been opened.
     pub(crate) fn opened_count(&self) -> u64 {
         self.state.borrow().opened_count
     }
 
-    /// Sends a request and returns the head of the answer. The gate is asked right before bytes are written:
-    /// a connection may take 300 ms to open.
+    /// Sends a request and returns the head of the response. The gate is checked right before bytes
+    /// are written, since opening a connection can take up to 300 ms.
     pub(crate) async fn send(
         &self,
         address: SocketAddr,
@@ -150,7 +150,7 @@
             match connection.sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, self.lease(address, connection))),
                 Err(mut error) => match error.take_message() {
-                    // The connection had ended; the request was never written.
+                    // The connection was already closed; the request was never written.
                     Some(unsent) => request = unsent,
                     None => return Err(SendError::may_have_run(&error.into_error())),
                 },
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and returns the complete response.
     pub(crate) async fn exchange(
         &self,
         address: SocketAddr,
@@ -192,7 +192,8 @@
         Ok((head, body.to_bytes()))
     }
 
-    /// Opens a connection to see whether a target is there; it rests for the next request.
+    /// Opens a connection to check whether a target is alive. The connection stays idle for the
+    /// next request.
     pub(crate) async fn probe(&self, address: SocketAddr) -> ProbeOutcome {
         let socket = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(socket)) => socket,
@@ -207,15 +208,15 @@
         ProbeOutcome::Open
     }
 
-    /// Closes the resting connections to addresses that are not in use any more.
-    pub(crate) fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
+    /// Closes idle connections to addresses that `keep` rejects.
+    pub(crate) fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.state
             .borrow_mut()
             .idle
-            .retain(|address, _| wanted(address));
+            .retain(|address, _| keep(address));
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn close_expired(&self) {
         for idle in self.state.borrow_mut().idle.values_mut() {
             idle.retain(Connection::is_usable);
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Keeps a connection that nothing was sent on for the next request.
+    /// Keeps a connection on which nothing was sent for the next request.
     fn keep_idle(&self, address: SocketAddr, connection: Connection) {
         let mut state = self.state.borrow_mut();
         state.idle.entry(address).or_default().push(connection);
@@ -251,14 +252,19 @@
         let socket = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(socket)) => socket,
             Ok(Err(error)) => return Err(SendError::NotSent(error.to_string())),
-            Err(_) => return Err(SendError::NotSent("no answer in time".to_owned())),
+            Err(_) => {
+                return Err(SendError::NotSent(format!(
+                    "not established within {} ms",
+                    CONNECT_TIMEOUT.as_millis()
+                )));
+            }
         };
         self.establish(socket).await
     }
 
     async fn establish(&self, socket: TcpStream) -> Result<Connection, SendError> {
         let _ = socket.set_nodelay(true);
-        // Without these a connection behind a cut hangs for minutes.
+        // Without these a connection across a network partition hangs for minutes.
         let options = SockRef::from(&socket);
         let _ = options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT));
         let keepalive = TcpKeepalive::new()
@@ -294,7 +300,7 @@
 }
 
 impl ConnectionLease {
-    /// Gives the connection back after a whole answer, unless its head said that it closes.
+    /// Returns the connection to the pool after a complete response, unless the response closes it.
     pub(crate) fn release(self, head: &HeaderMap) {
         let Self {
             pool,
@@ -307,7 +313,8 @@
         connection.idle_timeout = keep_alive_timeout(head).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         connection.idle_since = Instant::now();
         // The connection is ready for another request only once its task has seen the end of the
-        // answer. A request that was answered before its body was read is never ready again.
+        // response. If the response was sent before the request's body was read, it never becomes
+        // ready.
         ntex::rt::spawn(async move {
             let ready = timeout(Duration::from_millis(200), connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
