--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -27,7 +27,7 @@
 use crate::upstream::{ConnectionLease, SendError, is_peer_disconnect};
 
 /// Minimum timeout of an attempt after which a repeatable request goes to another target.
-const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
+const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A resumable stream moves to another engine if no event has arrived within its remaining time
 /// divided by `SILENT_STREAM_TIME_DIVISOR`. Without this limit, hung engines kept such requests
@@ -51,14 +51,13 @@
         /// Whether stage results that it uses as input are gone, so that no target can run it.
         inputs_gone: bool,
     },
-    /// Nothing was sent: the target backed off, started leaving or reached its rate limit after it
-    /// was selected.
+    /// Nothing was sent: since its selection the target backed off, left or hit its rate limit.
     Withheld,
     /// The request may have run, and there is no usable response.
     MayHaveRun {
         cause: String,
-        /// Whether the target closed or reset the connection.
-        disconnected: bool,
+        /// Whether the target broke (closed or reset) the connection.
+        broken: bool,
     },
 }
 
@@ -66,14 +65,14 @@
     fn unusable(cause: impl Into<String>) -> Self {
         Self::MayHaveRun {
             cause: cause.into(),
-            disconnected: false,
+            broken: false,
         }
     }
 
     fn cut_short(what: &str, error: &hyper::Error) -> Self {
         Self::MayHaveRun {
             cause: format!("{what} cut short: {error}"),
-            disconnected: is_peer_disconnect(error),
+            broken: is_peer_disconnect(error),
         }
     }
 }
@@ -103,8 +102,7 @@
 }
 
 /// Sends a request to a target and waits for a complete response or for the first event. `may_retry`
-/// says whether another target may be tried after this one; the attempt then times out early enough
-/// for that.
+/// says whether another target may be tried after this one, which shortens the time limit.
 pub(crate) async fn send_attempt(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
@@ -119,7 +117,7 @@
     in_flight.note_sending();
     let time_left = request.time_left();
     let time_limit = if may_retry {
-        attempt_timeout(request, &attempt, time_left)
+        time_limit(request, &attempt, time_left)
     } else {
         time_left
     };
@@ -131,10 +129,7 @@
         AttemptOutcome::unusable(format!("no response within {} ms", time_limit.as_millis()))
     });
     gateway.count_attempt(request, (service, chosen), &outcome, sent.elapsed(), facts);
-    if let AttemptOutcome::MayHaveRun {
-        disconnected: true, ..
-    } = outcome
-    {
+    if let AttemptOutcome::MayHaveRun { broken: true, .. } = outcome {
         gateway.note_break(service, chosen, request, sent).await;
     }
     outcome
@@ -157,17 +152,10 @@
 
 /// Returns how long to wait for a response, or for the first event of a stream, if another target
 /// may be tried afterwards.
-fn attempt_timeout(
-    request: &CallerRequest,
-    attempt: &Attempt<'_>,
-    time_left: Duration,
-) -> Duration {
+fn time_limit(request: &CallerRequest, attempt: &Attempt<'_>, time_left: Duration) -> Duration {
     if request.route.kind != RouteKind::Streaming {
         let twice_objective = Duration::from_millis(request.route.objective_ms * 2);
-        return twice_objective.clamp(
-            MIN_ATTEMPT_TIMEOUT,
-            (time_left / 2).max(MIN_ATTEMPT_TIMEOUT),
-        );
+        return twice_objective.clamp(MIN_TIMEOUT, (time_left / 2).max(MIN_TIMEOUT));
     }
     let facts = attempt.placement.as_ref().and_then(Placement::facts);
     let expected_ms = facts.map_or(0, |facts| u64::from(facts.expected_ms));
@@ -207,11 +195,7 @@
     let sent_at = BootInstant::now();
     let gate = gateway.notices.gate(&chosen.id, SendKind::Work);
     let gate = gate.with_permit(permit);
-    let (response, lease) = match gateway
-        .connections
-        .send(chosen.address, outgoing, gate)
-        .await
-    {
+    let (response, lease) = match gateway.upstream.send(chosen.address, outgoing, gate).await {
         Ok(received) => received,
         Err(SendError::Withheld) => {
             in_flight.forget();
@@ -228,14 +212,8 @@
                 inputs_gone: false,
             };
         }
-        Err(SendError::MayHaveRun {
-            cause,
-            disconnected,
-        }) => {
-            return AttemptOutcome::MayHaveRun {
-                cause,
-                disconnected,
-            };
+        Err(SendError::MayHaveRun { cause, broken }) => {
+            return AttemptOutcome::MayHaveRun { cause, broken };
         }
     };
     let (head, body) = response.into_parts();
@@ -244,7 +222,7 @@
     if notice.closes() {
         hint_placer(gateway, &attempt);
     }
-    if let Some(not_run) = parse_not_run(gateway, &attempt, &head) {
+    if let Some(not_run) = handle_not_run(gateway, &attempt, &head) {
         if body.collect().await.is_ok() {
             lease.release(&head.headers);
         }
@@ -329,7 +307,7 @@
     targets.take_unreachable(service, engine, Instant::now());
 }
 
-fn parse_not_run(
+fn handle_not_run(
     gateway: &Gateway,
     attempt: &Attempt<'_>,
     head: &http::response::Parts,
@@ -376,8 +354,7 @@
     ConnectionLease,
 );
 
-/// Waits for the first complete event. A response that ends before it is returned as a complete
-/// response.
+/// Waits for the first complete event. A response that ends before it counts as complete.
 async fn await_first_event(
     gateway: &Gateway,
     request: &CallerRequest,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -90,7 +90,7 @@
     route_table: watch::Sender<Option<Rc<RouteTable>>>,
     pub(crate) directory: RefCell<DirectoryView>,
     pub(crate) targets: Rc<RefCell<TargetBook>>,
-    pub(crate) connections: UpstreamPool,
+    pub(crate) upstream: UpstreamPool,
     pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) engine_placer: Rc<RefCell<EnginePlacer>>,
     pub(crate) wait_model: RefCell<WaitModel>,
@@ -159,7 +159,7 @@
             retry_budget: RefCell::new(RetryBudget::new(rule)),
             engine_placer: engines.clone(),
             coordinator,
-            connections: pool,
+            upstream: pool,
             suspects: SuspectWatch::default(),
             crash_tracker: TargetEnds::default(),
             rollouts: RolloutWatch::default(),
@@ -394,7 +394,7 @@
 async fn run_maintenance(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(MAINTENANCE_INTERVAL).await;
-        gateway.connections.close_expired();
+        gateway.upstream.close_expired();
         gateway.expire_suspects();
         gateway.crash_tracker.expire(Instant::now());
         gateway.expire_notices();
@@ -409,7 +409,7 @@
         gateway
             .metrics
             .connections_opened
-            .set(gateway.connections.opened_count() as i64);
+            .set(gateway.upstream.opened_count() as i64);
         gateway
             .metrics
             .requests_open
--- a/crates/gateway/src/gateway/target_list.rs
+++ b/crates/gateway/src/gateway/target_list.rs
@@ -67,8 +67,7 @@
         self.stage_client.set_targets(&self.targets.borrow());
         self.coordinator.set_targets(ready);
         let addresses: HashSet<SocketAddr> = ready.iter().map(|target| target.address).collect();
-        self.connections
-            .retain(|address| addresses.contains(address));
+        self.upstream.retain(|address| addresses.contains(address));
     }
 
     /// Passes changes of the target list to the components of the gateway.
@@ -81,8 +80,7 @@
         // Another target may have the address by now, which only costs a new connection.
         let removed: HashSet<SocketAddr> = unlisted.iter().map(|target| target.address).collect();
         if !removed.is_empty() {
-            self.connections
-                .retain(|address| !removed.contains(address));
+            self.upstream.retain(|address| !removed.contains(address));
         }
     }
 
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -162,7 +162,7 @@
             Err(SendError::Withheld) => return CallEnd::Busy,
             Err(SendError::MayHaveRun {
                 cause,
-                disconnected: true,
+                broken: true,
             }) => return CallEnd::Broke(cause),
             Err(error) => return CallEnd::Failed(error.to_string()),
         };
--- a/crates/gateway/src/target_end.rs
+++ b/crates/gateway/src/target_end.rs
@@ -250,7 +250,7 @@
 }
 
 async fn probe_target(gateway: Rc<Gateway>, service: String, chosen: Chosen, end: EndKey) {
-    let outcome = gateway.connections.probe(chosen.address).await;
+    let outcome = gateway.upstream.probe(chosen.address).await;
     gateway.take_probe(service, chosen, end, outcome);
 }
 
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -55,8 +55,8 @@
     #[display("send: {cause}")]
     MayHaveRun {
         cause: String,
-        /// Whether the target closed or reset the connection.
-        disconnected: bool,
+        /// Whether the target broke (closed or reset) the connection.
+        broken: bool,
     },
 }
 
@@ -64,7 +64,7 @@
     fn may_have_run(error: &hyper::Error) -> Self {
         Self::MayHaveRun {
             cause: error.to_string(),
-            disconnected: is_peer_disconnect(error),
+            broken: is_peer_disconnect(error),
         }
     }
 }
