--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -51,7 +51,7 @@
         /// Whether stage results that it uses as input are gone, so that no target can run it.
         inputs_gone: bool,
     },
-    /// Nothing was sent: since its selection the target backed off, left or hit its rate limit.
+    /// Nothing was sent: the target stopped accepting requests after it was selected.
     Withheld,
     /// The request may have run, and there is no usable response.
     MayHaveRun {
@@ -391,7 +391,7 @@
                 return Err(AttemptOutcome::Complete(
                     head.status,
                     head.headers,
-                    splitter.rest(),
+                    splitter.take_remainder(),
                 ));
             }
         }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -17,7 +17,7 @@
     }
 
     /// Removes and returns the bytes after the last complete event.
-    pub(crate) fn rest(&mut self) -> Bytes {
+    pub(crate) fn take_remainder(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
 }
--- a/crates/gateway/src/events/tests.rs
+++ b/crates/gateway/src/events/tests.rs
@@ -15,7 +15,11 @@
             events, b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
             "split at {split}"
         );
-        assert_eq!(&splitter.rest()[..], b"id: 3\nda", "split at {split}");
+        assert_eq!(
+            &splitter.take_remainder()[..],
+            b"id: 3\nda",
+            "split at {split}"
+        );
     }
 }
 
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -77,7 +77,7 @@
     caller_watch.answered();
     record_outcome(&gateway, &request, &trace, &outcome);
     match outcome {
-        Ok(answer) => answer,
+        Ok(response) => response,
         Err(refusal) => refusal_response(&gateway.config.protocol, &request.id, &refusal),
     }
 }
@@ -99,7 +99,7 @@
     trace: &RequestTrace,
     outcome: &Result<Response<ResponseBody>, Refusal>,
 ) {
-    let took = request.arrived_at.elapsed();
+    let elapsed = request.arrived_at.elapsed();
     let detail = |outcome: &str| {
         format!(
             "route={} account={} rank={}.{} version={} attempts={} planned_ms={:.0} waits_ms={:.0} stages_ms={} stage_runs={} took_ms={}{} {outcome}",
@@ -113,21 +113,21 @@
             trace.plan.waits_ms,
             trace.stages_time.map_or(0, |stages| stages.as_millis()),
             trace.stage_runs,
-            took.as_millis(),
+            elapsed.as_millis(),
             prompt_details(request, trace),
         )
     };
     let (code, outcome, label) = match outcome {
-        Ok(answer) if answer.status().is_success() => {
-            gateway.metrics.first_answer.observe(took.as_secs_f64());
+        Ok(response) if response.status().is_success() => {
+            gateway.metrics.first_answer.observe(elapsed.as_secs_f64());
             (
                 EventCode::RequestFinished,
                 "outcome=answered".to_owned(),
                 "ok".to_owned(),
             )
         }
-        Ok(answer) => {
-            let status = answer.status().as_u16();
+        Ok(response) => {
+            let status = response.status().as_u16();
             (
                 EventCode::RequestFailed,
                 format!("outcome=status {status}"),
@@ -154,16 +154,16 @@
 }
 
 fn prompt_details(request: &CallerRequest, trace: &RequestTrace) -> String {
-    let (Some(prompt), Some(engine)) = (&request.prompt, trace.placement_facts) else {
+    let (Some(prompt), Some(facts)) = (&request.prompt, trace.placement_facts) else {
         return String::new();
     };
     format!(
         " tokens={} shared={} held={} ahead={} read_ms={}",
         prompt.input_tokens,
         prompt.shared_tokens(),
-        engine.held,
-        engine.ahead,
-        engine.expected_ms
+        facts.held,
+        facts.ahead,
+        facts.expected_ms
     )
 }
 
--- a/crates/gateway/src/forward/stages.rs
+++ b/crates/gateway/src/forward/stages.rs
@@ -68,9 +68,9 @@
     if !needs_large_results(request) {
         let targets = gateway.targets.borrow();
         let mut engines = targets.of_service(service);
-        let known = engines.any(|engine| request.allowed_halls.allow(&engine.hall));
+        let has_engine = engines.any(|engine| request.allowed_halls.allow(&engine.hall));
         let local_hall = || gateway.config.hall.clone();
-        return known.then(local_hall).ok_or_else(no_target_refusal);
+        return has_engine.then(local_hall).ok_or_else(no_target_refusal);
     }
     let Some(placement) =
         placement_request(gateway, service, request, ExcludedTargets::default(), None)
@@ -84,8 +84,8 @@
 /// Returns whether the target of a request fetches results that are too large to transfer between
 /// halls.
 fn needs_large_results(request: &CallerRequest) -> bool {
-    let taken = last_stages(request).into_iter();
-    let mut sizes = taken.map(|stage| request.route.stages[stage].result_bytes);
+    let final_stages = last_stages(request).into_iter();
+    let mut sizes = final_stages.map(|stage| request.route.stages[stage].result_bytes);
     sizes.any(|bytes| bytes >= HALL_BYTES)
 }
 
@@ -93,11 +93,11 @@
     gateway: &Gateway,
     request: &CallerRequest,
     trace: &RequestTrace,
-    took: Duration,
+    elapsed: Duration,
 ) {
     let mut waits = gateway.wait_model.borrow_mut();
-    waits.learn(request.rank, &trace.plan, took);
-    gateway.metrics.stage_time.observe(took.as_secs_f64());
+    waits.learn(request.rank, &trace.plan, elapsed);
+    gateway.metrics.stage_time.observe(elapsed.as_secs_f64());
 }
 
 /// Returns whether the stages of a request may run once more in the time that remains.
--- a/crates/gateway/src/message_heads.rs
+++ b/crates/gateway/src/message_heads.rs
@@ -35,7 +35,7 @@
     protocol: &Protocol,
     request: &CallerRequest,
     additions: &TargetHeaders<'_>,
-    left: Duration,
+    time_left: Duration,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
     let names = &protocol.headers;
     let mut headers = end_to_end_headers(&request.headers);
@@ -50,7 +50,7 @@
     set_header(
         &mut headers,
         &names.deadline_ms,
-        &left.as_millis().to_string(),
+        &time_left.as_millis().to_string(),
     );
     set_header(
         &mut headers,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -38,7 +38,7 @@
     /// Approximate time when the stream began at its target.
     sent: Instant,
     last_event: Option<String>,
-    events: u64,
+    chunks: u64,
     /// Whether the end of the stream has been logged.
     ended: bool,
     /// The run permit of the request, if it needs one.
@@ -76,7 +76,7 @@
             attempts,
             sent: Instant::now(),
             last_event: None,
-            events: 0,
+            chunks: 0,
             ended: false,
             run_permit: None,
         }
@@ -89,7 +89,7 @@
     }
 
     fn record_events(&mut self, events: &Bytes) {
-        self.events += 1;
+        self.chunks += 1;
         if let Some(id) = last_event_id(events) {
             self.last_event = Some(id);
         }
@@ -99,7 +99,7 @@
         let detail = format!(
             "route={} chunks={} last_event={} took_ms={} {outcome}",
             self.request.route.name,
-            self.events,
+            self.chunks,
             self.last_event.as_deref().unwrap_or("-"),
             self.request.arrived_at.elapsed().as_millis()
         );
@@ -275,7 +275,7 @@
             }
             Some(Err(error)) => return Err(error),
             None => {
-                let rest = stream.splitter.rest();
+                let rest = stream.splitter.take_remainder();
                 return Ok((!rest.is_empty()).then_some(rest));
             }
         }
