--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,7 +5,7 @@
 //!   connections, metrics.
 //! - [`Protocol`] defines the header names, paths, codecs and status codes of a deployment. The
 //!   gateway itself hard-codes none of them.
-//! - [`serve_callers`] serves the port for callers, [`serve_pieces`] the port for other entry
+//! - [`serve_callers`] serves the port for callers, [`serve_pieces()`] the port for other entry
 //!   hosts.
 
 mod admission;
