--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one target.
+//! One attempt to run a request at one target.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,232 +13,240 @@
 use tokio::time::timeout;
 
 use crate::Gateway;
-use crate::answer::{Addition, belongs_to, request_for};
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::events::EventSplitter;
 use crate::graph::RequestResults;
 use crate::in_flight::InFlight;
+use crate::message_heads::{TargetHeaders, build_target_request, echoes_request_id};
 use crate::notice::read_notice;
 use crate::rate_permit::SendPermit;
 use crate::send_gate::SendKind;
 use crate::service_availability::max_permit_wait;
 use crate::stage_client::Placement;
 use crate::target::Chosen;
-use crate::upstream::{Lease, SendError, is_break};
+use crate::upstream::{ConnectionLease, SendError, is_peer_disconnect};
 
-/// The least time that an attempt gets before a repeatable request goes to another target.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(250);
+/// Minimum timeout of an attempt after which a repeatable request goes to another target.
+const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Part of the time that is left after which a stream that may be resumed goes to another engine when
-/// no event has come. Engines that hang held such requests until their deadline, also where another
-/// one was free. An engine that is only late is worth waiting for longer than its prompt was
-/// expected to take, since another one would read the prompt anew.
-const SILENT_STREAM_PART: u32 = 2;
-const LATE_STREAM_STRETCH: u32 = 3;
+/// A resumable stream moves to another engine if no event has arrived within its remaining time
+/// divided by `SILENT_STREAM_TIME_DIVISOR`. Without this limit, hung engines kept such requests
+/// until their deadline, even while another engine was free. An engine that is merely slow gets at
+/// least `SLOW_STREAM_TIMEOUT_FACTOR` times the expected prefill time, since another engine would
+/// have to repeat the prefill.
+const SILENT_STREAM_TIME_DIVISOR: u32 = 2;
+const SLOW_STREAM_TIMEOUT_FACTOR: u32 = 3;
 
-/// How one sending to a target ended.
-pub(crate) enum AttemptEnd {
-    /// A whole answer, whatever its status.
-    Whole(StatusCode, HeaderMap, Bytes),
-    /// An answer that comes in events; the first ones are whole.
-    Events(Box<EventStream>),
-    /// The target did not run it.
+/// Outcome of one attempt.
+pub(crate) enum AttemptOutcome {
+    /// A complete response with any status.
+    Complete(StatusCode, HeaderMap, Bytes),
+    /// A streamed response whose first event has arrived.
+    Streaming(Box<EventStream>),
+    /// The target did not run the request.
     NotRun {
         cause: String,
         /// Whether the request reached the target.
-        arrived: bool,
-        /// Whether results that it takes are gone, so that no target can run it.
+        reached_target: bool,
+        /// Whether stage results that it uses as input are gone, so that no target can run it.
         inputs_gone: bool,
     },
-    /// Nothing was sent: the target wants nothing from this host since it was chosen.
+    /// Nothing was sent: the target stopped accepting requests after it was selected.
     Withheld,
-    /// It may have run, and there is no usable answer.
+    /// The request may have run, and there is no usable response.
     MayHaveRun {
         cause: String,
-        /// Whether the target ended the connection.
-        broke: bool,
+        /// Whether the target broke (closed or reset) the connection.
+        broken: bool,
     },
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     fn unusable(cause: impl Into<String>) -> Self {
         Self::MayHaveRun {
             cause: cause.into(),
-            broke: false,
+            broken: false,
         }
     }
 
-    fn cut(what: &str, error: &hyper::Error) -> Self {
+    fn cut_short(what: &str, error: &hyper::Error) -> Self {
         Self::MayHaveRun {
             cause: format!("{what} cut short: {error}"),
-            broke: is_break(error),
+            broken: is_peer_disconnect(error),
         }
     }
 }
 
-/// A stream of events of which the first has come.
+/// A streamed response whose first event has arrived.
 pub(crate) struct EventStream {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) first: Bytes,
     pub(crate) rest: Incoming,
     pub(crate) splitter: EventSplitter,
-    pub(crate) lease: Lease,
+    pub(crate) lease: ConnectionLease,
     /// Counts the request at its target while the stream lasts.
     pub(crate) _in_flight: InFlight,
-    /// Counts the prompt at the host that placed it.
+    /// Counts the prompt at the placer.
     pub(crate) _placement: Option<Placement>,
 }
 
-/// One sending to one target.
+/// An attempt that is about to be sent.
 pub(crate) struct Attempt<'a> {
     pub(crate) service: &'a str,
     pub(crate) chosen: &'a Chosen,
-    /// Counts the prompt at the host that placed it.
+    /// Counts the prompt at the placer.
     pub(crate) placement: Option<Placement>,
     pub(crate) results: Option<&'a RequestResults>,
     pub(crate) last_event: Option<&'a str>,
 }
 
-/// Sends a request to a target and waits for a whole answer or for the first event. `more` says
-/// whether another target may be tried after this one, so that a silent one is left in time.
+/// Sends a request to a target and waits for a complete response or for the first event. `may_retry`
+/// says whether another target may be tried after this one, which shortens the time limit.
 pub(crate) async fn send_attempt(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     attempt: Attempt<'_>,
-    more: bool,
-) -> AttemptEnd {
-    let mut in_flight = InFlight::new(gateway, attempt.service, &attempt.chosen.id, ask);
-    let Some(permit) = take_leave(gateway, ask, &attempt).await else {
+    may_retry: bool,
+) -> AttemptOutcome {
+    let mut in_flight = InFlight::new(gateway, attempt.service, &attempt.chosen.id, request);
+    let Some(permit) = acquire_permit(gateway, request, &attempt).await else {
         in_flight.forget();
-        return AttemptEnd::Withheld;
+        return AttemptOutcome::Withheld;
     };
     in_flight.note_sending();
-    let left = ask.time_left();
-    let bound = if more {
-        patience(ask, &attempt, left)
+    let time_left = request.time_left();
+    let time_limit = if may_retry {
+        time_limit(request, &attempt, time_left)
     } else {
-        left
+        time_left
     };
     let (service, chosen, sent) = (attempt.service, attempt.chosen, Instant::now());
     let facts = attempt.placement.as_ref().and_then(Placement::estimate);
-    let exchanged = exchange(gateway, ask, attempt, left, (in_flight, permit));
-    let end = timeout(bound, exchanged).await;
-    let end = end.unwrap_or_else(|_| {
-        AttemptEnd::unusable(format!("no answer within {} ms", bound.as_millis()))
+    let exchange = send_and_receive(gateway, request, attempt, time_left, (in_flight, permit));
+    let outcome = timeout(time_limit, exchange).await;
+    let outcome = outcome.unwrap_or_else(|_| {
+        AttemptOutcome::unusable(format!("no response within {} ms", time_limit.as_millis()))
     });
-    gateway.count_attempt(ask, (service, chosen), &end, sent.elapsed(), facts);
-    if let AttemptEnd::MayHaveRun { broke: true, .. } = end {
-        gateway.note_break(service, chosen, ask, sent).await;
+    gateway.count_attempt(request, (service, chosen), &outcome, sent.elapsed(), facts);
+    if let AttemptOutcome::MayHaveRun { broken: true, .. } = outcome {
+        gateway.note_break(service, chosen, request, sent).await;
     }
-    end
+    outcome
 }
 
-/// Takes leave for a sending by the rate of its target; nothing where there is none soon enough.
-async fn take_leave(gateway: &Gateway, ask: &Ask, attempt: &Attempt<'_>) -> Option<SendPermit> {
+/// Acquires a send permit under the target's rate limit; returns `None` if none is issued in time.
+async fn acquire_permit(
+    gateway: &Gateway,
+    request: &CallerRequest,
+    attempt: &Attempt<'_>,
+) -> Option<SendPermit> {
     let target = &attempt.chosen.id;
-    let within = max_permit_wait(gateway, attempt.service, ask, target);
-    let permit = gateway.notices.rates.take_permit(target, within).await;
+    let max_wait = max_permit_wait(gateway, attempt.service, request, target);
+    let permit = gateway.notices.rates.take_permit(target, max_wait).await;
     if permit.is_none() {
         gateway.notices.count_withheld(target);
     }
     permit
 }
 
-/// How long an answer, or the first event of a stream, is waited for where another target may be
-/// tried.
-fn patience(ask: &Ask, attempt: &Attempt<'_>, left: Duration) -> Duration {
-    if ask.route.kind != RouteKind::Streaming {
-        let usual = Duration::from_millis(ask.route.objective_ms * 2);
-        return usual.clamp(LEAST_ATTEMPT, (left / 2).max(LEAST_ATTEMPT));
+/// Returns how long to wait for a response, or for the first event of a stream, if another target
+/// may be tried afterwards.
+fn time_limit(request: &CallerRequest, attempt: &Attempt<'_>, time_left: Duration) -> Duration {
+    if request.route.kind != RouteKind::Streaming {
+        let twice_objective = Duration::from_millis(request.route.objective_ms * 2);
+        return twice_objective.clamp(MIN_TIMEOUT, (time_left / 2).max(MIN_TIMEOUT));
     }
     let facts = attempt.placement.as_ref().and_then(Placement::estimate);
     let expected_ms = facts.map_or(0, |facts| u64::from(facts.expected_ms));
-    let late = Duration::from_millis(expected_ms) * LATE_STREAM_STRETCH;
-    late.max(left / SILENT_STREAM_PART).min(left)
+    let slow_timeout = Duration::from_millis(expected_ms) * SLOW_STREAM_TIMEOUT_FACTOR;
+    slow_timeout
+        .max(time_left / SILENT_STREAM_TIME_DIVISOR)
+        .min(time_left)
 }
 
-async fn exchange(
+async fn send_and_receive(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     mut attempt: Attempt<'_>,
-    left: Duration,
+    time_left: Duration,
     (mut in_flight, permit): (InFlight, SendPermit),
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let chosen = attempt.chosen;
-    let addition = Addition {
-        target: &chosen.id,
+    let additions = TargetHeaders {
+        expected_target: &chosen.id,
         results: attempt.results.map(|results| results.handles().join(",")),
         last_event: attempt.last_event,
-        ranked: ask.prompt.is_some(),
-    };
-    let request = match request_for(&gateway.config.dialect, ask, &addition, left) {
-        Ok(request) => request,
-        Err(error) => {
-            let cause = format!("request: {error}");
-            return AttemptEnd::NotRun {
-                cause,
-                arrived: false,
-                inputs_gone: false,
-            };
-        }
+        with_priority: request.prompt.is_some(),
     };
+    let outgoing =
+        match build_target_request(&gateway.config.protocol, request, &additions, time_left) {
+            Ok(outgoing) => outgoing,
+            Err(error) => {
+                let cause = format!("cannot build the request: {error}");
+                return AttemptOutcome::NotRun {
+                    cause,
+                    reached_target: false,
+                    inputs_gone: false,
+                };
+            }
+        };
     let sent = Instant::now();
-    let asked = BootInstant::now();
+    let sent_at = BootInstant::now();
     let gate = gateway.notices.gate(&chosen.id, SendKind::Work);
     let gate = gate.with_permit(permit);
-    let (answer, lease) = match gateway.pool.send(chosen.address, request, gate).await {
-        Ok(answered) => answered,
+    let (response, lease) = match gateway.upstream.send(chosen.address, outgoing, gate).await {
+        Ok(received) => received,
         Err(SendError::Withheld) => {
             in_flight.forget();
-            return AttemptEnd::Withheld;
+            return AttemptOutcome::Withheld;
         }
         Err(SendError::NotSent(cause)) => {
-            gateway.note_unreachable(attempt.service, &chosen.id, &cause);
+            gateway.record_unreachable(attempt.service, &chosen.id, &cause);
             if let Some(placement) = &attempt.placement {
                 placement.report_unreachable(attempt.service, &chosen.id);
             }
-            return AttemptEnd::NotRun {
+            return AttemptOutcome::NotRun {
                 cause,
-                arrived: false,
+                reached_target: false,
                 inputs_gone: false,
             };
         }
-        Err(SendError::MayHaveRun { cause, broke }) => {
-            return AttemptEnd::MayHaveRun { cause, broke };
+        Err(SendError::MayHaveRun { cause, broken }) => {
+            return AttemptOutcome::MayHaveRun { cause, broken };
         }
     };
-    let (head, body) = answer.into_parts();
-    let notice = read_notice(&gateway.config.dialect, &head, Some(&ask.id));
-    gateway.notices.note(&chosen.id, notice, asked);
+    let (head, body) = response.into_parts();
+    let notice = read_notice(&gateway.config.protocol, &head, Some(&request.id));
+    gateway.notices.note(&chosen.id, notice, sent_at);
     if notice.closes() {
         hint_placer(gateway, &attempt);
     }
-    if let Some(refused) = read_refusal(gateway, &attempt, &head) {
+    if let Some(not_run) = handle_not_run(gateway, &attempt, &head) {
         if body.collect().await.is_ok() {
-            lease.finish(&head.headers);
+            lease.release(&head.headers);
         }
-        return refused;
+        return not_run;
     }
-    if !belongs_to(&gateway.config.dialect.headers, &head.headers, &ask.id) {
-        gateway.note_request(
+    if !echoes_request_id(&gateway.config.protocol.headers, &head.headers, &request.id) {
+        gateway.record_request_event(
             EventCode::AnswerDropped,
-            &ask.id,
+            &request.id,
             &chosen.id,
-            "another id".to_owned(),
+            "the response carries another request id".to_owned(),
         );
-        return AttemptEnd::unusable("an answer of another request");
+        return AttemptOutcome::unusable("an answer of another request");
     }
-    let sealed = head
+    let has_seal = head
         .headers
-        .contains_key(&gateway.config.dialect.headers.seal);
-    if head.status.is_success() && !sealed {
-        return AttemptEnd::unusable("an answer without the target's seal");
+        .contains_key(&gateway.config.protocol.headers.seal);
+    if head.status.is_success() && !has_seal {
+        return AttemptOutcome::unusable("an answer without the target's seal");
     }
-    if ask.route.kind == RouteKind::Streaming && head.status.is_success() {
-        let end = first_events(
+    if request.route.kind == RouteKind::Streaming && head.status.is_success() {
+        let outcome = await_first_event(
             gateway,
-            ask,
+            request,
             head,
             body,
             lease,
@@ -246,13 +254,13 @@
             sent,
         )
         .await;
-        return match end {
+        return match outcome {
             Ok((status, headers, first, rest, splitter, lease)) => {
                 gateway
                     .targets
                     .borrow_mut()
                     .note_success(attempt.service, &chosen.id);
-                AttemptEnd::Events(Box::new(EventStream {
+                AttemptOutcome::Streaming(Box::new(EventStream {
                     status,
                     headers,
                     first,
@@ -263,88 +271,99 @@
                     _placement: attempt.placement.take(),
                 }))
             }
-            Err(end) => end,
+            Err(outcome) => outcome,
         };
     }
     match body.collect().await {
         Ok(body) => {
-            lease.finish(&head.headers);
+            lease.release(&head.headers);
             if head.status.is_server_error() {
                 let cause = format!("status {}", head.status.as_u16());
-                gateway.note_target_failure(attempt.service, &chosen.id, &cause);
+                gateway.record_target_failure(attempt.service, &chosen.id, &cause);
             } else {
                 gateway
                     .targets
                     .borrow_mut()
                     .note_success(attempt.service, &chosen.id);
             }
-            AttemptEnd::Whole(head.status, head.headers, body.to_bytes())
+            AttemptOutcome::Complete(head.status, head.headers, body.to_bytes())
         }
-        Err(error) => AttemptEnd::cut("answer", &error),
+        Err(error) => AttemptOutcome::cut_short("answer", &error),
     }
 }
 
-/// Has the host that places prompts pass an engine over for a short while, for all hosts. An engine that turns
-/// prompts away looks idle to it: of two that did so for 3 s, with three hosts, each was sent 4 to 6 prompts,
-/// and 6 to 8 without this (three runs each). It may take prompts of others, so it is no more than a hint.
+/// Asks the placer to avoid an engine for a short while, on behalf of all entry hosts. To the
+/// placer an engine that refuses prompts looks idle: with three entry hosts and two engines that
+/// refused for 3 s, each engine received 4 to 6 prompts, and 6 to 8 without this hint (three
+/// runs each). The engine may accept prompts from other entry hosts, so this is only a hint.
 fn hint_placer(gateway: &Gateway, attempt: &Attempt<'_>) {
     let Some(placement) = &attempt.placement else {
         return;
     };
     let (service, engine) = (attempt.service, attempt.chosen.id.as_str());
     placement.report_unreachable(service, engine);
-    // Where this host places itself.
+    // Applies if this host is the placer.
     let mut targets = gateway.targets.borrow_mut();
     targets.take_unreachable(service, engine, Instant::now());
 }
 
-fn read_refusal(
+fn handle_not_run(
     gateway: &Gateway,
     attempt: &Attempt<'_>,
     head: &http::response::Parts,
-) -> Option<AttemptEnd> {
-    let dialect = &gateway.config.dialect;
-    if head.status == dialect.targets.other_target {
+) -> Option<AttemptOutcome> {
+    let protocol = &gateway.config.protocol;
+    if head.status == protocol.targets.other_target {
         gateway
             .targets
             .borrow_mut()
             .remove(attempt.service, &attempt.chosen.id);
-        gateway.view.borrow_mut().list_again(&attempt.chosen.id);
-        let cause = "another target has the address".to_owned();
-        return Some(AttemptEnd::NotRun {
+        gateway
+            .directory
+            .borrow_mut()
+            .list_again(&attempt.chosen.id);
+        let cause = "another target or incarnation runs at the address".to_owned();
+        return Some(AttemptOutcome::NotRun {
             cause,
-            arrived: true,
+            reached_target: true,
             inputs_gone: false,
         });
     }
-    if head.headers.contains_key(&dialect.headers.not_run) {
+    if head.headers.contains_key(&protocol.headers.not_run) {
         let cause = format!("refused with status {}", head.status.as_u16());
-        let inputs_gone = head.status == dialect.targets.inputs_gone;
+        let inputs_gone = head.status == protocol.targets.inputs_gone;
         if !inputs_gone {
             let mut targets = gateway.targets.borrow_mut();
             targets.note_refused(attempt.service, &attempt.chosen.id, Instant::now());
         }
-        return Some(AttemptEnd::NotRun {
+        return Some(AttemptOutcome::NotRun {
             cause,
-            arrived: true,
+            reached_target: true,
             inputs_gone,
         });
     }
     None
 }
 
-type FirstEvents = (StatusCode, HeaderMap, Bytes, Incoming, EventSplitter, Lease);
+type FirstEvent = (
+    StatusCode,
+    HeaderMap,
+    Bytes,
+    Incoming,
+    EventSplitter,
+    ConnectionLease,
+);
 
-/// Waits for the first whole event. An answer that ends before it is passed on as it is.
-async fn first_events(
+/// Waits for the first complete event. A response that ends before it counts as complete.
+async fn await_first_event(
     gateway: &Gateway,
-    ask: &Ask,
+    request: &CallerRequest,
     head: http::response::Parts,
     mut body: Incoming,
-    lease: Lease,
+    lease: ConnectionLease,
     placement: Option<&Placement>,
     sent: Instant,
-) -> Result<FirstEvents, AttemptEnd> {
+) -> Result<FirstEvent, AttemptOutcome> {
     let mut splitter = EventSplitter::default();
     loop {
         match body.frame().await {
@@ -355,24 +374,24 @@
                 if let Some(placement) = placement {
                     placement.report_prefill_done();
                 }
-                if let Some(prompt) = &ask.prompt {
-                    let unshared = prompt.own_tokens();
+                if let Some(prompt) = &request.prompt {
+                    let unshared_tokens = prompt.unshared_tokens();
                     gateway
-                        .engines
+                        .engine_placer
                         .borrow_mut()
-                        .learn_prefill_speed(unshared, sent.elapsed());
+                        .learn_prefill_speed(unshared_tokens, sent.elapsed());
                 }
                 return Ok((head.status, head.headers, first, body, splitter, lease));
             }
             Some(Err(error)) => {
-                return Err(AttemptEnd::cut("stream", &error));
+                return Err(AttemptOutcome::cut_short("stream", &error));
             }
             None => {
-                lease.finish(&head.headers);
-                return Err(AttemptEnd::Whole(
+                lease.release(&head.headers);
+                return Err(AttemptOutcome::Complete(
                     head.status,
                     head.headers,
-                    splitter.rest(),
+                    splitter.take_remainder(),
                 ));
             }
         }
--- a/crates/gateway/src/caller_disconnect.rs
+++ b/crates/gateway/src/caller_disconnect.rs
@@ -5,18 +5,18 @@
 use linnet_telemetry::EventCode;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 
 /// Records an event when it is dropped before the request has a response: the HTTP library drops the future of
 /// a request once its caller has closed the connection, which leaves no other trace.
 pub(crate) struct CallerDisconnectGuard {
     gateway: Rc<Gateway>,
-    request: Rc<Ask>,
+    request: Rc<CallerRequest>,
     has_response: bool,
 }
 
 impl CallerDisconnectGuard {
-    pub(crate) fn new(gateway: &Rc<Gateway>, request: &Rc<Ask>) -> Self {
+    pub(crate) fn new(gateway: &Rc<Gateway>, request: &Rc<CallerRequest>) -> Self {
         Self {
             gateway: gateway.clone(),
             request: request.clone(),
@@ -39,12 +39,12 @@
             "route={} account={} took_ms={} outcome=the caller left before its answer",
             self.request.route.name,
             self.request.account.as_deref().unwrap_or("-"),
-            self.request.arrived.elapsed().as_millis(),
+            self.request.arrived_at.elapsed().as_millis(),
         );
         self.gateway
             .metrics
-            .count("caller_left", self.request.rank.second);
+            .count_request("caller_left", self.request.rank.route_priority);
         self.gateway
-            .note_request(EventCode::RequestCancelled, &self.request.id, "", detail);
+            .record_request_event(EventCode::RequestCancelled, &self.request.id, "", detail);
     }
 }
--- /dev/null
+++ b/crates/gateway/src/caller_request.rs
@@ -0,0 +1,320 @@
+//! A caller's request, parsed once into typed form.
+
+use std::cell::{Cell, OnceCell};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use http::{HeaderMap, Method, Uri, header};
+
+use linnet_quarantine::RequestSubject;
+use linnet_routing::{Account, Route, RouteTable};
+
+use serde::{Deserialize, Serialize};
+
+use crate::allowed_halls::AllowedHalls;
+use crate::open_request::OpenRequestGuard;
+use crate::protocol::HeaderNames;
+use crate::rendezvous::ScoreKey;
+use crate::{Refusal, RefusalReason};
+
+/// Maximum number of pieces that a request may ask of one stage.
+const MAX_PIECES_PER_STAGE: u32 = 4_096;
+
+/// A request that passed validation.
+pub(crate) struct CallerRequest {
+    pub(crate) id: String,
+    pub(crate) method: Method,
+    pub(crate) uri: Uri,
+    pub(crate) headers: HeaderMap,
+    pub(crate) body: Bytes,
+    pub(crate) route: Route,
+    pub(crate) account: Option<String>,
+    /// The data halls in which it may run.
+    pub(crate) allowed_halls: AllowedHalls,
+    pub(crate) rank: Rank,
+    pub(crate) config_version: u64,
+    pub(crate) arrived_at: Instant,
+    /// When it times out, by the caller's deadline or the route's timeout.
+    pub(crate) deadline: Instant,
+    pub(crate) prompt: Option<Prompt>,
+    pub(crate) piece_counts: Vec<u32>,
+    pub(crate) piece_key: String,
+    /// Counts the request as in flight until its response has ended.
+    pub(crate) in_flight_guard: Option<OpenRequestGuard>,
+    /// Identifies the request across repeated attempts and entry hosts; computed on first use.
+    pub(crate) subject: OnceCell<RequestSubject>,
+    /// Whether it is suspected of crashing targets, and so is sent where the fewest other requests
+    /// run.
+    pub(crate) isolated: Cell<bool>,
+}
+
+/// Priority of a request: the account's priority is compared before the route's. Lower values are
+/// more urgent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Rank {
+    /// The priority of the account, or of the route if the account has none.
+    pub account_priority: u8,
+    /// The priority of the route.
+    pub route_priority: u8,
+}
+
+impl Rank {
+    /// Returns the rank as one of the priority levels of engines, 0 to 9.
+    pub(crate) fn engine_priority(self) -> u8 {
+        let level = self
+            .account_priority
+            .saturating_mul(3)
+            .saturating_add(self.route_priority.min(2));
+        level.min(9)
+    }
+}
+
+/// Sizes and cacheable parts of a prompt.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct Prompt {
+    pub(crate) input_tokens: u64,
+    pub(crate) max_output_tokens: u64,
+    /// The parts that other requests share, in the order in which they stand in the prompt.
+    pub(crate) shared_parts: Vec<PromptPart>,
+}
+
+/// A part of a prompt that engines cache for later prompts.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PromptPart {
+    /// The identifier of the part.
+    pub id: String,
+    /// The number of its tokens.
+    pub tokens: u64,
+}
+
+impl Prompt {
+    /// Returns the key that sends prompts with the same last shared part to the same engines.
+    /// Prompts without shared parts are distributed by their size.
+    pub(crate) fn affinity_key(&self) -> ScoreKey {
+        match self.last_shared_id() {
+            "" => ScoreKey::new(&self.input_tokens.to_string()),
+            shared_parts => ScoreKey::new(shared_parts),
+        }
+    }
+
+    /// Returns the id of the last shared part; empty if there is none.
+    pub(crate) fn last_shared_id(&self) -> &str {
+        self.shared_parts.last().map_or("", |part| &part.id)
+    }
+
+    /// Returns the number of tokens in all shared parts.
+    pub(crate) fn shared_tokens(&self) -> u64 {
+        self.shared_parts.iter().map(|part| part.tokens).sum()
+    }
+
+    /// Returns the number of tokens that no other request shares.
+    pub(crate) fn unshared_tokens(&self) -> u64 {
+        self.input_tokens.saturating_sub(self.shared_tokens())
+    }
+}
+
+impl CallerRequest {
+    /// Returns the subject that identifies the request when it is sent again, to this or another
+    /// entry host.
+    pub(crate) fn subject(&self) -> &RequestSubject {
+        self.subject.get_or_init(|| {
+            let host = self.headers.get(header::HOST);
+            let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
+            let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
+            let account = self.account.as_deref().unwrap_or_default();
+            RequestSubject::new(account, self.method.as_str(), [host, path], &self.body)
+        })
+    }
+
+    /// Returns the time until the deadline.
+    pub(crate) fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
+    }
+
+    /// Returns the time until the objective is missed.
+    pub(crate) fn objective_left(&self) -> Duration {
+        let objective = Duration::from_millis(self.route.objective_ms);
+        objective.saturating_sub(self.arrived_at.elapsed())
+    }
+}
+
+/// Parses the head of a request against the routing configuration.
+///
+/// # Errors
+///
+/// A refusal if no route matches, the key is missing or unknown, or a header is malformed.
+pub(crate) fn parse_request(
+    table: &RouteTable,
+    names: &HeaderNames,
+    halls: &BTreeMap<String, String>,
+    head: http::request::Parts,
+    arrived_at: Instant,
+) -> Result<CallerRequest, Refusal> {
+    let host = head
+        .headers
+        .get(header::HOST)
+        .and_then(|value| value.to_str().ok())
+        .or_else(|| head.uri.host())
+        .unwrap_or_default();
+    let route = table
+        .find_route(host, head.uri.path())
+        .ok_or_else(|| Refusal::new(RefusalReason::NoRoute, "no route for host and path"))?;
+    let account = find_account(table, route, &head.headers)?;
+    let id = header_text(&head.headers, &names.request_id)
+        .unwrap_or_default()
+        .to_owned();
+    let deadline = parse_deadline(&head.headers, names, route)?;
+    let prompt = parse_prompt(&head.headers, names)?;
+    let piece_counts = parse_piece_counts(&head.headers, names, route)?;
+    let piece_key = header_text(&head.headers, &names.piece_key)
+        .unwrap_or_default()
+        .to_owned();
+    Ok(CallerRequest {
+        id,
+        rank: Rank {
+            account_priority: account
+                .and_then(|account| account.priority)
+                .unwrap_or(route.priority),
+            route_priority: route.priority,
+        },
+        allowed_halls: AllowedHalls::new(
+            halls,
+            &route.regions,
+            account.map_or(&[], |account| &account.regions),
+        ),
+        account: account.map(|account| account.name.clone()),
+        route: route.clone(),
+        config_version: table.config().version,
+        method: head.method,
+        uri: head.uri,
+        headers: head.headers,
+        body: Bytes::new(),
+        arrived_at,
+        deadline: arrived_at + deadline,
+        prompt,
+        piece_counts,
+        piece_key,
+        in_flight_guard: None,
+        subject: OnceCell::new(),
+        isolated: Cell::new(false),
+    })
+}
+
+fn header_text<'a>(headers: &'a HeaderMap, name: &http::HeaderName) -> Option<&'a str> {
+    headers.get(name)?.to_str().ok()
+}
+
+fn find_account<'a>(
+    table: &'a RouteTable,
+    route: &Route,
+    headers: &HeaderMap,
+) -> Result<Option<&'a Account>, Refusal> {
+    if !table.needs_key(route) {
+        return Ok(None);
+    }
+    let authorization = header_text(headers, &header::AUTHORIZATION);
+    let key = authorization.and_then(|value| value.strip_prefix("Bearer "));
+    let account = key.and_then(|key| table.find_account(key.trim()));
+    match account {
+        Some(account) => Ok(Some(account)),
+        None => {
+            let detail = format!(
+                "API key missing or unknown in configuration version {}",
+                table.config().version
+            );
+            Err(Refusal::new(RefusalReason::Unauthorized, detail))
+        }
+    }
+}
+
+fn malformed_header(header: &http::HeaderName, expected: &str) -> Refusal {
+    let detail = format!("{header}: expected {expected}");
+    Refusal::new(RefusalReason::BadRequest, detail)
+}
+
+/// Returns the duration that a header gives in milliseconds; `None` if it is missing or malformed.
+pub(crate) fn parse_millis_header(
+    headers: &HeaderMap,
+    name: &http::HeaderName,
+) -> Option<Duration> {
+    let millis = header_text(headers, name)?.trim().parse().ok()?;
+    Some(Duration::from_millis(millis))
+}
+
+fn parse_deadline(
+    headers: &HeaderMap,
+    names: &HeaderNames,
+    route: &Route,
+) -> Result<Duration, Refusal> {
+    let route_timeout_ms = route.timeout_ms;
+    let requested_ms = match headers.get(&names.deadline_ms) {
+        None => route_timeout_ms,
+        Some(value) => value
+            .to_str()
+            .ok()
+            .and_then(|value| value.trim().parse().ok())
+            .ok_or_else(|| malformed_header(&names.deadline_ms, "milliseconds"))?,
+    };
+    Ok(Duration::from_millis(route_timeout_ms.min(requested_ms)))
+}
+
+fn parse_prompt(headers: &HeaderMap, names: &HeaderNames) -> Result<Option<Prompt>, Refusal> {
+    let Some(tokens) = header_text(headers, &names.tokens) else {
+        return Ok(None);
+    };
+    let expected = || malformed_header(&names.tokens, "IN,OUT");
+    let (input_tokens, max_output_tokens) = tokens.split_once(',').ok_or_else(expected)?;
+    let input_tokens = input_tokens.trim().parse().map_err(|_| expected())?;
+    let max_output_tokens = max_output_tokens.trim().parse().map_err(|_| expected())?;
+    let parts = header_text(headers, &names.prompt_parts).unwrap_or_default();
+    let parts = parts
+        .split(',')
+        .filter(|part| !part.trim().is_empty())
+        .map(|part| {
+            let (id, tokens) = part.trim().split_once(':')?;
+            Some(PromptPart {
+                id: id.to_owned(),
+                tokens: tokens.parse().ok()?,
+            })
+        })
+        .collect::<Option<Vec<_>>>()
+        .ok_or_else(|| malformed_header(&names.prompt_parts, "ID:TOKENS,..."))?;
+    // The last part belongs to this request alone.
+    let shared_parts = parts
+        .split_last()
+        .map_or(&[][..], |(_, shared_parts)| shared_parts);
+    Ok(Some(Prompt {
+        input_tokens,
+        max_output_tokens,
+        shared_parts: shared_parts.to_vec(),
+    }))
+}
+
+fn parse_piece_counts(
+    headers: &HeaderMap,
+    names: &HeaderNames,
+    route: &Route,
+) -> Result<Vec<u32>, Refusal> {
+    if route.stages.is_empty() {
+        return Ok(Vec::new());
+    }
+    // Without the header every stage has one piece.
+    let Some(counts) = header_text(headers, &names.piece_counts) else {
+        return Ok(vec![1; route.stages.len()]);
+    };
+    let counts: Option<Vec<u32>> = counts
+        .split(',')
+        .map(|count| {
+            count
+                .trim()
+                .parse()
+                .ok()
+                .filter(|count| *count <= MAX_PIECES_PER_STAGE)
+        })
+        .collect();
+    let mut counts = counts.ok_or_else(|| malformed_header(&names.piece_counts, "COUNT,..."))?;
+    // The caller may have counted the stages of an older configuration version.
+    counts.resize(route.stages.len(), 0);
+    Ok(counts)
+}
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -12,6 +12,7 @@
 use super::due_call::DueCall;
 use super::stage_target::StageTarget;
 use crate::allowed_halls::AllowedHalls;
+use crate::caller_request::Rank;
 use crate::ask::Rank;
 use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUsage};
 use crate::pool_key::PoolKey;
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -14,6 +14,7 @@
 use super::result_memory::MemoryKey;
 use super::stage_target::{CallVerdict, StageTarget};
 use crate::allowed_halls::AllowedHalls;
+use crate::caller_request::Rank;
 use crate::ask::Rank;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, target_address_of};
 use crate::pool_key::PoolKey;
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -173,8 +173,8 @@
             number: 0,
             pool: PoolKey::whole(SERVICE),
             rank: Rank {
-                first: 0,
-                second: 0,
+                account_priority: 0,
+                route_priority: 0,
             },
             first_stage: false,
             objective_ms: 60_000,
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -10,7 +10,7 @@
 use linnet_clock::BootInstant;
 use linnet_rate::RatePacer;
 
-use crate::ask::PromptPart;
+use crate::caller_request::PromptPart;
 use crate::cold::{ColdRate, SendWindow};
 use crate::pool_key::placement_pool_key;
 use crate::rendezvous::ScoreKey;
@@ -205,8 +205,8 @@
                 HallWeights::new(book, &request.service, stage)
             });
         let shared = request.prompt.shared_tokens();
-        let key = ScoreKey::new(request.prompt.last_shared());
-        let holders = self.holders_of(&request.prompt.shared);
+        let key = ScoreKey::new(request.prompt.last_shared_id());
+        let holders = self.holders_of(&request.prompt.shared_parts);
         let mut ranked: Vec<RankedEngine<'_>> = candidates
             .into_iter()
             .map(|target| {
@@ -376,7 +376,7 @@
         let isolated = load.map_or(0, |load| load.isolated);
         // On a slow engine the prefill of the prompt's own tokens is slow as well.
         let slowness = self.slowness_of(&engine.id, now);
-        let own_ms = self.prefill_ms(request.prompt.own_tokens()) + SLOWNESS_BASE_MS;
+        let own_ms = self.prefill_ms(request.prompt.unshared_tokens()) + SLOWNESS_BASE_MS;
         let running_ms = f64::from(running) / f64::from(engine.slots) * FULL_ENGINE_COST_MS;
         (self.prefill_ms(pending_tokens) + missing_ms) * slowness
             + own_ms * (slowness - 1.0)
@@ -393,12 +393,12 @@
         now: Instant,
     ) -> Option<(Chosen, PlacementFacts)> {
         let chosen = self.choose(book, request, now)?;
-        let cached_tokens = cached_tokens(&self.holders_of(&request.prompt.shared), &chosen.id);
+        let cached_tokens = cached_tokens(&self.holders_of(&request.prompt.shared_parts), &chosen.id);
         let queued_tokens = self
             .loads
             .get(&chosen.id)
             .map_or(0, |load| load.pending_tokens);
-        let expected_ms = (queued_tokens + request.prompt.tokens_in.saturating_sub(cached_tokens))
+        let expected_ms = (queued_tokens + request.prompt.input_tokens.saturating_sub(cached_tokens))
             as f64
             / self.tokens_per_ms;
         let facts = PlacementFacts {
@@ -419,12 +419,12 @@
         let (chosen, facts) = self.plan(book, request, now)?;
         self.count_against_cold_rate(book, &request.service, &chosen.id, now);
         self.count_against_rate_limit(book, &chosen.id);
-        let pending_tokens = request.prompt.tokens_in.saturating_sub(facts.cached_tokens);
+        let pending_tokens = request.prompt.input_tokens.saturating_sub(facts.cached_tokens);
         let load = self.loads.entry(chosen.id.clone()).or_default();
         load.pending_tokens += pending_tokens;
         load.running += 1;
         load.isolated += u32::from(request.isolated);
-        for part in &request.prompt.shared {
+        for part in &request.prompt.shared_parts {
             self.record_holder(&chosen.id, &part.id, now);
         }
         self.last_placement += 1;
--- a/crates/gateway/src/engine/placement_request.rs
+++ b/crates/gateway/src/engine/placement_request.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ask::Prompt;
+use crate::caller_request::Prompt;
 use crate::hall_bytes::HallBytes;
 
 /// A request to the host that places prompts.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,8 +1,8 @@
-//! What the tasks of one entry host share.
+//! The state that the tasks of one entry host share.
 
-mod rates;
+mod send_permits;
+mod target_health;
 mod target_list;
-mod target_notes;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 use linnet_wire::PeerIdentity;
 use tokio::sync::{Notify, watch};
 
-use crate::Dialect;
+use crate::Protocol;
 use crate::coordinator::Coordinator;
 use crate::engine::EnginePlacer;
 use crate::metrics::GatewayMetrics;
@@ -35,104 +35,104 @@
 use crate::upstream::UpstreamPool;
 use crate::wait_model::WaitModel;
 
-/// Why new callers should not come to a host.
+/// The reason why a host is not ready for new callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum NotReady {
-    /// It is about to end.
+    /// It is about to stop.
     #[display("stopping")]
     Stopping,
-    /// It has no configuration and hears no control host.
+    /// It has no configuration and is connected to no control host.
     #[display("no control host is heard")]
     NoControlHost,
-    /// It has no configuration.
+    /// It is connected to a control host and has no configuration yet.
     #[display("no configuration yet")]
     NoConfiguration,
 }
 
-/// Reads a valid configuration from the bytes of a document.
+/// Parses and validates the configuration in a document body.
 pub type ConfigReader = Box<dyn Fn(&[u8]) -> Result<RoutingConfig, String>>;
 
 /// What a gateway needs to start.
 pub struct GatewayConfig {
-    /// How callers and targets speak.
-    pub dialect: Dialect,
-    /// Reads the configuration.
+    /// The protocol towards callers and targets.
+    pub protocol: Protocol,
+    /// Parses the configuration.
     pub read_config: ConfigReader,
-    /// Name, keys and clock towards peers.
+    /// Name, keys and clock used towards peers.
     pub identity: PeerIdentity,
-    /// Where events go.
+    /// Receives the events.
     pub recorder: Arc<EventRecorder>,
     /// Name of this host.
     pub name: String,
     /// Its data hall.
     pub hall: String,
-    /// The region of each data hall that is known.
-    pub halls: BTreeMap<String, String>,
-    /// Where other entry hosts reach it.
-    pub peer: SocketAddr,
-    /// Repeated sendings that are allowed in any window, as a part of the requests.
+    /// Region of each known data hall.
+    pub hall_regions: BTreeMap<String, String>,
+    /// Address for connections of other entry hosts.
+    pub peer_address: SocketAddr,
+    /// Retries that are allowed in any window, as a share of the requests.
     pub retry_ratio: f64,
-    /// Repeated sendings that are allowed beyond that, over all hosts.
+    /// Retries that are allowed in any window beyond that share, over all hosts.
     pub retry_slack: f64,
-    /// The window.
+    /// Length of the window.
     pub retry_window: Duration,
-    /// How long a request waits, on a host that has just started, for the first configuration and the
-    /// first targets.
-    pub start_patience: Duration,
-    /// Bytes of calls to stage targets that this host sends in a second before other hosts send them
-    /// in its place.
+    /// Maximum time that a request waits, shortly after the start of the host, for the first
+    /// configuration and the first targets.
+    pub max_startup_wait: Duration,
+    /// Bytes per second of calls to stage targets that this host sends itself; beyond that it
+    /// delegates calls to other entry hosts.
     pub shared_bytes_per_s: f64,
 }
 
-/// What the tasks of one entry host share; all on one thread.
+/// The state that the tasks of one entry host share. All of them run on one thread.
 pub struct Gateway {
     pub(crate) config: GatewayConfig,
-    table: watch::Sender<Option<Rc<RouteTable>>>,
-    pub(crate) view: RefCell<DirectoryView>,
+    route_table: watch::Sender<Option<Rc<RouteTable>>>,
+    pub(crate) directory: RefCell<DirectoryView>,
     pub(crate) targets: Rc<RefCell<TargetBook>>,
-    pub(crate) pool: UpstreamPool,
-    pub(crate) budget: RefCell<RetryBudget>,
-    pub(crate) engines: Rc<RefCell<EnginePlacer>>,
-    pub(crate) waits: RefCell<WaitModel>,
-    pub(crate) stages: StageClient,
+    pub(crate) upstream: UpstreamPool,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
+    pub(crate) engine_placer: Rc<RefCell<EnginePlacer>>,
+    pub(crate) wait_model: RefCell<WaitModel>,
+    pub(crate) stage_client: StageClient,
     pub(crate) coordinator: Rc<Coordinator>,
     pub(crate) suspects: SuspectWatch,
-    pub(crate) ends: TargetEnds,
+    pub(crate) crash_tracker: TargetEnds,
     pub(crate) rollouts: RolloutTracker,
-    /// What targets have asked of this host.
+    /// Back-offs, leave notices and rate limits that targets sent to this host.
     pub(crate) notices: Rc<NoticeBook>,
-    /// The targets for which this host gives leave to send.
-    rate_turns: RateTurns,
-    /// Requests that wait until a target takes requests again.
-    pub(crate) waiting: OpenRequestCount,
+    /// Issues send permits for the targets that this host is responsible for.
+    send_permit_issuer: RateTurns,
+    /// Counts requests that wait until a target accepts requests again.
+    pub(crate) waiting_requests: OpenRequestCount,
     pub(crate) stopping: Cell<bool>,
-    /// When requests that are still in flight are given up, since the process is about to end.
-    give_up_at: watch::Sender<Option<Instant>>,
+    /// When requests still in flight are aborted, because the process is about to stop.
+    stop_deadline: watch::Sender<Option<Instant>>,
     pub(crate) open_requests: OpenRequestCount,
-    /// Wakes the task that works the list of targets out anew.
-    targets_due: Notify,
+    /// Wakes the task that recomputes the list of targets.
+    targets_changed: Notify,
     /// Wakes requests that wait for the first targets.
-    target_lists: watch::Sender<()>,
-    started: Instant,
+    target_list_updates: watch::Sender<()>,
+    started_at: Instant,
     /// Metrics of this host.
     pub metrics: GatewayMetrics,
-    gateway_record: watch::Sender<Option<GatewayRecord>>,
+    entry_host_record: watch::Sender<Option<GatewayRecord>>,
 }
 
 impl Gateway {
-    /// Creates a gateway that knows nothing yet, and starts its tasks.
+    /// Creates a gateway without configuration or targets, and starts its tasks.
     pub fn new(config: GatewayConfig) -> Rc<Self> {
         let record = GatewayRecord {
             name: config.name.clone(),
             hall: config.hall.clone(),
-            peer: config.peer,
+            peer: config.peer_address,
             stopping: false,
         };
         let pool = UpstreamPool::default();
         let metrics = GatewayMetrics::new();
         let targets: Rc<RefCell<TargetBook>> = Rc::default();
         let notices = Rc::new(NoticeBook::new(config.recorder.clone(), targets.clone()));
-        let caller = StageTargetClient::new(config.dialect.clone(), pool.clone(), notices.clone());
+        let caller = StageTargetClient::new(config.protocol.clone(), pool.clone(), notices.clone());
         let coordinator = Rc::new(Coordinator::new(
             caller,
             config.recorder.clone(),
@@ -145,165 +145,167 @@
         };
         let engines = Rc::new(RefCell::new(EnginePlacer::default()));
         let gateway = Rc::new(Self {
-            stages: StageClient::new(
+            stage_client: StageClient::new(
                 config.identity.clone(),
                 config.name.clone(),
                 config.hall.clone(),
                 coordinator.clone(),
                 engines.clone(),
             ),
-            waits: RefCell::default(),
-            table: watch::Sender::new(None),
-            view: RefCell::default(),
+            wait_model: RefCell::default(),
+            route_table: watch::Sender::new(None),
+            directory: RefCell::default(),
             targets,
-            budget: RefCell::new(RetryBudget::new(rule)),
-            engines: engines.clone(),
+            retry_budget: RefCell::new(RetryBudget::new(rule)),
+            engine_placer: engines.clone(),
             coordinator,
-            pool,
+            upstream: pool,
             suspects: SuspectWatch::default(),
-            ends: TargetEnds::default(),
+            crash_tracker: TargetEnds::default(),
             rollouts: RolloutTracker::default(),
             notices,
-            rate_turns: RateTurns::default(),
-            waiting: OpenRequestCount::default(),
+            send_permit_issuer: RateTurns::default(),
+            waiting_requests: OpenRequestCount::default(),
             stopping: Cell::new(false),
-            give_up_at: watch::Sender::new(None),
+            stop_deadline: watch::Sender::new(None),
             open_requests: OpenRequestCount::default(),
-            targets_due: Notify::new(),
-            target_lists: watch::Sender::new(()),
-            started: Instant::now(),
+            targets_changed: Notify::new(),
+            target_list_updates: watch::Sender::new(()),
+            started_at: Instant::now(),
             metrics,
-            gateway_record: watch::Sender::new(Some(record)),
+            entry_host_record: watch::Sender::new(Some(record)),
             config,
         });
-        let watching = Rc::downgrade(&gateway);
+        let weak = Rc::downgrade(&gateway);
         gateway
             .coordinator
             .set_target_crash_observer(Box::new(move |call| {
-                if let Some(gateway) = watching.upgrade() {
+                if let Some(gateway) = weak.upgrade() {
                     gateway.note_call_end(call);
                 }
             }));
-        let watching = Rc::downgrade(&gateway);
+        let weak = Rc::downgrade(&gateway);
         gateway
             .coordinator
             .set_call_observer(Box::new(move |call, end, took| {
-                if let Some(gateway) = watching.upgrade() {
+                if let Some(gateway) = weak.upgrade() {
                     gateway.count_call(call, end, took);
                 }
             }));
-        gateway.watch_rates();
-        ntex::rt::spawn(keep_house(gateway.clone()));
-        ntex::rt::spawn(target_list::keep_targets(gateway.clone()));
+        gateway.install_permit_requester();
+        ntex::rt::spawn(run_maintenance(gateway.clone()));
+        ntex::rt::spawn(target_list::run_target_refresh(gateway.clone()));
         gateway
     }
 
-    /// Returns a receiver of this host's record, for the control hosts.
-    pub fn record(&self) -> watch::Receiver<Option<GatewayRecord>> {
-        self.gateway_record.subscribe()
+    /// Returns a receiver of this host's record, which is reported to the control hosts.
+    pub fn subscribe_record(&self) -> watch::Receiver<Option<GatewayRecord>> {
+        self.entry_host_record.subscribe()
     }
 
-    /// Returns the version of the configuration that is in force here; 0 for none.
+    /// Returns the version of the active configuration; 0 if there is none.
     pub fn config_version(&self) -> u64 {
-        self.table().map_or(0, |table| table.config().version)
+        self.route_table().map_or(0, |table| table.config().version)
     }
 
-    /// Returns the routes that are in force here; nothing before any were.
-    pub(crate) fn table(&self) -> Option<Rc<RouteTable>> {
-        self.table.borrow().clone()
+    /// Returns the active route table; `None` before the first configuration.
+    pub(crate) fn route_table(&self) -> Option<Rc<RouteTable>> {
+        self.route_table.borrow().clone()
     }
 
-    /// Returns the routes that are in force here, and waits for the first ones for at most
-    /// `patience`.
-    pub(crate) async fn table_within(&self, patience: Duration) -> Option<Rc<RouteTable>> {
-        let mut changes = self.table.subscribe();
+    /// Returns the active route table, waiting for the first one for at most `max_wait`.
+    pub(crate) async fn wait_for_route_table(&self, max_wait: Duration) -> Option<Rc<RouteTable>> {
+        let mut changes = self.route_table.subscribe();
         let first = changes.wait_for(Option::is_some);
-        let found = tokio::time::timeout(patience, first).await.ok()?;
+        let found = tokio::time::timeout(max_wait, first).await.ok()?;
         found.ok()?.clone()
     }
 
-    /// Says why new callers should not come here; nothing where they should.
+    /// Returns why new callers should not use this host; `None` if it is ready.
     pub fn not_ready(&self) -> Option<NotReady> {
         if self.stopping.get() {
             return Some(NotReady::Stopping);
         }
-        if self.table.borrow().is_some() {
+        if self.route_table.borrow().is_some() {
             return None;
         }
-        let heard = self.view.borrow().is_connected();
-        Some(if heard {
+        let is_connected = self.directory.borrow().is_connected();
+        Some(if is_connected {
             NotReady::NoConfiguration
         } else {
             NotReady::NoControlHost
         })
     }
 
-    /// Returns how many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn open_requests(&self) -> usize {
         self.open_requests.get()
     }
 
-    /// Begins a planned stop: callers should go elsewhere, what is in flight goes on until `give_up`,
-    /// when it is answered that there is no answer.
-    pub fn begin_stop(&self, give_up: Instant) {
+    /// Begins a planned stop. New callers should use other hosts; requests in flight continue until
+    /// `deadline` and are then answered with a refusal.
+    pub fn begin_stop(&self, deadline: Instant) {
         self.stopping.set(true);
-        self.stages.begin_stop();
-        self.give_up_at.send_replace(Some(give_up));
-        self.gateway_record.send_modify(|record| {
+        self.stage_client.begin_stop();
+        self.stop_deadline.send_replace(Some(deadline));
+        self.entry_host_record.send_modify(|record| {
             if let Some(record) = record {
                 record.stopping = true;
             }
         });
     }
 
-    /// Resolves when what is in flight has to be given up.
-    pub(crate) async fn stop_reached(&self) {
-        let mut give_up_at = self.give_up_at.subscribe();
+    /// Resolves when requests in flight have to be aborted.
+    pub(crate) async fn wait_for_stop_deadline(&self) {
+        let mut stop_deadline = self.stop_deadline.subscribe();
         loop {
-            let at = *give_up_at.borrow_and_update();
+            let at = *stop_deadline.borrow_and_update();
             match at {
                 Some(at) => return tokio::time::sleep_until(at.into()).await,
-                None if give_up_at.changed().await.is_err() => return,
+                None if stop_deadline.changed().await.is_err() => return,
                 None => {}
             }
         }
     }
 
-    /// Takes an update of the directory.
-    pub fn take_update(&self, from: SocketAddr, update: DirectoryUpdate) {
+    /// Applies an update of the directory.
+    pub fn apply_update(&self, from: SocketAddr, update: DirectoryUpdate) {
         self.take_suspects(&update.suspects);
         self.notices.rates.take_told(&update.rates);
-        let targets_changed = !update.targets.is_empty();
+        let targets_updated = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
-        // The control host is told right after this that the update was taken, and the target then that
-        // it gets no more work.
-        let withdraws = self.withdraws(&update);
-        let gateways_changed = update.gateways.is_some();
-        self.view.borrow_mut().take(from, update, Instant::now());
-        let rolls = self.refresh_rollouts();
-        if gateways_changed {
-            self.refresh_gateways();
+        // After this returns, the control host receives the acknowledgement of the update and in
+        // turn tells the target that it gets no more work. A withdrawn target must therefore be out
+        // of the list by then.
+        let withdraws_active_target = self.withdraws_active_target(&update);
+        let entry_hosts_changed = update.gateways.is_some();
+        self.directory
+            .borrow_mut()
+            .take(from, update, Instant::now());
+        let rollouts_changed = self.refresh_rollouts();
+        if entry_hosts_changed {
+            self.refresh_entry_hosts();
         }
         if evacuated {
-            self.note_evacuations();
+            self.record_evacuations();
         }
-        if withdraws || evacuated || rolls {
+        if withdraws_active_target || evacuated || rollouts_changed {
             self.refresh_targets();
-        } else if targets_changed {
-            self.targets_due.notify_one();
+        } else if targets_updated {
+            self.targets_changed.notify_one();
         }
     }
 
-    fn note_evacuations(&self) {
-        let view = self.view.borrow();
+    fn record_evacuations(&self) {
+        let view = self.directory.borrow();
         let halls: Vec<&str> = view.evacuations().evacuated_halls().collect();
         self.metrics.halls_evacuated.set(halls.len() as i64);
         let detail = format!("halls={}", halls.join(","));
-        self.note(EventCode::EvacuationInForce, &detail);
+        self.record_event(EventCode::EvacuationInForce, &detail);
     }
 
-    /// Says whether an update takes a target out that gets work here.
-    fn withdraws(&self, update: &DirectoryUpdate) -> bool {
+    /// Returns whether an update withdraws a target that this host sends work to.
+    fn withdraws_active_target(&self, update: &DirectoryUpdate) -> bool {
         let targets = self.targets.borrow();
         let mut records = update.targets.iter();
         records.any(|record| {
@@ -311,29 +313,29 @@
         })
     }
 
-    /// Returns the newest configuration that came here.
-    pub fn held_document(&self) -> Option<Arc<HeldDocument>> {
-        self.view.borrow().document().cloned()
+    /// Returns the newest configuration document that this host has received.
+    pub fn current_document(&self) -> Option<Arc<HeldDocument>> {
+        self.directory.borrow().document().cloned()
     }
 
-    /// Takes a configuration; a newer one comes into force.
-    pub fn take_document(&self, document: HeldDocument) {
-        let newer = self.view.borrow_mut().take_document(document);
+    /// Stores a configuration document and activates it if it is newer than the current one.
+    pub fn apply_document(&self, document: HeldDocument) {
+        let newer = self.directory.borrow_mut().take_document(document);
         if newer {
-            self.put_in_force();
+            self.activate_configuration();
         }
     }
 
-    /// Hears that a control host was lost.
-    pub fn lose_control(&self, from: SocketAddr) {
-        self.view.borrow_mut().lose(from);
+    /// Records that the connection to a control host was lost.
+    pub fn mark_control_lost(&self, from: SocketAddr) {
+        self.directory.borrow_mut().lose(from);
         self.refresh_rollouts();
-        self.refresh_gateways();
-        self.targets_due.notify_one();
+        self.refresh_entry_hosts();
+        self.targets_changed.notify_one();
     }
 
-    fn put_in_force(&self) {
-        let view = self.view.borrow();
+    fn activate_configuration(&self) {
+        let view = self.directory.borrow();
         let Some(document) = view.document() else {
             return;
         };
@@ -349,59 +351,67 @@
                 let table = Rc::new(RouteTable::new(config));
                 self.coordinator.set_services(&table);
                 self.targets.borrow_mut().set_services(table.config());
-                self.table.send_replace(Some(table));
-                self.note(EventCode::RoutingInForce, &detail);
+                self.route_table.send_replace(Some(table));
+                self.record_event(EventCode::RoutingInForce, &detail);
             }
-            // Control hosts check before they accept, so this is a newer program's form.
-            Err(fault) => self.note(EventCode::RoutingRefused, &fault),
+            // Control hosts validate a configuration before they accept it, so this one has the
+            // format of a newer program version.
+            Err(fault) => self.record_event(EventCode::RoutingRefused, &fault),
         }
     }
 
-    fn refresh_gateways(&self) {
-        let gateways = self.view.borrow().gateways();
-        self.stages.set_entry_hosts(gateways);
+    fn refresh_entry_hosts(&self) {
+        let gateways = self.directory.borrow().gateways();
+        self.stage_client.set_entry_hosts(gateways);
     }
 
-    /// Returns the way to stage targets.
+    /// Returns the client that calls stage targets.
     pub(crate) fn stage_caller(&self) -> &StageTargetClient {
         &self.coordinator.caller
     }
 
-    /// Returns how many entry hosts are known, this one among them.
-    pub(crate) fn gateway_count(&self) -> usize {
-        self.stages.entry_host_count()
+    /// Returns the number of known entry hosts, including this one.
+    pub(crate) fn entry_host_count(&self) -> usize {
+        self.stage_client.entry_host_count()
     }
 
-    pub(crate) fn note(&self, code: EventCode, detail: &str) {
+    pub(crate) fn record_event(&self, code: EventCode, detail: &str) {
         self.config.recorder.record(code, "", detail);
     }
 
-    pub(crate) fn note_request(&self, code: EventCode, id: &str, peer: &str, detail: String) {
+    pub(crate) fn record_request_event(
+        &self,
+        code: EventCode,
+        id: &str,
+        peer: &str,
+        detail: String,
+    ) {
         self.config.recorder.record_request(code, id, peer, detail);
     }
 }
 
-/// Between two rounds of closing what has rested too long.
-const HOUSE_PERIOD: Duration = Duration::from_millis(250);
+/// Interval between two runs of the periodic maintenance.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-async fn keep_house(gateway: Rc<Gateway>) {
+async fn run_maintenance(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(HOUSE_PERIOD).await;
-        gateway.pool.close_rested();
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
+        gateway.upstream.close_expired();
         gateway.expire_suspects();
-        gateway.ends.expire(Instant::now());
+        gateway.crash_tracker.expire(Instant::now());
         gateway.expire_notices();
         gateway.coordinator.dispatch_all();
-        gateway.stages.probe_unreachable_halls();
-        // Hosts that no control host names any more stay while they are reached.
-        if gateway.stages.keeps_unlisted_hosts() {
-            gateway.refresh_gateways();
+        gateway.stage_client.probe_unreachable_halls();
+        // Entry hosts that no control host lists any more stay known as long as this host reaches
+        // them.
+        if gateway.stage_client.keeps_unlisted_hosts() {
+            gateway.refresh_entry_hosts();
         }
-        gateway.view.borrow_mut().forget_past(Instant::now());
+        gateway.directory.borrow_mut().forget_past(Instant::now());
         gateway
             .metrics
             .connections_opened
-            .set(gateway.pool.opened() as i64);
+            .set(gateway.upstream.opened_count() as i64);
         gateway
             .metrics
             .requests_open
@@ -410,7 +420,7 @@
             .metrics
             .config_version
             .set(gateway.config_version() as i64);
-        let hosts = gateway.gateway_count() as i64;
+        let hosts = gateway.entry_host_count() as i64;
         gateway.metrics.hosts_known.set(hosts);
     }
 }
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -1,12 +1,12 @@
-//! Runs the stages of a request in the order of their results.
+//! Runs the stages of a request in dependency order.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
-use crate::admission::RETRY_LEAST;
-use crate::ask::Ask;
+use crate::admission::MIN_RETRY_AFTER;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::hall_bytes::HallBytes;
 use crate::path_time::{final_stages, stage_pool_of, time_to_first_event_ms};
@@ -19,14 +19,14 @@
 use crate::target::TargetBook;
 use crate::{Gateway, Refusal, RefusalReason};
 
-/// The results of one stage, which are released when this is dropped.
+/// Handles of the results of one stage; the results are released on drop.
 struct StageResults {
     gateway: Rc<Gateway>,
     service: String,
     home: HostLocation,
     pool: PoolKey,
     handles: Vec<String>,
-    /// About how large one of them is, in bytes.
+    /// Approximate size of one result, in bytes.
     bytes: u64,
 }
 
@@ -36,28 +36,28 @@
         if !handles.is_empty() {
             let home = self.home;
             self.gateway
-                .stages
+                .stage_client
                 .release_results(home, &self.pool, handles, self.bytes);
         }
     }
 }
 
-/// The results that a request takes; released when this is dropped.
+/// The stage results that a request takes as input; released on drop.
 pub(crate) struct RequestResults {
     stages: Vec<Option<StageResults>>,
-    taken: Vec<usize>,
+    final_stages: Vec<usize>,
 }
 
 impl RequestResults {
-    /// Returns where the results lie that the request's target takes.
-    pub(crate) fn places(&self, ask: &Ask, book: &TargetBook) -> HallBytes {
-        bytes_by_hall(ask, &self.stages, &self.taken, book)
+    /// Returns how many bytes of the final stages' results lie in each hall.
+    pub(crate) fn bytes_by_hall(&self, request: &CallerRequest, book: &TargetBook) -> HallBytes {
+        bytes_by_hall(request, &self.stages, &self.final_stages, book)
     }
 
-    /// Returns the handles of the stages that no other comes after.
+    /// Returns the result handles of the final stages, which no other stage comes after.
     pub(crate) fn handles(&self) -> Vec<String> {
         let stages = self
-            .taken
+            .final_stages
             .iter()
             .filter_map(|stage| self.stages[*stage].as_ref());
         stages
@@ -66,57 +66,62 @@
     }
 }
 
-/// A stage of which a piece has no result.
+/// A stage that has a piece without a result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct StageFailure {
-    /// The stage of the route, from 0.
+    /// Index of the stage in the route, from 0.
     number: usize,
     service: String,
     fault: PieceFault,
 }
 
 impl StageFailure {
-    /// Says whether the stages may well succeed when they are run anew: what they lost was lost with a
-    /// target or a host, and others make it again.
-    pub(crate) fn is_worth_again(&self) -> bool {
+    /// Returns whether another run of the stages may succeed: the results were lost with a target
+    /// or a host, and other targets can compute them again.
+    pub(crate) fn is_retryable(&self) -> bool {
         matches!(
             self.fault,
             PieceFault::InputGone | PieceFault::Failed | PieceFault::CoordinatorLost
         )
     }
 
-    /// Returns the refusal of its request.
+    /// Returns the refusal of the request.
     pub(crate) fn refusal(&self) -> Refusal {
-        // No stage counts as a run of the request, so it may be told as not run.
+        // A stage run does not count as a run of the request, so the refusal may promise that it
+        // did not run.
         let Self {
             number,
             service,
             fault,
         } = self;
         let detail = format!("stage={number} service={service} cause={fault}");
-        Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(RETRY_LEAST)
+        Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(MIN_RETRY_AFTER)
     }
 }
 
-/// Runs all stages of a request whose generation will run in `hall`.
+/// Runs all stages of a request whose target is expected to be in `hall`.
 pub(crate) async fn run_stages(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     hall: &str,
 ) -> Result<RequestResults, StageFailure> {
-    let stages = &ask.route.stages;
+    let stages = &request.route.stages;
     let mut results: Vec<Option<StageResults>> = stages.iter().map(|_| None).collect();
-    let mut done: Vec<bool> = ask.piece_counts.iter().map(|count| *count == 0).collect();
+    let mut done: Vec<bool> = request
+        .piece_counts
+        .iter()
+        .map(|count| *count == 0)
+        .collect();
     let mut started = done.clone();
     let mut running = FuturesUnordered::new();
-    let mut schedule = StageSchedule::new(gateway, ask);
-    let mut expected = expect_later(gateway, ask, &schedule);
+    let mut schedule = StageSchedule::new(gateway, request);
+    let mut announced = announce_later_stages(gateway, request, &schedule);
     loop {
         let now = Instant::now();
         let mut next_start: Option<Instant> = None;
         for number in 0..stages.len() {
-            let due = stages[number].after.iter().all(|after| done[*after]);
-            if started[number] || !due {
+            let is_ready = stages[number].after.iter().all(|after| done[*after]);
+            if started[number] || !is_ready {
                 continue;
             }
             if let Some(start) = schedule.start_time(number).filter(|start| *start > now) {
@@ -124,11 +129,11 @@
                 continue;
             }
             started[number] = true;
-            let inputs = inputs_of(ask, &results, number);
-            let stage_hall = hall_of_stage(gateway, ask, number, &results, hall);
-            // From here on the pieces wait themselves.
-            expected[number] = None;
-            running.push(run_stage(gateway, ask, number, inputs, stage_hall));
+            let inputs = input_handles(request, &results, number);
+            let stage_hall = preferred_hall(gateway, request, number, &results, hall);
+            // The submitted pieces replace the announced ones.
+            announced[number] = None;
+            running.push(run_stage(gateway, request, number, inputs, stage_hall));
         }
         let ended = tokio::select! {
             ended = running.next(), if !running.is_empty() => ended,
@@ -139,12 +144,12 @@
             results[number] = Some(outcome?);
             done[number] = true;
             schedule.record_stage_end(number, Instant::now());
-            release_taken(ask, &mut results, &done);
+            release_consumed(request, &mut results, &done);
         }
     }
     Ok(RequestResults {
         stages: results,
-        taken: final_stages(ask),
+        final_stages: final_stages(request),
     })
 }
 
@@ -154,19 +159,24 @@
     }
 }
 
-/// Tells the coordinators of all stages that start later of the pieces that will come.
-fn expect_later(
+/// Announces the pieces of all stages that start later to the coordinators of their pools.
+fn announce_later_stages(
     gateway: &Gateway,
-    ask: &Ask,
+    request: &CallerRequest,
     schedule: &StageSchedule,
 ) -> Vec<Option<Expectation>> {
-    let stages = ask.route.stages.iter().zip(&ask.piece_counts).enumerate();
+    let stages = request
+        .route
+        .stages
+        .iter()
+        .zip(&request.piece_counts)
+        .enumerate();
     let later = stages.map(|(number, (stage, count))| {
-        let comes = *count > 0 && (!stage.after.is_empty() || schedule.is_delayed(number));
-        comes.then(|| {
-            gateway.stages.expect_pieces(ExpectedPieces {
-                pool: choose_part(gateway, ask, number, None),
-                rank: ask.rank,
+        let starts_later = *count > 0 && (!stage.after.is_empty() || schedule.is_delayed(number));
+        starts_later.then(|| {
+            gateway.stage_client.expect_pieces(ExpectedPieces {
+                pool: select_partition(gateway, request, number, None),
+                rank: request.rank,
                 pieces: *count,
             })
         })
@@ -174,115 +184,120 @@
     later.collect()
 }
 
-/// Releases the results that every stage which takes them has taken, since room for results is
-/// scarce at their targets.
-fn release_taken(ask: &Ask, results: &mut [Option<StageResults>], done: &[bool]) {
-    let stages = &ask.route.stages;
-    let last = final_stages(ask);
-    for (number, held) in results.iter_mut().enumerate() {
-        let mut takers = (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
-        if !last.contains(&number) && takers.all(|later| done[later]) {
-            *held = None;
+/// Releases results that all dependent stages have consumed, since memory for results is scarce at
+/// the stage targets.
+fn release_consumed(request: &CallerRequest, results: &mut [Option<StageResults>], done: &[bool]) {
+    let stages = &request.route.stages;
+    let last = final_stages(request);
+    for (number, stage_results) in results.iter_mut().enumerate() {
+        let mut consumers =
+            (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
+        if !last.contains(&number) && consumers.all(|later| done[later]) {
+            *stage_results = None;
         }
     }
 }
 
-fn inputs_of(ask: &Ask, results: &[Option<StageResults>], number: usize) -> Vec<String> {
-    let before = ask.route.stages[number].after.iter();
+fn input_handles(
+    request: &CallerRequest,
+    results: &[Option<StageResults>],
+    number: usize,
+) -> Vec<String> {
+    let before = request.route.stages[number].after.iter();
     let stages = before.filter_map(|after| results[*after].as_ref());
     stages
         .flat_map(|stage| stage.handles.iter().cloned())
         .collect()
 }
 
-/// Returns where the results of some stages lie.
+/// Returns how many bytes of the results of some stages lie in each hall.
 fn bytes_by_hall(
-    ask: &Ask,
+    request: &CallerRequest,
     results: &[Option<StageResults>],
     numbers: &[usize],
     book: &TargetBook,
 ) -> HallBytes {
-    let mut places = HallBytes::default();
+    let mut bytes_by_hall = HallBytes::default();
     for number in numbers {
         let Some(stage) = &results[*number] else {
             continue;
         };
-        let bytes = ask.route.stages[*number].result_bytes;
+        let bytes = request.route.stages[*number].result_bytes;
         for handle in &stage.handles {
             if let Some(hall) = book.hall_at(&stage.service, target_address_of(handle)) {
-                places.add(&hall, bytes);
+                bytes_by_hall.add(&hall, bytes);
             }
         }
     }
-    places
+    bytes_by_hall
 }
 
-/// Returns the hall where the pieces of a stage should run, where that matters: each piece fetches
-/// all results of the stages before it, and the request's target fetches those of the last ones.
-fn hall_of_stage(
+/// Returns the preferred hall for the pieces of a stage, if it matters: each piece fetches all
+/// results of the preceding stages, and the request's target fetches those of the final stages.
+fn preferred_hall(
     gateway: &Gateway,
-    ask: &Ask,
+    request: &CallerRequest,
     number: usize,
     results: &[Option<StageResults>],
     target_hall: &str,
 ) -> Option<String> {
-    let stage = &ask.route.stages[number];
-    let inputs = bytes_by_hall(ask, results, &stage.after, &gateway.targets.borrow());
+    let stage = &request.route.stages[number];
+    let inputs = bytes_by_hall(request, results, &stage.after, &gateway.targets.borrow());
     if let Some((hall, bytes)) = inputs.heaviest()
         && bytes >= LARGE_RESULT_BYTES
     {
         return Some(hall.to_owned());
     }
-    let taken = stage.result_bytes >= LARGE_RESULT_BYTES && final_stages(ask).contains(&number);
-    taken.then(|| target_hall.to_owned())
+    let is_fetched = stage.result_bytes >= LARGE_RESULT_BYTES && final_stages(request).contains(&number);
+    is_fetched.then(|| target_hall.to_owned())
 }
 
 async fn run_stage(
     gateway: &Rc<Gateway>,
-    ask: &Ask,
+    request: &CallerRequest,
     number: usize,
     inputs: Vec<String>,
     hall: Option<String>,
 ) -> (usize, Result<StageResults, StageFailure>) {
-    let stage = &ask.route.stages[number];
+    let stage = &request.route.stages[number];
     let input = if stage.after.is_empty() {
-        PieceInput::Key(ask.piece_key.clone())
+        PieceInput::Key(request.piece_key.clone())
     } else {
         PieceInput::Results(inputs)
     };
-    let after = time_to_first_event_ms(gateway, ask)[number];
-    let wanted = ask
+    let after = time_to_first_event_ms(gateway, request)[number];
+    let objective = request
         .objective_left()
         .saturating_sub(Duration::from_secs_f64(after / 1_000.0));
     let batch = PieceBatch {
         number: 0,
-        pool: choose_part(gateway, ask, number, hall.as_deref()),
-        rank: ask.rank,
+        pool: select_partition(gateway, request, number, hall.as_deref()),
+        rank: request.rank,
         first_stage: stage.after.is_empty(),
-        objective_ms: wanted.as_millis() as u64,
-        remaining_ms: ask.time_left().as_millis() as u64,
+        objective_ms: objective.as_millis() as u64,
+        remaining_ms: request.time_left().as_millis() as u64,
         preferred_hall: hall,
-        allowed_halls: ask.homes.to_names(),
+        allowed_halls: request.allowed_halls.to_names(),
         result_bytes: stage.result_bytes,
-        request_key: ask.subject().key,
-        isolated: ask.apart.get(),
+        request_key: request.subject().key,
+        isolated: request.isolated.get(),
         work: StageWork {
-            request: ask.id.clone(),
+            request: request.id.clone(),
             stage: number,
             input,
         },
-        piece_count: ask.piece_counts[number],
+        piece_count: request.piece_counts[number],
     };
     let FinishedBatch {
         results,
         coordinator: home,
         pool,
-    } = gateway.stages.run_batch(batch).await;
+    } = gateway.stage_client.run_batch(batch).await;
     let fault = results
         .iter()
         .find_map(|result| result.as_ref().err().copied());
-    // Made results are released even where another piece failed.
-    let made = StageResults {
+    // Results that were produced are released even if another piece failed.
+    let produced = StageResults {
         gateway: gateway.clone(),
         service: stage.service.clone(),
         home,
@@ -291,7 +306,7 @@
         bytes: stage.result_bytes,
     };
     let outcome = match fault {
-        None => Ok(made),
+        None => Ok(produced),
         Some(fault) => Err(StageFailure {
             number,
             service: stage.service.clone(),
@@ -301,16 +316,21 @@
     (number, outcome)
 }
 
-/// Chooses the part of a stage's pool that takes its pieces.
-fn choose_part(gateway: &Gateway, ask: &Ask, number: usize, hall: Option<&str>) -> PoolKey {
-    let table = gateway.table();
-    let service = &ask.route.stages[number].service;
-    let want = PartitionRequirements {
+/// Selects the partition of a stage's pool that takes its pieces.
+fn select_partition(
+    gateway: &Gateway,
+    request: &CallerRequest,
+    number: usize,
+    hall: Option<&str>,
+) -> PoolKey {
+    let table = gateway.route_table();
+    let service = &request.route.stages[number].service;
+    let requirements = PartitionRequirements {
         spec: stage_pool_of(table.as_deref(), service),
         preferred_hall: hall,
-        rank: ask.rank,
-        pieces: ask.piece_counts[number],
-        allowed_halls: &ask.homes,
+        rank: request.rank,
+        pieces: request.piece_counts[number],
+        allowed_halls: &request.allowed_halls,
     };
-    gateway.stages.choose_partition(service, &want)
+    gateway.stage_client.choose_partition(service, &requirements)
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,22 +1,22 @@
-//! The data path of an entry host: takes callers' requests, runs their stages, sends them to
-//! targets and passes the answers on.
+//! The data path of an entry host: accepts callers' requests, runs their stages, forwards them to
+//! targets and relays the responses.
 //!
-//! - [`Gateway`] is what one process shares: configuration, targets, connections, counters.
-//! - [`Dialect`] is how callers and targets speak; the gateway itself knows no names of theirs.
-//! - [`serve_callers`] runs the callers' port, [`serve_pieces`] the port for other entry hosts.
+//! - [`Gateway`] is the state that all tasks of one process share: configuration, targets,
+//!   connections, metrics.
+//! - [`Protocol`] defines the header names, paths, codecs and status codes of a deployment. The
+//!   gateway itself hard-codes none of them.
+//! - [`serve_callers`] serves the port for callers, [`serve_pieces()`] the port for other entry
+//!   hosts.
 
 mod admission;
-mod allowed_halls;
-mod answer;
-mod ask;
-mod attempt;
+mod allowed_halls;mod attempt;
 mod body;
 mod caller_disconnect;
-mod choose;
+mod caller_request;
+mod caller_watch;
 mod cold;
 mod confinement;
 mod coordinator;
-mod dialect;
 mod engine;
 mod events;
 mod forward;
@@ -25,6 +25,7 @@
 mod hall_bytes;
 mod in_flight;
 mod message_v1;
+mod message_heads;
 mod metrics;
 mod notice;
 mod notice_book;
@@ -35,6 +36,7 @@
 mod piece;
 mod piece_message;
 mod pool_key;
+mod protocol;
 mod rate_permit;
 mod rate_turn;
 mod rate_watch;
@@ -54,16 +56,19 @@
 mod target;
 mod target_ask;
 mod target_end;
+mod target_selection;
 mod target_slowness;
 mod turn;
 mod upstream;
 mod version_split;
 mod wait_model;
 
-pub use body::{AnswerBody, BrokenAnswer};
-pub use dialect::{CallerDialect, Dialect, HeaderNames, StageAnswer, StageItem, TargetDialect};
+pub use body::{IncompleteResponse, ResponseBody};
 pub use gateway::{Gateway, GatewayConfig, NotReady};
 pub use outcome::{Refusal, RefusalReason};
 pub use piece::{PieceFault, PieceInput, StageWork};
+pub use protocol::{
+    CallerProtocol, HeaderNames, Protocol, StageItem, StageResponse, TargetProtocol,
+};
 pub use serve::serve_callers;
 pub use serve_pieces::serve_pieces;
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -3,7 +3,7 @@
 use linnet_routing::{RouteTable, StagePool};
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::wait_model::PathEstimate;
 
 /// The estimated times of the stages of a request.
@@ -17,8 +17,8 @@
 }
 
 /// Estimates how long the stages of a request would take if it started now.
-pub(crate) fn estimate_path_time(gateway: &Gateway, request: &Ask) -> PathTime {
-    let table = gateway.table();
+pub(crate) fn estimate_path_time(gateway: &Gateway, request: &CallerRequest) -> PathTime {
+    let table = gateway.route_table();
     let stages = &request.route.stages;
     // For each stage its end, and the sum of the waits on the longest path to it. The present queue of a
     // later pool shrinks while the earlier stages run, so their time is deducted from the wait.
@@ -28,7 +28,7 @@
         let before = stage.after.iter().map(|before| ends[*before]);
         let (start, waits) = before.fold((0.0, 0.0), later_end);
         let count = request.piece_counts[number];
-        let load = gateway.stages.load_of(&stage.service);
+        let load = gateway.stage_client.load_of(&stage.service);
         let pool = stage_pool_of(table.as_deref(), &stage.service);
         let call_ms = call_time_ms(pool, count);
         let wait = match (pool, load) {
@@ -54,8 +54,8 @@
 
 /// Returns the time from the end of each stage to the first event of the response if nothing has to wait,
 /// in milliseconds.
-pub(crate) fn time_to_first_event_ms(gateway: &Gateway, request: &Ask) -> Vec<f64> {
-    let table = gateway.table();
+pub(crate) fn time_to_first_event_ms(gateway: &Gateway, request: &CallerRequest) -> Vec<f64> {
+    let table = gateway.route_table();
     let stages = &request.route.stages;
     let mut after = vec![prefill_ms(gateway, request); stages.len()];
     for (number, stage) in stages.iter().enumerate().rev() {
@@ -90,16 +90,16 @@
 }
 
 /// Returns the expected prefill time of a request's prompt, in milliseconds; 0 without a prompt.
-fn prefill_ms(gateway: &Gateway, request: &Ask) -> f64 {
+fn prefill_ms(gateway: &Gateway, request: &CallerRequest) -> f64 {
     request.prompt.as_ref().map_or(0.0, |prompt| {
-        let unshared = prompt.own_tokens();
-        let engines = gateway.engines.borrow();
+        let unshared = prompt.unshared_tokens();
+        let engines = gateway.engine_placer.borrow();
         engines.prefill_time(unshared).as_secs_f64() * 1_000.0
     })
 }
 
 /// Returns the stages with pieces whose results no later stage with pieces uses.
-pub(crate) fn final_stages(request: &Ask) -> Vec<usize> {
+pub(crate) fn final_stages(request: &CallerRequest) -> Vec<usize> {
     let stages = &request.route.stages;
     let is_used_later = |number: usize| {
         let later = stages.iter().zip(&request.piece_counts);
--- a/crates/gateway/src/pool_key.rs
+++ b/crates/gateway/src/pool_key.rs
@@ -9,7 +9,7 @@
 use linnet_directory::TargetRecord;
 use serde::{Deserialize, Serialize};
 
-use crate::ask::Prompt;
+use crate::caller_request::Prompt;
 use crate::rendezvous;
 
 /// Maximum number of targets in a pool with a single coordinator; larger pools are partitioned.
@@ -88,7 +88,7 @@
     if total <= MAX_PLACER_TARGETS {
         return PoolKey::whole(service);
     }
-    let affinity = prompt.place_score();
+    let affinity = prompt.affinity_key();
     let partitions = halls.iter().flat_map(|(hall, count)| {
         let partition_count = count.div_ceil(MAX_PLACER_TARGETS) as u16;
         let weight = f64::from(*count) / f64::from(partition_count);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passes a stream of events on to the caller, and goes on at another target where that is allowed.
+//! Relays a stream of events to the caller, and resumes it at another target if the route allows
+//! that.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,151 +11,155 @@
 use linnet_telemetry::EventCode;
 use tokio::time::timeout;
 
-use crate::answer::{answer_of, is_framed};
-use crate::ask::Ask;
-use crate::attempt::{Attempt, AttemptEnd, EventStream, send_attempt};
-use crate::body::BrokenAnswer;
-use crate::choose::{PassedTargets, next_target};
+use crate::attempt::{Attempt, AttemptOutcome, EventStream, send_attempt};
+use crate::body::IncompleteResponse;
+use crate::caller_request::CallerRequest;
 use crate::events::last_event_id;
-use crate::forward::take_repeat;
+use crate::forward::take_retry;
 use crate::graph::RequestResults;
+use crate::message_heads::build_response;
+use crate::message_heads::has_body_framing;
 use crate::rollouts::ResponseQuality;
 use crate::target::Chosen;
+use crate::target_selection::{ExcludedTargets, select_or_await_target};
 use crate::turn::{RunTurn, take_turn};
-use crate::upstream::is_break;
-use crate::{AnswerBody, Gateway};
+use crate::upstream::is_peer_disconnect;
+use crate::{Gateway, ResponseBody};
 
-/// What a stream needs to go on.
-pub(crate) struct Relay {
+/// State of a relayed stream, with everything that resuming it needs.
+pub(crate) struct StreamRelay {
     gateway: Rc<Gateway>,
-    ask: Rc<Ask>,
+    request: Rc<CallerRequest>,
     service: String,
     chosen: Chosen,
-    /// Kept where the stream may have to begin anew elsewhere.
+    /// Retained if the stream may have to start again at another target.
     results: Option<RequestResults>,
     tried: Vec<String>,
     attempts: u32,
-    /// About when the stream began at its target.
+    /// Approximate time when the stream began at its target.
     sent: Instant,
     last_event: Option<String>,
-    events: u64,
-    /// Whether its end has a line in the log.
+    chunks: u64,
+    /// Whether the end of the stream has been logged.
     ended: bool,
-    /// The leave to run that it needed.
-    turn: Option<RunTurn>,
+    /// The run permit of the request, if it needs one.
+    run_permit: Option<RunTurn>,
 }
 
-// The HTTP library drops a stream whose caller has closed the connection.
-impl Drop for Relay {
+// The HTTP library drops a stream when its caller closes the connection.
+impl Drop for StreamRelay {
     fn drop(&mut self) {
         if !self.ended {
             let outcome = "outcome=the caller left its stream";
-            self.note(EventCode::RequestCancelled, outcome);
+            self.record(EventCode::RequestCancelled, outcome);
         }
     }
 }
 
-impl Relay {
+impl StreamRelay {
     pub(crate) fn new(
         gateway: &Rc<Gateway>,
-        ask: &Rc<Ask>,
+        request: &Rc<CallerRequest>,
         service: String,
         chosen: Chosen,
         results: Option<RequestResults>,
         attempts: u32,
     ) -> Self {
-        let keeps = ask.route.may_repeat() && attempts < ask.route.max_attempts;
+        let may_resume = request.route.may_repeat() && attempts < request.route.max_attempts;
         Self {
             gateway: gateway.clone(),
-            ask: ask.clone(),
+            request: request.clone(),
             service,
             tried: vec![chosen.id.clone()],
             chosen,
-            // The target has taken the results with its first event.
-            results: results.filter(|_| keeps),
+            // The target has consumed the results by the time of its first event.
+            results: results.filter(|_| may_resume),
             attempts,
             sent: Instant::now(),
             last_event: None,
-            events: 0,
+            chunks: 0,
             ended: false,
-            turn: None,
+            run_permit: None,
         }
     }
 
-    /// Sets the leave to run that it has.
-    pub(crate) fn with_turn(mut self, turn: Option<RunTurn>) -> Self {
-        self.turn = turn;
+    /// Sets the run permit that the request holds.
+    pub(crate) fn with_run_permit(mut self, run_permit: Option<RunTurn>) -> Self {
+        self.run_permit = run_permit;
         self
     }
 
-    fn take(&mut self, events: &Bytes) {
-        self.events += 1;
+    fn record_events(&mut self, events: &Bytes) {
+        self.chunks += 1;
         if let Some(id) = last_event_id(events) {
             self.last_event = Some(id);
         }
     }
 
-    fn note(&self, code: EventCode, outcome: &str) {
+    fn record(&self, code: EventCode, outcome: &str) {
         let detail = format!(
             "route={} chunks={} last_event={} took_ms={} {outcome}",
-            self.ask.route.name,
-            self.events,
+            self.request.route.name,
+            self.chunks,
             self.last_event.as_deref().unwrap_or("-"),
-            self.ask.arrived.elapsed().as_millis()
+            self.request.arrived_at.elapsed().as_millis()
         );
         self.gateway
-            .note_request(code, &self.ask.id, &self.chosen.id, detail);
+            .record_request_event(code, &self.request.id, &self.chosen.id, detail);
     }
 
-    /// Writes the line of its end.
-    fn end(&mut self, code: EventCode, outcome: &str) {
+    /// Logs the end of the stream.
+    fn finish(&mut self, code: EventCode, outcome: &str) {
         self.ended = true;
-        self.note(code, outcome);
+        self.record(code, outcome);
     }
 
-    /// Notes that the target broke the stream off.
-    async fn note_break(&self) {
+    /// Starts the check whether the target that broke the connection has crashed.
+    async fn probe_target(&self) {
         let (service, chosen) = (&self.service, &self.chosen);
         self.gateway
-            .note_break(service, chosen, &self.ask, self.sent)
+            .note_break(service, chosen, &self.request, self.sent)
             .await;
     }
 
-    /// Finds another target that goes on with the stream.
+    /// Finds another target that resumes the stream.
     async fn resume(&mut self, cause: &str) -> Option<Box<EventStream>> {
         let (service, target) = (&self.service, &self.chosen.id);
-        self.gateway.note_target_failure(service, target, cause);
-        let route = &self.ask.route.name;
+        self.gateway.record_target_failure(service, target, cause);
+        let route = &self.request.route.name;
         self.gateway
             .count_response(service, target, route, ResponseQuality::Failed);
-        while self.ask.route.may_repeat()
-            && self.attempts < self.ask.route.max_attempts
-            && take_turn(&self.gateway, &self.ask, &mut self.turn)
+        while self.request.route.may_repeat()
+            && self.attempts < self.request.route.max_attempts
+            && take_turn(&self.gateway, &self.request, &mut self.run_permit)
                 .await
                 .is_ok()
-            && take_repeat(&self.gateway, &self.service)
+            && take_retry(&self.gateway, &self.service)
         {
             self.attempts += 1;
-            self.turn.iter_mut().for_each(RunTurn::note_sending);
-            if let (chosen, AttemptEnd::Events(stream)) = self.send_on().await? {
+            self.run_permit.iter_mut().for_each(RunTurn::note_sending);
+            if let (chosen, AttemptOutcome::Streaming(stream)) = self.try_next_target().await? {
                 self.chosen = chosen;
                 self.sent = Instant::now();
-                self.note(EventCode::StreamResumed, &format!("cause={cause}"));
+                self.record(EventCode::StreamResumed, &format!("cause={cause}"));
                 return Some(stream);
             }
         }
         None
     }
 
-    /// Sends the request to another target, which is to go on after the last event; nothing where there is none.
-    async fn send_on(&mut self) -> Option<(Chosen, AttemptEnd)> {
+    /// Sends the request to another target, which is to resume after the last event; returns `None`
+    /// if no target is available.
+    async fn try_next_target(&mut self) -> Option<(Chosen, AttemptOutcome)> {
         loop {
             let (gateway, results) = (&self.gateway, self.results.as_ref());
-            let passed = PassedTargets {
+            let excluded = ExcludedTargets {
                 tried: &self.tried,
-                rated: false,
+                rate_limited: false,
             };
-            let next = next_target(gateway, &self.service, &self.ask, passed, results).await;
+            let next =
+                select_or_await_target(gateway, &self.service, &self.request, excluded, results)
+                    .await;
             let (chosen, placement) = next.ok()?;
             let attempt = Attempt {
                 service: &self.service,
@@ -163,96 +168,103 @@
                 results,
                 last_event: self.last_event.as_deref(),
             };
-            let end = send_attempt(gateway, &self.ask, attempt, false).await;
+            let outcome = send_attempt(gateway, &self.request, attempt, false).await;
             self.tried.push(chosen.id.clone());
-            if !matches!(end, AttemptEnd::Withheld) {
-                return Some((chosen, end));
+            if !matches!(outcome, AttemptOutcome::Withheld) {
+                return Some((chosen, outcome));
             }
         }
     }
 }
 
-/// Where a stream stands.
-enum Stage {
-    /// Events that are to be handed out before more are read.
-    Holding(Relay, Box<EventStream>),
-    /// Events are to be read.
-    Reading(Relay, Box<EventStream>),
-    /// It has ended.
+/// The state of a relayed stream.
+enum RelayState {
+    /// The first events have arrived and are returned before any more are read.
+    FirstEvents(StreamRelay, Box<EventStream>),
+    /// More events are to be read.
+    Reading(StreamRelay, Box<EventStream>),
+    /// The stream has ended.
     Ended,
 }
 
-/// Answers with a stream. The head is that of the first target, whichever goes on later.
-pub(crate) fn relay_events(relay: Relay, stream: Box<EventStream>) -> Response<AnswerBody> {
+/// Builds the streamed response. Its head is that of the first target, even if another target
+/// resumes the stream.
+pub(crate) fn relay_stream(relay: StreamRelay, stream: Box<EventStream>) -> Response<ResponseBody> {
     let (status, headers) = (stream.status, stream.headers.clone());
-    let chunks = stream::unfold(Stage::Holding(relay, stream), next_chunk);
-    answer_of(status, &headers, AnswerBody::Chunks(Box::pin(chunks)))
+    let chunks = stream::unfold(RelayState::FirstEvents(relay, stream), next_chunk);
+    build_response(status, &headers, ResponseBody::Stream(Box::pin(chunks)))
 }
 
-async fn next_chunk(stage: Stage) -> Option<(Result<Bytes, BrokenAnswer>, Stage)> {
-    let (mut relay, mut stream) = match stage {
-        Stage::Holding(mut relay, mut stream) => {
+async fn next_chunk(state: RelayState) -> Option<(Result<Bytes, IncompleteResponse>, RelayState)> {
+    let (mut relay, mut stream) = match state {
+        RelayState::FirstEvents(mut relay, mut stream) => {
             let first = std::mem::take(&mut stream.first);
-            relay.take(&first);
-            return Some((Ok(first), Stage::Reading(relay, stream)));
+            relay.record_events(&first);
+            return Some((Ok(first), RelayState::Reading(relay, stream)));
         }
-        Stage::Reading(relay, stream) => (relay, stream),
-        Stage::Ended => return None,
+        RelayState::Reading(relay, stream) => (relay, stream),
+        RelayState::Ended => return None,
     };
-    let deadline = relay.ask.deadline.saturating_duration_since(Instant::now());
+    let deadline = relay
+        .request
+        .deadline
+        .saturating_duration_since(Instant::now());
     match timeout(deadline, read_events(&mut stream)).await {
         Ok(Ok(Some(events))) => {
-            relay.take(&events);
-            Some((Ok(events), Stage::Reading(relay, stream)))
+            relay.record_events(&events);
+            Some((Ok(events), RelayState::Reading(relay, stream)))
         }
         Ok(Ok(None)) => {
             let EventStream { lease, headers, .. } = *stream;
-            lease.finish(&headers);
-            // The end of a target looks like the end of an answer that ends with its connection.
-            if is_framed(&headers) {
-                relay.gateway.note_whole_run(&relay.ask, &relay.chosen.id);
+            lease.release(&headers);
+            // A body without framing ends with its connection, so its end cannot be told from a
+            // crash of the target.
+            if has_body_framing(&headers) {
+                relay
+                    .gateway
+                    .note_whole_run(&relay.request, &relay.chosen.id);
             } else {
-                relay.note_break().await;
+                relay.probe_target().await;
             }
-            relay.end(EventCode::RequestFinished, "outcome=stream ended");
+            relay.finish(EventCode::RequestFinished, "outcome=stream ended");
             None
         }
         Ok(Err(error)) => {
-            if is_break(&error) {
-                relay.note_break().await;
+            if is_peer_disconnect(&error) {
+                relay.probe_target().await;
             }
-            go_on(relay, stream, &format!("stream cut short: {error}")).await
+            resume_or_abort(relay, stream, &format!("stream cut short: {error}")).await
         }
         Err(_) => {
-            relay.end(EventCode::RequestFailed, "outcome=timed out in its stream");
-            Some((Err(BrokenAnswer), Stage::Ended))
+            relay.finish(EventCode::RequestFailed, "outcome=timed out in its stream");
+            Some((Err(IncompleteResponse), RelayState::Ended))
         }
     }
 }
 
-async fn go_on(
-    mut relay: Relay,
+async fn resume_or_abort(
+    mut relay: StreamRelay,
     stream: Box<EventStream>,
     cause: &str,
-) -> Option<(Result<Bytes, BrokenAnswer>, Stage)> {
+) -> Option<(Result<Bytes, IncompleteResponse>, RelayState)> {
     drop(stream);
     match relay.resume(cause).await {
         Some(mut stream) => {
             let first = std::mem::take(&mut stream.first);
-            relay.take(&first);
-            Some((Ok(first), Stage::Reading(relay, stream)))
+            relay.record_events(&first);
+            Some((Ok(first), RelayState::Reading(relay, stream)))
         }
         None => {
-            relay.end(
+            relay.finish(
                 EventCode::RequestFailed,
                 &format!("outcome=stream cut cause={cause}"),
             );
-            Some((Err(BrokenAnswer), Stage::Ended))
+            Some((Err(IncompleteResponse), RelayState::Ended))
         }
     }
 }
 
-/// Reads until an event is whole; nothing at the end of the stream.
+/// Reads until an event is complete; returns `None` at the end of the stream.
 async fn read_events(stream: &mut EventStream) -> Result<Option<Bytes>, hyper::Error> {
     loop {
         match stream.rest.frame().await {
@@ -264,7 +276,7 @@
             }
             Some(Err(error)) => return Err(error),
             None => {
-                let rest = stream.splitter.rest();
+                let rest = stream.splitter.take_remainder();
                 return Ok((!rest.is_empty()).then_some(rest));
             }
         }
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -10,8 +10,8 @@
 use linnet_telemetry::EventCode;
 
 use crate::Gateway;
-use crate::ask::Ask;
-use crate::attempt::AttemptEnd;
+use crate::attempt::AttemptOutcome;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::DueCall;
 use crate::engine::PlacementFacts;
 use crate::piece::PieceFault;
@@ -73,22 +73,22 @@
     }
 
     fn of_attempt(
-        request: &Ask,
-        outcome: &AttemptEnd,
+        request: &CallerRequest,
+        outcome: &AttemptOutcome,
         took: Duration,
         estimate: Option<PlacementFacts>,
     ) -> Option<Self> {
         let took_ms = took.as_secs_f64() * 1_000.0;
         match outcome {
             // Nothing ran: this reflects the load of the target, not its version.
-            AttemptEnd::NotRun { .. } | AttemptEnd::Withheld => None,
-            AttemptEnd::MayHaveRun { .. } => Some(Self::Failed),
-            AttemptEnd::Whole(status, ..) if status.is_server_error() => Some(Self::Failed),
-            AttemptEnd::Whole(..) if request.route.kind != RouteKind::Streaming => {
+            AttemptOutcome::NotRun { .. } | AttemptOutcome::Withheld => None,
+            AttemptOutcome::MayHaveRun { .. } => Some(Self::Failed),
+            AttemptOutcome::Complete(status, ..) if status.is_server_error() => Some(Self::Failed),
+            AttemptOutcome::Complete(..) if request.route.kind != RouteKind::Streaming => {
                 Some(Self::Timed(took_ms))
             }
-            AttemptEnd::Whole(..) => Some(Self::Good),
-            AttemptEnd::Events(_) => Some(match estimate {
+            AttemptOutcome::Complete(..) => Some(Self::Good),
+            AttemptOutcome::Streaming(_) => Some(match estimate {
                 Some(estimate) => Self::of_ratio(
                     took_ms + PROMPT_BASE_MS,
                     f64::from(estimate.expected_ms) + PROMPT_BASE_MS,
@@ -115,7 +115,7 @@
     /// Applies the roll-outs that the control hosts announced, and whether any of them is connected. Returns
     /// whether anything changed.
     pub(crate) fn refresh_rollouts(&self) -> bool {
-        let view = self.view.borrow();
+        let view = self.directory.borrow();
         let (rollouts, is_connected) = (view.rollouts(), view.is_connected());
         let was_connected = self.rollouts.is_connected.replace(is_connected);
         if *self.rollouts.current.borrow() == *rollouts && was_connected == is_connected {
@@ -142,16 +142,16 @@
                 "service={service} version={} revision={} step={} permille={} state={} heard={is_connected}",
                 record.version, record.revision, record.step, record.permille, record.state
             );
-            self.note(EventCode::RolloutInForce, &detail);
+            self.record_event(EventCode::RolloutInForce, &detail);
         }
     }
 
     /// Counts the outcome of an attempt at a target.
     pub(crate) fn count_attempt(
         &self,
-        request: &Ask,
+        request: &CallerRequest,
         (service, chosen): (&str, &Chosen),
-        outcome: &AttemptEnd,
+        outcome: &AttemptOutcome,
         took: Duration,
         estimate: Option<PlacementFacts>,
     ) {
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::path_time::{estimate_path_time, final_stages};
 
@@ -37,7 +37,7 @@
 
 impl StageSchedule {
     /// Plans the stages of a request that starts now.
-    pub(crate) fn new(gateway: &Gateway, request: &Ask) -> Self {
+    pub(crate) fn new(gateway: &Gateway, request: &CallerRequest) -> Self {
         let path = estimate_path_time(gateway, request);
         let last = final_stages(request);
         let stages = request.route.stages.iter().enumerate();
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -16,11 +16,11 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use crate::answer::refusal_answer;
-use crate::ask::{Ask, read_ask, read_time};
+use crate::caller_request::{CallerRequest, parse_millis_header, parse_request};
 use crate::forward::forward;
+use crate::message_heads::refusal_response;
 use crate::open_request::OpenRequestGuard;
-use crate::{AnswerBody, Gateway, Refusal, RefusalReason};
+use crate::{Gateway, Refusal, RefusalReason, ResponseBody};
 
 /// Minimum size of the head buffer that the HTTP library accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
@@ -55,7 +55,7 @@
     socket: TcpStream,
     mut stop: watch::Receiver<bool>,
 ) {
-    let table = gateway.table();
+    let table = gateway.route_table();
     let limits = table.map_or_else(Default::default, |table| table.config().limits.clone());
     let service_gateway = gateway.clone();
     let service = service_fn(move |request| {
@@ -83,18 +83,20 @@
     }
 }
 
-async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     let open_guard = OpenRequestGuard::new(&gateway.open_requests);
     match read_request(&gateway, request).await {
         Ok(mut request) => {
-            request.open = Some(open_guard);
+            request.in_flight_guard = Some(open_guard);
             forward(gateway, request).await
         }
         Err((id, refusal)) => {
             let code = EventCode::RequestRefused;
-            gateway.metrics.count(&refusal.reason.to_string(), 0);
-            gateway.note_request(code, &id, "", format!("outcome={refusal}"));
-            refusal_answer(&gateway.config.dialect, &id, &refusal)
+            gateway
+                .metrics
+                .count_request(&refusal.reason.to_string(), 0);
+            gateway.record_request_event(code, &id, "", format!("outcome={refusal}"));
+            refusal_response(&gateway.config.protocol, &id, &refusal)
         }
     }
 }
@@ -103,22 +105,22 @@
 async fn read_request(
     gateway: &Gateway,
     request: Request<Incoming>,
-) -> Result<Ask, (String, Refusal)> {
+) -> Result<CallerRequest, (String, Refusal)> {
     let arrived_at = Instant::now();
     let (head, body) = request.into_parts();
-    let names = &gateway.config.dialect.headers;
+    let names = &gateway.config.protocol.headers;
     let id = head.headers.get(&names.request_id);
     let id = id
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default()
         .to_owned();
-    let max_wait = gateway.start_patience(read_time(&head.headers, &names.deadline_ms));
-    let Some(table) = gateway.table_within(max_wait).await else {
+    let max_wait = gateway.startup_wait(parse_millis_header(&head.headers, &names.deadline_ms));
+    let Some(table) = gateway.wait_for_route_table(max_wait).await else {
         let refusal = Refusal::new(RefusalReason::NotReady, "no configuration yet")
             .with_retry_after(NOT_READY_RETRY_AFTER);
         return Err((id, refusal));
     };
-    let mut request = read_ask(&table, names, &gateway.config.halls, head, arrived_at)
+    let mut request = parse_request(&table, names, &gateway.config.hall_regions, head, arrived_at)
         .map_err(|refusal| (id.clone(), refusal))?;
     request.body = read_body(body, table.config().limits.max_body_bytes, &request)
         .await
@@ -126,7 +128,7 @@
     Ok(request)
 }
 
-async fn read_body(body: Incoming, max_bytes: usize, request: &Ask) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, max_bytes: usize, request: &CallerRequest) -> Result<Bytes, Refusal> {
     match timeout(request.time_left(), Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -127,7 +127,7 @@
     /// Records the message version of a host that did not announce one.
     fn record_peer_version(&self, peer: &str, version: MessageForm) {
         let detail = format!("peer={peer} form={version}");
-        self.gateway.note(EventCode::PeerEarlier, &detail);
+        self.gateway.record_event(EventCode::PeerEarlier, &detail);
     }
 
     fn handle_request(&mut self, request: PieceRequest) {
@@ -166,7 +166,7 @@
             PieceRequest::ReleaseRunPermit(number) => self.release_run_permit(number),
             PieceRequest::Heartbeat => {}
             PieceRequest::AcquireSendPermit { number, request } => {
-                let reply = self.gateway.answer_rate(&request);
+                let reply = self.gateway.handle_send_permit_request(&request);
                 let _ = self.replies.send(PieceReply::SendPermit { number, reply });
             }
         }
@@ -204,7 +204,7 @@
 
     fn plan_placement(&self, number: u64, request: &PlacementRequest) {
         let store = self.gateway.targets.borrow();
-        let placer = self.gateway.engines.borrow();
+        let placer = self.gateway.engine_placer.borrow();
         let planned = placer.plan(&store, request, Instant::now());
         let engine = planned.map(|(chosen, estimate)| (chosen.id, estimate));
         let _ = self.replies.send(PieceReply::Placed { number, engine });
@@ -213,7 +213,7 @@
     fn place_prompt(&mut self, number: u64, request: &PlacementRequest) {
         let placed = {
             let store = self.gateway.targets.borrow();
-            let mut placer = self.gateway.engines.borrow_mut();
+            let mut placer = self.gateway.engine_placer.borrow_mut();
             placer.place(&store, request, Instant::now())
         };
         let engine = placed.map(|(key, chosen, estimate)| {
@@ -225,14 +225,14 @@
 
     fn record_prefill_done(&self, number: u64) {
         if let Some(key) = self.placements.get(&number) {
-            let mut placer = self.gateway.engines.borrow_mut();
+            let mut placer = self.gateway.engine_placer.borrow_mut();
             placer.record_prefill(*key, Instant::now());
         }
     }
 
     fn end_placement(&mut self, number: u64) {
         if let Some(key) = self.placements.remove(&number) {
-            self.gateway.engines.borrow_mut().end_placement(key);
+            self.gateway.engine_placer.borrow_mut().end_placement(key);
         }
     }
 
@@ -270,7 +270,7 @@
 
 impl Drop for PieceSession {
     fn drop(&mut self) {
-        let mut placer = self.gateway.engines.borrow_mut();
+        let mut placer = self.gateway.engine_placer.borrow_mut();
         self.placements
             .values()
             .for_each(|key| placer.end_placement(*key));
@@ -319,7 +319,7 @@
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
         let is_successor = |pool: &PoolKey| {
-            let successors = gateway.stages.successors(pool);
+            let successors = gateway.stage_client.successors(pool);
             successors.iter().any(|name| name == peer)
         };
         let mut reports = gateway.coordinator.usage(is_successor);
--- a/crates/gateway/src/serve_pieces/tests/fleet.rs
+++ b/crates/gateway/src/serve_pieces/tests/fleet.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::ask::{Prompt, PromptPart, Rank};
+use crate::caller_request::{Prompt, PromptPart, Rank};
 use crate::engine::PlacementRequest;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceInput, StageWork};
 use crate::piece_message::{PieceReply, PieceRequest};
@@ -185,8 +185,8 @@
 /// The messages of a host for one stage of a request: the announcement of pieces, its end, and the batch.
 fn batch_requests(number: u64) -> [PieceRequest; 3] {
     let rank = Rank {
-        first: 1,
-        second: 1,
+        account_priority: 1,
+        route_priority: 1,
     };
     let expected = ExpectedPieces {
         pool: PoolKey::whole(STAGE),
@@ -224,9 +224,9 @@
     PlacementRequest {
         service: ENGINES.to_owned(),
         prompt: Prompt {
-            tokens_in: 15_000,
-            tokens_out: 100,
-            shared: vec![PromptPart {
+            input_tokens: 15_000,
+            max_output_tokens: 100,
+            shared_parts: vec![PromptPart {
                 id: format!("{part:08x}"),
                 tokens: 13_000,
             }],
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use crate::Gateway;
-use crate::ask::Ask;
+use crate::caller_request::CallerRequest;
 use crate::open_request::OpenRequestGuard;
 use crate::target::Target;
 use crate::target_ask::TargetStanding;
@@ -48,14 +48,14 @@
 pub(crate) fn next_availability(
     gateway: &Gateway,
     service: &str,
-    request: &Ask,
+    request: &CallerRequest,
     tried: &[String],
 ) -> Option<NextAvailability> {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let confined = gateway.suspects.closed_targets(&book, service, request);
     let targets = book.of_service(service).filter(|target| {
-        request.homes.allows(&target.hall)
+        request.allowed_halls.allows(&target.hall)
             && !confined.contains(&target.id)
             && !tried.contains(&target.id)
     });
@@ -76,7 +76,7 @@
 pub(crate) fn max_permit_wait(
     gateway: &Gateway,
     service: &str,
-    request: &Ask,
+    request: &CallerRequest,
     target: &str,
 ) -> Duration {
     if gateway.notices.rates.rate(target).is_none() {
@@ -89,20 +89,20 @@
 }
 
 /// Returns whether a target that may run a request is available and has no rate limit.
-pub(crate) fn has_unlimited_target(gateway: &Gateway, service: &str, request: &Ask) -> bool {
+pub(crate) fn has_unlimited_target(gateway: &Gateway, service: &str, request: &CallerRequest) -> bool {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let mut usable = book.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
-        request.homes.allows(&one.hall)
+        request.allowed_halls.allows(&one.hall)
             && book.rate(&one.id).is_none()
             && gateway.notices.standing(&one.id, now) == TargetStanding::Open
     })
 }
 
 /// Returns how long a request may wait for a send permit if all targets have rate limits.
-fn ranked_permit_wait(request: &Ask) -> Duration {
-    let level = f64::from(request.rank.engine_level());
+fn ranked_permit_wait(request: &CallerRequest) -> Duration {
+    let level = f64::from(request.rank.engine_priority());
     request
         .objective_left()
         .mul_f64(MAX_WAIT_FRACTION * (1.0 - level * RANK_WAIT_STEP))
@@ -110,13 +110,13 @@
 
 /// Returns the sum of the rate limits of the targets that may run a request; `None` if one of them
 /// has no limit.
-fn total_rate_limit(gateway: &Gateway, service: &str, request: &Ask) -> Option<NamedRate> {
+fn total_rate_limit(gateway: &Gateway, service: &str, request: &CallerRequest) -> Option<NamedRate> {
     if gateway.notices.rates.is_empty() {
         return None;
     }
     let book = gateway.targets.borrow();
     let usable = book.usable(service, Instant::now()).into_iter();
-    let usable = usable.filter(|target| request.homes.allows(&target.hall));
+    let usable = usable.filter(|target| request.allowed_halls.allows(&target.hall));
     let rates = usable.map(|target| book.rate(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
@@ -130,7 +130,7 @@
 pub(crate) async fn check_rate_limits(
     gateway: &Gateway,
     service: &str,
-    request: &Ask,
+    request: &CallerRequest,
 ) -> Result<(), Refusal> {
     let Some(sum) = total_rate_limit(gateway, service, request) else {
         return Ok(());
@@ -151,7 +151,7 @@
 pub(crate) fn check_availability(
     gateway: &Gateway,
     service: &str,
-    request: &Ask,
+    request: &CallerRequest,
     planned: Duration,
 ) -> Result<(), Refusal> {
     let Some(availability) = next_availability(gateway, service, request, &[]) else {
@@ -176,27 +176,27 @@
 pub(crate) async fn wait_until_available(
     gateway: &Gateway,
     service: &str,
-    request: &Ask,
+    request: &CallerRequest,
     availability: NextAvailability,
 ) -> Result<(), Refusal> {
     let in_time = availability.wait <= request.objective_left().mul_f64(MAX_WAIT_FRACTION);
-    if availability.rate_limited || !in_time || gateway.waiting.get() >= MAX_WAITING_REQUESTS {
+    if availability.rate_limited || !in_time || gateway.waiting_requests.get() >= MAX_WAITING_REQUESTS {
         return Err(refusal_until(gateway, service, request, availability));
     }
-    let _waits = OpenRequestGuard::new(&gateway.waiting);
+    let _waits = OpenRequestGuard::new(&gateway.waiting_requests);
     sleep(with_jitter(availability.wait)).await;
     Ok(())
 }
 
 /// Returns after which time a caller should retry: not before a target accepts requests of this
 /// host again.
-pub(crate) fn retry_after(gateway: &Gateway, service: &str, request: &Ask) -> Duration {
+pub(crate) fn retry_after(gateway: &Gateway, service: &str, request: &CallerRequest) -> Duration {
     let availability = next_availability(gateway, service, request, &[]);
     with_jitter(availability.map_or(Duration::ZERO, |availability| availability.wait))
 }
 
 /// Returns the refusal of a request for which no target was found, if all targets have rate limits.
-pub(crate) fn rates_used_up(gateway: &Gateway, service: &str, request: &Ask) -> Option<Refusal> {
+pub(crate) fn rates_used_up(gateway: &Gateway, service: &str, request: &CallerRequest) -> Option<Refusal> {
     total_rate_limit(gateway, service, request)?;
     Some(rate_refusal(gateway, service, request, Duration::ZERO))
 }
@@ -204,7 +204,7 @@
 fn refusal_until(
     gateway: &Gateway,
     service: &str,
-    request: &Ask,
+    request: &CallerRequest,
     availability: NextAvailability,
 ) -> Refusal {
     match availability.rate_limited {
@@ -215,7 +215,7 @@
 
 /// Returns the refusal of a request for whose service no send permit is available. Refused callers
 /// are told to retry one after the other, paced by the sum of the rates.
-fn rate_refusal(gateway: &Gateway, service: &str, request: &Ask, wait: Duration) -> Refusal {
+fn rate_refusal(gateway: &Gateway, service: &str, request: &CallerRequest, wait: Duration) -> Refusal {
     let detail = format!(
         "every target of {service} names a rate that is used up, the first one for {} ms",
         wait.as_millis()
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
 
-use crate::Dialect;
-use crate::dialect::StageItem;
+use crate::Protocol;
 use crate::notice::read_notice;
 use crate::notice_book::NoticeBook;
 use crate::piece::{PieceFault, PieceInput, StageWork};
+use crate::protocol::StageItem;
 use crate::rate_permit::SendPermit;
 use crate::reported_load::ReportedLoad;
 use crate::send_gate::SendKind;
@@ -129,13 +129,13 @@
 /// Client that sends requests to stage targets. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct StageTargetClient {
-    dialect: Dialect,
+    dialect: Protocol,
     pub(crate) upstream: UpstreamPool,
     notices: Rc<NoticeBook>,
 }
 
 impl StageTargetClient {
-    pub(crate) fn new(dialect: Dialect, upstream: UpstreamPool, notices: Rc<NoticeBook>) -> Self {
+    pub(crate) fn new(dialect: Protocol, upstream: UpstreamPool, notices: Rc<NoticeBook>) -> Self {
         Self {
             dialect,
             upstream,
@@ -164,7 +164,10 @@
             Ok(response) => response,
             // The coordinator requeues the pieces or sends them to another target.
             Err(SendError::Withheld) => return CallOutcome::Busy,
-            Err(SendError::MayHaveRun { cause, broke: true }) => {
+            Err(SendError::MayHaveRun {
+                cause,
+                broken: true,
+            }) => {
                 return CallOutcome::ConnectionBroken(cause);
             }
             Err(error) => return CallOutcome::Failed(error.to_string()),
