--- a/crates/gateway/src/caller_disconnect.rs
+++ b/crates/gateway/src/caller_disconnect.rs
@@ -44,7 +44,11 @@
         self.gateway
             .metrics
             .count_request("caller_left", self.request.rank.route_priority);
-        self.gateway
-            .record_request_event(EventCode::RequestCancelled, &self.request.id, "", detail);
+        self.gateway.record_request_event(
+            EventCode::RequestCancelled,
+            &self.request.id,
+            "",
+            detail,
+        );
     }
 }
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -13,7 +13,6 @@
 use super::stage_target::StageTarget;
 use crate::allowed_halls::AllowedHalls;
 use crate::caller_request::Rank;
-use crate::ask::Rank;
 use crate::piece::{PieceBatch, PoolLoad, StageWork, TargetUsage};
 use crate::pool_key::PoolKey;
 use crate::version_split::{CallSplit, VersionSplit};
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -15,7 +15,6 @@
 use super::stage_target::{CallVerdict, StageTarget};
 use crate::allowed_halls::AllowedHalls;
 use crate::caller_request::Rank;
-use crate::ask::Rank;
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, target_address_of};
 use crate::pool_key::PoolKey;
 use crate::stage_call::{CallOutcome, StageRelease};
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -393,14 +393,15 @@
         now: Instant,
     ) -> Option<(Chosen, PlacementFacts)> {
         let chosen = self.choose(book, request, now)?;
-        let cached_tokens = cached_tokens(&self.holders_of(&request.prompt.shared_parts), &chosen.id);
+        let cached_tokens =
+            cached_tokens(&self.holders_of(&request.prompt.shared_parts), &chosen.id);
         let queued_tokens = self
             .loads
             .get(&chosen.id)
             .map_or(0, |load| load.pending_tokens);
-        let expected_ms = (queued_tokens + request.prompt.input_tokens.saturating_sub(cached_tokens))
-            as f64
-            / self.tokens_per_ms;
+        let expected_ms =
+            (queued_tokens + request.prompt.input_tokens.saturating_sub(cached_tokens)) as f64
+                / self.tokens_per_ms;
         let facts = PlacementFacts {
             cached_tokens,
             queued_tokens,
@@ -419,7 +420,10 @@
         let (chosen, facts) = self.plan(book, request, now)?;
         self.count_against_cold_rate(book, &request.service, &chosen.id, now);
         self.count_against_rate_limit(book, &chosen.id);
-        let pending_tokens = request.prompt.input_tokens.saturating_sub(facts.cached_tokens);
+        let pending_tokens = request
+            .prompt
+            .input_tokens
+            .saturating_sub(facts.cached_tokens);
         let load = self.loads.entry(chosen.id.clone()).or_default();
         load.pending_tokens += pending_tokens;
         load.running += 1;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -10,8 +10,8 @@
 use tokio::time::timeout;
 
 use crate::attempt::{Attempt, AttemptOutcome, send_attempt};
-use crate::caller_request::CallerRequest;
 use crate::caller_disconnect::CallerDisconnectGuard;
+use crate::caller_request::CallerRequest;
 use crate::engine::PlacementFacts;
 use crate::graph::RequestResults;
 use crate::message_heads::{build_response, refusal_response};
--- a/crates/gateway/src/forward/stages.rs
+++ b/crates/gateway/src/forward/stages.rs
@@ -77,7 +77,10 @@
     else {
         return Ok(gateway.config.hall.clone());
     };
-    let planned = gateway.stage_client.plan_placement(&gateway.targets, placement).await;
+    let planned = gateway
+        .stage_client
+        .plan_placement(&gateway.targets, placement)
+        .await;
     Ok(planned.ok_or_else(no_target_refusal)?.hall)
 }
 
--- a/crates/gateway/src/gateway/send_permits.rs
+++ b/crates/gateway/src/gateway/send_permits.rs
@@ -42,7 +42,11 @@
     async fn request_send_permit(&self, request: RateAsk) -> RateAnswer {
         match self.send_permit_host(&request.subject) {
             SendPermitHost::Local => self.issue_send_permit(&request),
-            SendPermitHost::Remote(address) => self.stage_client.request_send_permit(address, request).await,
+            SendPermitHost::Remote(address) => {
+                self.stage_client
+                    .request_send_permit(address, request)
+                    .await
+            }
             SendPermitHost::Unreachable => RateAnswer::UNREACHED,
         }
     }
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -248,7 +248,8 @@
     {
         return Some(hall.to_owned());
     }
-    let is_fetched = stage.result_bytes >= LARGE_RESULT_BYTES && final_stages(request).contains(&number);
+    let is_fetched =
+        stage.result_bytes >= LARGE_RESULT_BYTES && final_stages(request).contains(&number);
     is_fetched.then(|| target_hall.to_owned())
 }
 
@@ -332,5 +333,7 @@
         pieces: request.piece_counts[number],
         allowed_halls: &request.allowed_halls,
     };
-    gateway.stage_client.choose_partition(service, &requirements)
+    gateway
+        .stage_client
+        .choose_partition(service, &requirements)
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,11 +9,11 @@
 //!   hosts.
 
 mod admission;
-mod allowed_halls;mod attempt;
+mod allowed_halls;
+mod attempt;
 mod body;
 mod caller_disconnect;
 mod caller_request;
-mod caller_watch;
 mod cold;
 mod confinement;
 mod coordinator;
@@ -24,8 +24,8 @@
 mod graph;
 mod hall_bytes;
 mod in_flight;
-mod message_v1;
 mod message_heads;
+mod message_v1;
 mod metrics;
 mod notice;
 mod notice_book;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -83,7 +83,10 @@
     }
 }
 
-async fn handle_request(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn handle_request(
+    gateway: Rc<Gateway>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let open_guard = OpenRequestGuard::new(&gateway.open_requests);
     match read_request(&gateway, request).await {
         Ok(mut request) => {
@@ -120,15 +123,25 @@
             .with_retry_after(NOT_READY_RETRY_AFTER);
         return Err((id, refusal));
     };
-    let mut request = parse_request(&table, names, &gateway.config.hall_regions, head, arrived_at)
-        .map_err(|refusal| (id.clone(), refusal))?;
+    let mut request = parse_request(
+        &table,
+        names,
+        &gateway.config.hall_regions,
+        head,
+        arrived_at,
+    )
+    .map_err(|refusal| (id.clone(), refusal))?;
     request.body = read_body(body, table.config().limits.max_body_bytes, &request)
         .await
         .map_err(|refusal| (id, refusal))?;
     Ok(request)
 }
 
-async fn read_body(body: Incoming, max_bytes: usize, request: &CallerRequest) -> Result<Bytes, Refusal> {
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    request: &CallerRequest,
+) -> Result<Bytes, Refusal> {
     match timeout(request.time_left(), Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -6,12 +6,11 @@
 use linnet_rate::NamedRate;
 use tokio::time::sleep;
 
-use crate::Gateway;
 use crate::caller_request::CallerRequest;
 use crate::open_request::OpenRequestGuard;
 use crate::target::Target;
 use crate::target_ask::TargetStanding;
-use crate::{Refusal, RefusalReason};
+use crate::{Gateway, Refusal, RefusalReason};
 
 /// Fraction of the time until its objective is missed that a request may wait for a target; the
 /// rest is for its work. A request that would wait longer is refused at once and told when to
@@ -89,7 +88,11 @@
 }
 
 /// Returns whether a target that may run a request is available and has no rate limit.
-pub(crate) fn has_unlimited_target(gateway: &Gateway, service: &str, request: &CallerRequest) -> bool {
+pub(crate) fn has_unlimited_target(
+    gateway: &Gateway,
+    service: &str,
+    request: &CallerRequest,
+) -> bool {
     let now = BootInstant::now();
     let book = gateway.targets.borrow();
     let mut usable = book.usable(service, Instant::now()).into_iter();
@@ -110,7 +113,11 @@
 
 /// Returns the sum of the rate limits of the targets that may run a request; `None` if one of them
 /// has no limit.
-fn total_rate_limit(gateway: &Gateway, service: &str, request: &CallerRequest) -> Option<NamedRate> {
+fn total_rate_limit(
+    gateway: &Gateway,
+    service: &str,
+    request: &CallerRequest,
+) -> Option<NamedRate> {
     if gateway.notices.rates.is_empty() {
         return None;
     }
@@ -180,7 +187,10 @@
     availability: NextAvailability,
 ) -> Result<(), Refusal> {
     let in_time = availability.wait <= request.objective_left().mul_f64(MAX_WAIT_FRACTION);
-    if availability.rate_limited || !in_time || gateway.waiting_requests.get() >= MAX_WAITING_REQUESTS {
+    if availability.rate_limited
+        || !in_time
+        || gateway.waiting_requests.get() >= MAX_WAITING_REQUESTS
+    {
         return Err(refusal_until(gateway, service, request, availability));
     }
     let _waits = OpenRequestGuard::new(&gateway.waiting_requests);
@@ -196,7 +206,11 @@
 }
 
 /// Returns the refusal of a request for which no target was found, if all targets have rate limits.
-pub(crate) fn rates_used_up(gateway: &Gateway, service: &str, request: &CallerRequest) -> Option<Refusal> {
+pub(crate) fn rates_used_up(
+    gateway: &Gateway,
+    service: &str,
+    request: &CallerRequest,
+) -> Option<Refusal> {
     total_rate_limit(gateway, service, request)?;
     Some(rate_refusal(gateway, service, request, Duration::ZERO))
 }
@@ -215,7 +229,12 @@
 
 /// Returns the refusal of a request for whose service no send permit is available. Refused callers
 /// are told to retry one after the other, paced by the sum of the rates.
-fn rate_refusal(gateway: &Gateway, service: &str, request: &CallerRequest, wait: Duration) -> Refusal {
+fn rate_refusal(
+    gateway: &Gateway,
+    service: &str,
+    request: &CallerRequest,
+    wait: Duration,
+) -> Refusal {
     let detail = format!(
         "every target of {service} names a rate that is used up, the first one for {} ms",
         wait.as_millis()
--- a/crates/gateway/src/stage_client/partitions.rs
+++ b/crates/gateway/src/stage_client/partitions.rs
@@ -7,7 +7,6 @@
 use super::{HostLocation, StageClient};
 use crate::allowed_halls::AllowedHalls;
 use crate::caller_request::Rank;
-use crate::ask::Rank;
 use crate::piece::{PieceBatch, PoolLoad};
 use crate::pool_key::PoolKey;
 
--- a/crates/gateway/src/target_selection.rs
+++ b/crates/gateway/src/target_selection.rs
@@ -4,7 +4,6 @@
 
 use linnet_routing::Route;
 
-use crate::Gateway;
 use crate::caller_request::CallerRequest;
 use crate::coordinator::LARGE_RESULT_BYTES;
 use crate::engine::PlacementRequest;
@@ -14,7 +13,7 @@
 };
 use crate::stage_client::Placement;
 use crate::target::{Chosen, Target, TargetBook};
-use crate::{Refusal, RefusalReason};
+use crate::{Gateway, Refusal, RefusalReason};
 
 /// Maximum number of targets that the placer is asked to avoid.
 const MAX_AVOIDED_TARGETS: usize = 32;
@@ -70,8 +69,7 @@
         if let Some(chosen) = select_target(gateway, service, request, excluded, results).await {
             return Ok(chosen);
         }
-        let opening =
-            next_availability(gateway, service, request, excluded.tried)
+        let opening = next_availability(gateway, service, request, excluded.tried)
             .ok_or_else(no_target_refusal)?;
         wait_until_available(gateway, service, request, opening).await?;
     }
@@ -92,7 +90,10 @@
     results: Option<&RequestResults>,
 ) -> Option<(Chosen, Option<Placement>)> {
     if let Some(place) = placement_request(gateway, service, request, excluded, results) {
-        let (chosen, placement) = gateway.stage_client.place_prompt(&gateway.targets, place).await?;
+        let (chosen, placement) = gateway
+            .stage_client
+            .place_prompt(&gateway.targets, place)
+            .await?;
         return Some((chosen, Some(placement)));
     }
     let (now, hosts) = (Instant::now(), gateway.entry_host_count());
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -70,8 +70,12 @@
             TurnHome::Remote(address, number) => {
                 // What came of the run reaches that host before it lets the request run again.
                 let record = self.gateway.suspects.record(self.key);
-                self.gateway.stage_client.send_suspect_record(address, record);
-                self.gateway.stage_client.release_run_permit(address, number);
+                self.gateway
+                    .stage_client
+                    .send_suspect_record(address, record);
+                self.gateway
+                    .stage_client
+                    .release_run_permit(address, number);
             }
         }
     }
