--- a/crates/directory/src/call.rs
+++ b/crates/directory/src/call.rs
@@ -26,7 +26,7 @@
     identity: &PeerIdentity,
     address: SocketAddr,
     request: &DirectoryCall,
-    bound: Duration,
+    call_timeout: Duration,
 ) -> Result<DirectoryReply, CallError> {
     let work = async {
         let (mut reader, mut writer) = connect_peer(identity, address).await?;
@@ -34,7 +34,7 @@
         writer.send(request).await?;
         Ok(reader.receive::<DirectoryReply>().await?)
     };
-    match timeout(bound, work).await {
+    match timeout(call_timeout, work).await {
         Ok(result) => result,
         Err(_) => Err(CallError::TimedOut(address)),
     }
--- a/crates/directory/src/change_reports.rs
+++ b/crates/directory/src/change_reports.rs
@@ -9,17 +9,17 @@
     /// Changes with each change of it.
     pub changes: watch::Receiver<u64>,
     /// Returns what is to be told next.
-    pub changed_after: Box<dyn Fn(ChangeAsk) -> (Vec<R>, u64)>,
+    pub changed_after: Box<dyn Fn(ChangeQuery) -> (Vec<R>, u64)>,
 }
 
 /// Asks for the first records that changed after a change number, and the number of the last change that they bring
 /// their reader to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ChangeAsk {
+pub struct ChangeQuery {
     /// The change number.
-    pub number: u64,
+    pub after: u64,
     /// The most records.
-    pub most: usize,
+    pub limit: usize,
     /// Whether the reader may know nothing yet, also not what it usually hears from others.
     pub catches_up: bool,
 }
@@ -28,25 +28,25 @@
 pub type SuspectSource = ChangeSource<SuspectRecord>;
 
 /// Where a process keeps the rates that targets named.
-pub type RateSource = ChangeSource<RateWord>;
+pub type RateLimitSource = ChangeSource<RateWord>;
 
 /// What one control host was told of the changes of a source.
 pub(crate) struct ChangeReports<'a, R> {
     source: Option<(&'a ChangeSource<R>, watch::Receiver<u64>)>,
     /// The most records in one report.
-    most: usize,
+    limit: usize,
     /// The number of the last change that was told. A control host that comes back is told everything, so
     /// that it knows again what it lost.
-    told: u64,
+    reported: u64,
     catches_up: bool,
 }
 
 impl<'a, R> ChangeReports<'a, R> {
-    pub(crate) fn new(source: Option<&'a ChangeSource<R>>, most: usize) -> Self {
+    pub(crate) fn new(source: Option<&'a ChangeSource<R>>, limit: usize) -> Self {
         Self {
             source: source.map(|source| (source, source.changes.clone())),
-            most,
-            told: 0,
+            limit,
+            reported: 0,
             catches_up: true,
         }
     }
@@ -57,13 +57,13 @@
             return Vec::new();
         };
         changes.mark_unchanged();
-        let (records, number) = (source.changed_after)(ChangeAsk {
-            number: self.told,
-            most: self.most,
+        let (records, last) = (source.changed_after)(ChangeQuery {
+            after: self.reported,
+            limit: self.limit,
             catches_up: self.catches_up,
         });
-        self.told = number;
-        self.catches_up &= records.len() == self.most;
+        self.reported = last;
+        self.catches_up &= records.len() == self.limit;
         records
     }
 
--- a/crates/directory/src/document.rs
+++ b/crates/directory/src/document.rs
@@ -41,12 +41,12 @@
 
 /// A configuration that a process has, with its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldDocument {
+pub struct StoredDocument {
     key: DocumentKey,
     document: Document,
 }
 
-impl HeldDocument {
+impl StoredDocument {
     /// Takes a configuration and hashes its bytes.
     pub fn new(document: Document) -> Self {
         let key = DocumentKey {
--- a/crates/directory/src/document_follower.rs
+++ b/crates/directory/src/document_follower.rs
@@ -8,15 +8,15 @@
 use linnet_telemetry::{EventCode, EventRecorder};
 use tokio::sync::watch;
 
-use crate::fetch::{DocumentFetch, FetchProgress, FetchTurn, FetchedPayload};
-use crate::{DocumentKey, DocumentPart, DocumentWant, HeldDocument};
+use crate::fetch::{DocumentFetch, FetchProgress, FetchedPayload, SourceSwitch};
+use crate::{DocumentKey, DocumentPart, DocumentRequest, StoredDocument};
 
 /// Where a subscriber keeps its configuration.
 pub struct DocumentSink {
     /// Returns the one that it holds.
-    pub held: Box<dyn Fn() -> Option<Arc<HeldDocument>>>,
+    pub current: Box<dyn Fn() -> Option<Arc<StoredDocument>>>,
     /// Takes a newer one.
-    pub take: Box<dyn Fn(HeldDocument)>,
+    pub store: Box<dyn Fn(StoredDocument)>,
 }
 
 /// Takes offers and parts from all control hosts, and says what is wanted of each.
@@ -28,19 +28,23 @@
 }
 
 impl DocumentFollower {
-    pub(crate) fn new(me: SocketAddr, sink: DocumentSink, recorder: Arc<EventRecorder>) -> Self {
-        let held = (sink.held)().map(|held| held.key());
+    pub(crate) fn new(
+        own_address: SocketAddr,
+        sink: DocumentSink,
+        recorder: Arc<EventRecorder>,
+    ) -> Self {
+        let current = (sink.current)().map(|current| current.key());
         Self {
             sink,
             recorder,
-            fetch: RefCell::new(DocumentFetch::new(me, held)),
+            fetch: RefCell::new(DocumentFetch::new(own_address, current)),
             progress: watch::Sender::new(None),
         }
     }
 
     /// Returns the version that is held; 0 for none.
-    pub(crate) fn held_version(&self) -> u64 {
-        (self.sink.held)().map_or(0, |held| held.version())
+    pub(crate) fn current_version(&self) -> u64 {
+        (self.sink.current)().map_or(0, |current| current.version())
     }
 
     /// Returns a receiver that wakes when something else is wanted than before.
@@ -49,46 +53,51 @@
     }
 
     /// Returns what is wanted of a control host.
-    pub(crate) fn want_of(&self, source: SocketAddr) -> Option<DocumentWant> {
-        self.fetch.borrow().want_of(source)
+    pub(crate) fn request_for(&self, source: SocketAddr) -> Option<DocumentRequest> {
+        self.fetch.borrow().request_for(source)
     }
 
-    pub(crate) fn take_offer(&self, source: SocketAddr, key: DocumentKey) {
+    pub(crate) fn record_offer(&self, source: SocketAddr, key: DocumentKey) {
         self.fetch
             .borrow_mut()
-            .take_offer(source, key, Instant::now());
-        self.tell_progress();
+            .record_offer(source, key, Instant::now());
+        self.publish_progress();
     }
 
-    pub(crate) fn take_part(&self, source: SocketAddr, part: DocumentPart) {
+    pub(crate) fn receive_part(&self, source: SocketAddr, part: DocumentPart) {
         let now = Instant::now();
-        let fetched = self.fetch.borrow_mut().take_part(source, part, now);
+        let fetched = self.fetch.borrow_mut().receive_part(source, part, now);
         if let Some(fetched) = fetched {
-            self.finish(source, &fetched);
+            self.unpack_and_store(source, &fetched);
         }
-        self.tell_progress();
+        self.publish_progress();
     }
 
-    pub(crate) fn lose_source(&self, source: SocketAddr) {
-        let turn = self.fetch.borrow_mut().lose_source(source, Instant::now());
-        self.note_turn(turn, "the control host was lost");
+    pub(crate) fn mark_source_lost(&self, source: SocketAddr) {
+        let switch = self
+            .fetch
+            .borrow_mut()
+            .mark_source_lost(source, Instant::now());
+        self.record_switch(switch, "the control host was lost");
     }
 
     /// Asks another control host where no part came for too long; to be called now and then.
-    pub(crate) fn check(&self) {
-        let turn = self.fetch.borrow_mut().check(Instant::now());
-        self.note_turn(turn, "no part came in time");
+    pub(crate) fn check_timeout(&self) {
+        let switch = self.fetch.borrow_mut().check_timeout(Instant::now());
+        self.record_switch(switch, "no part came in time");
     }
 
-    fn finish(&self, source: SocketAddr, fetched: &FetchedPayload) {
+    fn unpack_and_store(&self, source: SocketAddr, fetched: &FetchedPayload) {
         let key = fetched.payload.key();
-        let base = (self.sink.held)();
+        let base = (self.sink.current)();
         let document = match fetched.payload.unpack(base.as_deref()) {
             Ok(document) => document,
-            Err(fault) => {
-                let detail = format!("{} cause={fault}", key.document);
+            Err(error) => {
+                let detail = format!("{} cause={error}", key.document);
                 self.record(EventCode::RoutingFetchFailed, Some(source), detail);
-                self.fetch.borrow_mut().take_fault(source, Instant::now());
+                self.fetch
+                    .borrow_mut()
+                    .reject_payload(source, Instant::now());
                 return;
             }
         };
@@ -98,23 +107,23 @@
             key.base.map_or(0, |base| base.version),
             key.length,
             document.body().len(),
-            fetched.turns,
-            fetched.took.as_millis()
+            fetched.requests,
+            fetched.duration.as_millis()
         );
         self.record(EventCode::RoutingFetched, Some(source), detail);
-        (self.sink.take)(document);
+        (self.sink.store)(document);
         self.fetch
             .borrow_mut()
-            .take_held(key.document, Instant::now());
+            .set_stored(key.document, Instant::now());
     }
 
-    fn note_turn(&self, turn: Option<FetchTurn>, cause: &str) {
-        if let Some(turn) = turn {
-            let next = turn.to.map_or("none".to_owned(), |to| to.to_string());
-            let detail = format!("next={next} offset={} cause={cause}", turn.offset);
-            self.record(EventCode::RoutingFetchTurned, turn.from, detail);
+    fn record_switch(&self, switch: Option<SourceSwitch>, cause: &str) {
+        if let Some(switch) = switch {
+            let next = switch.to.map_or("none".to_owned(), |to| to.to_string());
+            let detail = format!("next={next} offset={} cause={cause}", switch.offset);
+            self.record(EventCode::RoutingFetchTurned, switch.from, detail);
         }
-        self.tell_progress();
+        self.publish_progress();
     }
 
     fn record(&self, code: EventCode, source: Option<SocketAddr>, detail: String) {
@@ -122,9 +131,9 @@
         self.recorder.record(code, &peer, detail);
     }
 
-    fn tell_progress(&self) {
-        let now = self.fetch.borrow().progress();
+    fn publish_progress(&self) {
+        let current = self.fetch.borrow().progress();
         self.progress
-            .send_if_modified(|told| std::mem::replace(told, now) != now);
+            .send_if_modified(|published| std::mem::replace(published, current) != current);
     }
 }
--- a/crates/directory/src/sending.rs
+++ b/crates/directory/src/document_sender.rs
@@ -5,40 +5,40 @@
 
 use std::sync::Arc;
 
-use crate::{DocumentPart, DocumentPayload, DocumentWant};
+use crate::{DocumentPart, DocumentPayload, DocumentRequest};
 
 /// Bytes of one part: some 7 ms of a link of 10 Mbit/s, for which other news wait at most.
 pub(crate) const PART_BYTES: u32 = 8 * 1024;
 
 /// The transfer to one subscriber.
 #[derive(Default)]
-pub(crate) struct DocumentSending {
-    current: Option<CurrentSending>,
+pub(crate) struct DocumentSender {
+    current: Option<CurrentTransfer>,
 }
 
-struct CurrentSending {
+struct CurrentTransfer {
     attempt: u32,
     payload: Arc<DocumentPayload>,
     sent: u32,
-    until: u32,
+    limit: u32,
 }
 
-impl DocumentSending {
+impl DocumentSender {
     /// Takes what the subscriber wants now; `find` gives the payload for it.
-    pub(crate) fn take_want(
+    pub(crate) fn set_request(
         &mut self,
-        want: Option<&DocumentWant>,
-        find: impl FnOnce(&DocumentWant) -> Option<Arc<DocumentPayload>>,
+        request: Option<&DocumentRequest>,
+        find: impl FnOnce(&DocumentRequest) -> Option<Arc<DocumentPayload>>,
     ) {
-        let Some(want) = want else {
+        let Some(request) = request else {
             self.current = None;
             return;
         };
         match &mut self.current {
-            Some(current) if current.attempt == want.attempt => {
-                current.until = current.until.max(want.until);
+            Some(current) if current.attempt == request.attempt => {
+                current.limit = current.limit.max(request.limit);
             }
-            _ => self.current = find(want).map(|payload| CurrentSending::new(want, payload)),
+            _ => self.current = find(request).map(|payload| CurrentTransfer::new(request, payload)),
         }
     }
 
@@ -47,7 +47,7 @@
         let current = self.current.as_mut()?;
         let (bytes, start) = (current.payload.bytes(), current.sent as usize);
         let end = bytes.len().min(start + PART_BYTES as usize);
-        if start >= bytes.len() || current.sent >= current.until {
+        if start >= bytes.len() || current.sent >= current.limit {
             return None;
         }
         current.sent = end as u32;
@@ -59,14 +59,14 @@
     }
 }
 
-impl CurrentSending {
+impl CurrentTransfer {
     // Where the subscriber has a beginning of other bytes than these it starts from nothing.
-    fn new(want: &DocumentWant, payload: Arc<DocumentPayload>) -> Self {
-        let begun = want.begun == Some(payload.key());
+    fn new(request: &DocumentRequest, payload: Arc<DocumentPayload>) -> Self {
+        let resumes = request.partial == Some(payload.key());
         Self {
-            attempt: want.attempt,
-            sent: if begun { want.offset } else { 0 },
-            until: want.until,
+            attempt: request.attempt,
+            sent: if resumes { request.offset } else { 0 },
+            limit: request.limit,
             payload,
         }
     }
--- a/crates/directory/src/gateway_push.rs
+++ b/crates/directory/src/entry_host_push.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::{GatewayRecord, OwnGateways};
+use crate::{EntryHostRecord, LocalEntryHosts};
 
 /// Time between two lists for each entry host in them.
-const SPAN_PER_GATEWAY: Duration = Duration::from_millis(1);
+const PUSH_SPACING_PER_ENTRY_HOST: Duration = Duration::from_millis(1);
 
 /// A list of entry hosts that is pushed whole.
 pub(crate) trait PushedList: PartialEq {
@@ -17,25 +17,25 @@
     fn hosts(&self) -> usize;
 }
 
-impl PushedList for [GatewayRecord] {
+impl PushedList for [EntryHostRecord] {
     fn hosts(&self) -> usize {
         self.len()
     }
 }
 
-impl PushedList for OwnGateways {
+impl PushedList for LocalEntryHosts {
     fn hosts(&self) -> usize {
-        self.heard.len() + self.lost.len()
+        self.connected.len() + self.disconnected.len()
     }
 }
 
 /// What one subscriber was sent.
 #[derive(Debug)]
-pub(crate) struct GatewayPush<L: ?Sized> {
+pub(crate) struct EntryHostPush<L: ?Sized> {
     sent: Option<(Arc<L>, Instant)>,
 }
 
-impl<L: ?Sized> Default for GatewayPush<L> {
+impl<L: ?Sized> Default for EntryHostPush<L> {
     fn default() -> Self {
         Self { sent: None }
     }
@@ -43,30 +43,30 @@
 
 /// Whether the list is to be pushed.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum GatewayDue<L: ?Sized> {
+pub(crate) enum PushDue<L: ?Sized> {
     /// The subscriber has it.
-    Never,
+    UpToDate,
     /// Now; this counts as done.
     Now(Arc<L>),
     /// After this span, if nothing changes until then.
     After(Duration),
 }
 
-impl<L: PushedList + ?Sized> GatewayPush<L> {
+impl<L: PushedList + ?Sized> EntryHostPush<L> {
     /// Says whether a list is due.
-    pub(crate) fn due(&mut self, list: Arc<L>, now: Instant) -> GatewayDue<L> {
+    pub(crate) fn due(&mut self, list: Arc<L>, now: Instant) -> PushDue<L> {
         if let Some((sent, at)) = &self.sent {
             if Arc::ptr_eq(sent, &list) || *sent == list {
-                return GatewayDue::Never;
+                return PushDue::UpToDate;
             }
-            let span = SPAN_PER_GATEWAY * sent.hosts().max(list.hosts()) as u32;
+            let span = PUSH_SPACING_PER_ENTRY_HOST * sent.hosts().max(list.hosts()) as u32;
             let since = now.saturating_duration_since(*at);
             if since < span {
-                return GatewayDue::After(span - since);
+                return PushDue::After(span - since);
             }
         }
         self.sent = Some((list.clone(), now));
-        GatewayDue::Now(list)
+        PushDue::Now(list)
     }
 }
 
--- a/crates/directory/src/evacuation.rs
+++ b/crates/directory/src/evacuation.rs
@@ -26,25 +26,25 @@
     pub evacuated: bool,
     /// The revision of the hall that the control host had seen when the order came. A copy of the
     /// order that is committed late, after other orders, names an older one and changes nothing.
-    pub seen: u64,
+    pub seen_revision: u64,
 }
 
 /// What became of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EvacuationOutcome {
     /// The hall is as the order wants it.
-    Held(HallEvacuation),
+    InEffect(HallEvacuation),
     /// The hall has changed since the revision that the order names; nothing was done.
     Outdated(HallEvacuation),
 }
 
 /// The evacuations of all halls for which there ever was an order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationBook {
+pub struct EvacuationStore {
     halls: BTreeMap<String, HallEvacuation>,
 }
 
-impl EvacuationBook {
+impl EvacuationStore {
     /// Returns what is known of a hall.
     pub fn state_of(&self, hall: &str) -> HallEvacuation {
         self.halls.get(hall).copied().unwrap_or_default()
@@ -65,9 +65,9 @@
     pub fn apply(&mut self, order: &EvacuationOrder) -> EvacuationOutcome {
         let known = self.state_of(&order.hall);
         if known.evacuated == order.evacuated {
-            return EvacuationOutcome::Held(known);
+            return EvacuationOutcome::InEffect(known);
         }
-        if known.revision != order.seen {
+        if known.revision != order.seen_revision {
             return EvacuationOutcome::Outdated(known);
         }
         let state = HallEvacuation {
@@ -75,23 +75,23 @@
             evacuated: order.evacuated,
         };
         self.halls.insert(order.hall.clone(), state);
-        EvacuationOutcome::Held(state)
+        EvacuationOutcome::InEffect(state)
     }
 
     /// Takes what another process knows; returns the halls that were taken back by it.
-    pub fn merge(&mut self, told: &Self) -> Vec<String> {
-        let mut taken_back = Vec::new();
-        for (hall, state) in &told.halls {
+    pub fn merge(&mut self, other: &Self) -> Vec<String> {
+        let mut returned = Vec::new();
+        for (hall, state) in &other.halls {
             let known = self.state_of(hall);
             if state.revision <= known.revision {
                 continue;
             }
             if known.evacuated && !state.evacuated {
-                taken_back.push(hall.clone());
+                returned.push(hall.clone());
             }
             self.halls.insert(hall.clone(), *state);
         }
-        taken_back
+        returned
     }
 }
 
--- a/crates/directory/src/fetch.rs
+++ b/crates/directory/src/fetch.rs
@@ -12,14 +12,14 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::sending::PART_BYTES;
-use crate::{DocumentKey, DocumentPart, DocumentPayload, DocumentWant, PayloadKey};
+use crate::document_sender::PART_BYTES;
+use crate::{DocumentKey, DocumentPart, DocumentPayload, DocumentRequest, PayloadKey};
 
 /// How long no part may come before another control host is asked. It is doubled with each such
 /// turn up to the last figure, so that a link on which a part takes longer is not filled with parts
 /// from all of them.
-const FIRST_PATIENCE: Duration = Duration::from_millis(400);
-const LAST_PATIENCE: Duration = Duration::from_millis(3_200);
+const MIN_PART_TIMEOUT: Duration = Duration::from_millis(400);
+const MAX_PART_TIMEOUT: Duration = Duration::from_millis(3_200);
 
 /// Bytes that are asked for beyond those that came. A round trip between data halls of 4 ms at
 /// 10 Mbit/s takes 5 KB.
@@ -27,17 +27,17 @@
 
 /// The transfers of one subscriber.
 pub(crate) struct DocumentFetch {
-    me: SocketAddr,
-    held: Option<DocumentKey>,
+    own_address: SocketAddr,
+    stored: Option<DocumentKey>,
     offers: BTreeMap<SocketAddr, DocumentKey>,
     current: Option<CurrentFetch>,
     /// Counts the turns to a source, over all transfers.
     attempt: u32,
-    patience: Duration,
+    part_timeout: Duration,
     /// Sources whose payload could not be used; the whole is asked for while there are any.
     faulty: BTreeSet<SocketAddr>,
     /// Nothing is asked for before, since no source had a payload that could be used.
-    rests_until: Option<Instant>,
+    paused_until: Option<Instant>,
 }
 
 struct CurrentFetch {
@@ -46,12 +46,12 @@
     /// The control host that is asked; nothing while there is none, and what came is kept.
     source: Option<SocketAddr>,
     /// Sources that were asked since all had their turn.
-    asked: BTreeSet<SocketAddr>,
-    begun: Option<PayloadKey>,
+    tried: BTreeSet<SocketAddr>,
+    partial: Option<PayloadKey>,
     bytes: Vec<u8>,
     started: Instant,
     progress_at: Instant,
-    turns: u32,
+    requests: u32,
 }
 
 /// A payload that is whole.
@@ -59,14 +59,14 @@
 pub(crate) struct FetchedPayload {
     pub(crate) payload: DocumentPayload,
     /// From the first request for it.
-    pub(crate) took: Duration,
+    pub(crate) duration: Duration,
     /// How many times a source was asked.
-    pub(crate) turns: u32,
+    pub(crate) requests: u32,
 }
 
 /// A turn to another source.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct FetchTurn {
+pub(crate) struct SourceSwitch {
     /// The source that brought nothing for too long.
     pub(crate) from: Option<SocketAddr>,
     /// The one that is asked now.
@@ -82,61 +82,65 @@
     /// Number of the turn.
     attempt: u32,
     /// Up to which byte.
-    until: u32,
+    limit: u32,
 }
 
 impl DocumentFetch {
     /// Creates the transfers of the subscriber at `me`, which has `held`.
-    pub(crate) fn new(me: SocketAddr, held: Option<DocumentKey>) -> Self {
+    pub(crate) fn new(own_address: SocketAddr, stored: Option<DocumentKey>) -> Self {
         Self {
-            me,
-            held,
+            own_address,
+            stored,
             offers: BTreeMap::new(),
             current: None,
             attempt: 0,
-            patience: FIRST_PATIENCE,
+            part_timeout: MIN_PART_TIMEOUT,
             faulty: BTreeSet::new(),
-            rests_until: None,
+            paused_until: None,
         }
     }
 
     /// Hears what a control host holds.
-    pub(crate) fn take_offer(&mut self, source: SocketAddr, key: DocumentKey, now: Instant) {
+    pub(crate) fn record_offer(&mut self, source: SocketAddr, key: DocumentKey, now: Instant) {
         self.offers.insert(source, key);
         match &self.current {
-            None => self.begin(now),
+            None => self.start_transfer(now),
             Some(current) if current.source.is_none() => {
-                self.turn(now);
+                self.switch_source(now);
             }
             Some(_) => {}
         }
     }
 
     /// Hears that a control host was lost.
-    pub(crate) fn lose_source(&mut self, source: SocketAddr, now: Instant) -> Option<FetchTurn> {
+    pub(crate) fn mark_source_lost(
+        &mut self,
+        source: SocketAddr,
+        now: Instant,
+    ) -> Option<SourceSwitch> {
         self.offers.remove(&source);
         let current = self.current.as_ref()?;
         if current.source == Some(source) {
-            return self.turn(now);
+            return self.switch_source(now);
         }
         None
     }
 
     /// Takes a part; the payload once it is whole.
-    pub(crate) fn take_part(
+    pub(crate) fn receive_part(
         &mut self,
         source: SocketAddr,
         part: DocumentPart,
         now: Instant,
     ) -> Option<FetchedPayload> {
         let current = self.current.as_mut()?;
-        if current.begun != Some(part.payload) {
+        if current.partial != Some(part.payload) {
             // The one that is asked may have other bytes than the one before.
-            let may_begin = current.begun.is_none() || current.source == Some(source);
-            if part.offset != 0 || !may_begin {
+            let may_restart = current.partial.is_none() || current.source == Some(source);
+            if part.offset != 0 || !may_restart {
                 return None;
             }
-            current.begun = Some(part.payload);
+            current.partial = Some(part.payload);
             current.bytes.clear();
         }
         // The same part may come from two sources.
@@ -148,51 +152,51 @@
         if current.bytes.len() < part.payload.length as usize {
             return None;
         }
-        let whole = self.current.take()?;
+        let complete = self.current.take()?;
         Some(FetchedPayload {
-            payload: DocumentPayload::from_parts(part.payload, whole.bytes),
-            took: now.saturating_duration_since(whole.started),
-            turns: whole.turns,
+            payload: DocumentPayload::from_parts(part.payload, complete.bytes),
+            duration: now.saturating_duration_since(complete.started),
+            requests: complete.requests,
         })
     }
 
     /// Hears that a configuration is held from now on; the next newer one is asked for.
-    pub(crate) fn take_held(&mut self, held: DocumentKey, now: Instant) {
-        self.held = Some(held);
-        self.patience = FIRST_PATIENCE;
+    pub(crate) fn set_stored(&mut self, stored: DocumentKey, now: Instant) {
+        self.stored = Some(stored);
+        self.part_timeout = MIN_PART_TIMEOUT;
         self.faulty.clear();
-        self.rests_until = None;
+        self.paused_until = None;
         let current = self.current.take();
-        self.current = current.filter(|current| current.wanted.version > held.version);
-        self.begin(now);
+        self.current = current.filter(|current| current.wanted.version > stored.version);
+        self.start_transfer(now);
     }
 
     /// Hears that the payload from `source` brought nothing: what it offered is asked for whole, of
     /// another source. When all were tried in vain they rest for a while, so that a fault that all
     /// of them share does not fill the link.
-    pub(crate) fn take_fault(&mut self, source: SocketAddr, now: Instant) {
+    pub(crate) fn reject_payload(&mut self, source: SocketAddr, now: Instant) {
         self.faulty.insert(source);
         if self.best_source(&self.faulty).is_none() {
             self.faulty = BTreeSet::from([source]);
-            self.rests_until = Some(now + self.patience);
-            self.lengthen_patience();
+            self.paused_until = Some(now + self.part_timeout);
+            self.double_timeout();
         }
-        self.begin(now);
+        self.start_transfer(now);
     }
 
     /// Asks another control host where no part came for too long.
-    pub(crate) fn check(&mut self, now: Instant) -> Option<FetchTurn> {
-        self.begin(now);
+    pub(crate) fn check_timeout(&mut self, now: Instant) -> Option<SourceSwitch> {
+        self.start_transfer(now);
         let current = self.current.as_ref()?;
-        if now.saturating_duration_since(current.progress_at) < self.patience {
+        if now.saturating_duration_since(current.progress_at) < self.part_timeout {
             return None;
         }
-        self.lengthen_patience();
-        self.turn(now)
+        self.double_timeout();
+        self.switch_source(now)
     }
 
     /// Returns what is wanted of a control host now.
-    pub(crate) fn want_of(&self, source: SocketAddr) -> Option<DocumentWant> {
+    pub(crate) fn request_for(&self, source: SocketAddr) -> Option<DocumentRequest> {
         let current = self.current.as_ref()?;
         if current.source != Some(source) {
             return None;
@@ -200,68 +204,68 @@
         let offset = current.bytes.len() as u32;
         // In steps, so that not every part is answered by a report.
         let step = offset - offset % (2 * PART_BYTES);
-        Some(DocumentWant {
+        Some(DocumentRequest {
             key: current.wanted,
             base: current.base,
-            begun: current.begun,
+            partial: current.partial,
             attempt: self.attempt,
             offset,
-            until: step + WINDOW_BYTES,
+            limit: step + WINDOW_BYTES,
         })
     }
 
     /// Returns what is asked now; it changes when there is something to tell.
     pub(crate) fn progress(&self) -> Option<FetchProgress> {
         let source = self.current.as_ref()?.source?;
-        let want = self.want_of(source)?;
+        let request = self.request_for(source)?;
         Some(FetchProgress {
             source,
-            attempt: want.attempt,
-            until: want.until,
+            attempt: request.attempt,
+            limit: request.limit,
         })
     }
 
-    fn lengthen_patience(&mut self) {
-        self.patience = (self.patience * 2).min(LAST_PATIENCE);
+    fn double_timeout(&mut self) {
+        self.part_timeout = (self.part_timeout * 2).min(MAX_PART_TIMEOUT);
     }
 
-    fn begin(&mut self, now: Instant) {
-        let rests = self.rests_until.is_some_and(|until| now < until);
-        if rests || self.current.is_some() {
+    fn start_transfer(&mut self, now: Instant) {
+        let is_paused = self.paused_until.is_some_and(|resume| now < resume);
+        if is_paused || self.current.is_some() {
             return;
         }
-        let sound = self.best_source(&self.faulty);
-        let Some(source) = sound.or_else(|| self.best_source(&BTreeSet::new())) else {
+        let usable = self.best_source(&self.faulty);
+        let Some(source) = usable.or_else(|| self.best_source(&BTreeSet::new())) else {
             return;
         };
         self.attempt = self.attempt.wrapping_add(1);
         self.current = Some(CurrentFetch {
             wanted: self.offers[&source],
-            base: self.held.filter(|_| self.faulty.is_empty()),
+            base: self.stored.filter(|_| self.faulty.is_empty()),
             source: Some(source),
-            asked: BTreeSet::from([source]),
-            begun: None,
+            tried: BTreeSet::from([source]),
+            partial: None,
             bytes: Vec::new(),
             started: now,
             progress_at: now,
-            turns: 1,
+            requests: 1,
         });
     }
 
-    fn turn(&mut self, now: Instant) -> Option<FetchTurn> {
-        let mut asked = std::mem::take(&mut self.current.as_mut()?.asked);
-        let next = self.best_source(&asked).or_else(|| {
-            asked.clear();
-            self.best_source(&asked)
+    fn switch_source(&mut self, now: Instant) -> Option<SourceSwitch> {
+        let mut tried = std::mem::take(&mut self.current.as_mut()?.tried);
+        let next = self.best_source(&tried).or_else(|| {
+            tried.clear();
+            self.best_source(&tried)
         });
-        asked.extend(next);
+        tried.extend(next);
         let current = self.current.as_mut()?;
         let former = std::mem::replace(&mut current.source, next);
-        current.asked = asked;
+        current.tried = tried;
         current.progress_at = now;
-        current.turns += 1;
+        current.requests += 1;
         self.attempt = self.attempt.wrapping_add(1);
-        Some(FetchTurn {
+        Some(SourceSwitch {
             from: former,
             to: next,
             offset: current.bytes.len(),
@@ -270,19 +274,19 @@
 
     /// Returns the source with the newest offer that is newer than what is held. Among equal ones
     /// each subscriber has another order, so that the work is spread.
-    fn best_source(&self, passed_over: &BTreeSet<SocketAddr>) -> Option<SocketAddr> {
-        let held = self.held.map_or(0, |held| held.version);
+    fn best_source(&self, excluded: &BTreeSet<SocketAddr>) -> Option<SocketAddr> {
+        let stored = self.stored.map_or(0, |stored| stored.version);
         let newer = self.offers.iter().filter(|(source, key)| {
-            let first = self.held.is_none();
-            (first || key.version > held) && !passed_over.contains(source)
+            let holds_none = self.stored.is_none();
+            (holds_none || key.version > stored) && !excluded.contains(source)
         });
-        let best = newer.max_by_key(|(source, key)| (key.version, self.order_of(**source)));
+        let best = newer.max_by_key(|(source, key)| (key.version, self.preference_of(**source)));
         best.map(|(source, _)| *source)
     }
 
-    fn order_of(&self, source: SocketAddr) -> u64 {
+    fn preference_of(&self, source: SocketAddr) -> u64 {
         let mut hasher = DefaultHasher::new();
-        (self.me, source).hash(&mut hasher);
+        (self.own_address, source).hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/directory/src/fetch/tests.rs
+++ b/crates/directory/src/fetch/tests.rs
@@ -1,32 +1,32 @@
 use super::*;
-use crate::sending::DocumentSending;
-use crate::{Document, HeldDocument};
+use crate::document_sender::DocumentSender;
+use crate::{Document, StoredDocument};
 use std::sync::Arc;
 
 fn address(number: u8) -> SocketAddr {
     ([127, 0, 0, number], 1).into()
 }
 
-fn document(version: u64) -> HeldDocument {
+fn document(version: u64) -> StoredDocument {
     let mut random = fastrand::Rng::with_seed(1);
     let mut body = format!("version {version}").into_bytes();
     body.extend((0..100_000).map(|_| random.u8(..)));
-    HeldDocument::new(Document { version, body })
+    StoredDocument::new(Document { version, body })
 }
 
 /// A control host that holds one configuration, and what it sent so far.
 struct Source {
     address: SocketAddr,
     payload: Arc<DocumentPayload>,
-    sending: DocumentSending,
+    sending: DocumentSender,
 }
 
 impl Source {
-    fn new(number: u8, version: u64, base: Option<&HeldDocument>) -> Self {
+    fn new(number: u8, version: u64, base: Option<&StoredDocument>) -> Self {
         Self {
             address: address(number),
             payload: Arc::new(DocumentPayload::new(&document(version), base).unwrap()),
-            sending: DocumentSending::default(),
+            sending: DocumentSender::default(),
         }
     }
 
@@ -34,16 +34,17 @@
     fn send(
         &mut self,
         fetch: &mut DocumentFetch,
-        most: usize,
+        limit: usize,
         now: Instant,
     ) -> Option<FetchedPayload> {
-        for _ in 0..most {
-            let want = fetch.want_of(self.address);
+        for _ in 0..limit {
+            let request = fetch.request_for(self.address);
             let payload = self.payload.clone();
-            self.sending.take_want(want.as_ref(), |_| Some(payload));
+            self.sending
+                .set_request(request.as_ref(), |_| Some(payload));
             let part = self.sending.next_part()?;
-            if let Some(whole) = fetch.take_part(self.address, part, now) {
-                return Some(whole);
+            if let Some(complete) = fetch.receive_part(self.address, part, now) {
+                return Some(complete);
             }
         }
         None
@@ -59,31 +60,31 @@
 }
 
 #[test]
-fn one_source_is_asked_however_many_offer() {
+fn one_source_is_requested_at_a_time() {
     let (mut fetch, now) = (DocumentFetch::new(address(100), None), Instant::now());
-    (1..=6).for_each(|number| fetch.take_offer(address(number), key(5), now));
-    let wanted = (1..=6).filter(|number| fetch.want_of(address(*number)).is_some());
+    (1..=6).for_each(|number| fetch.record_offer(address(number), key(5), now));
+    let wanted = (1..=6).filter(|number| fetch.request_for(address(*number)).is_some());
     assert_eq!(wanted.collect::<Vec<_>>(), [1]);
     let mut source = Source::new(1, 5, None);
-    let whole = source.send(&mut fetch, 1_000, now).unwrap();
-    assert_eq!(whole.payload.unpack(None).unwrap(), document(5));
-    fetch.take_held(key(5), now);
-    assert!((1..=6).all(|number| fetch.want_of(address(number)).is_none()));
+    let complete = source.send(&mut fetch, 1_000, now).unwrap();
+    assert_eq!(complete.payload.unpack(None).unwrap(), document(5));
+    fetch.set_stored(key(5), now);
+    assert!((1..=6).all(|number| fetch.request_for(address(number)).is_none()));
 }
 
 #[test]
-fn a_source_that_falls_silent_midway_is_replaced_where_it_ended() {
+fn silent_source_is_replaced_at_the_same_offset() {
     let (mut fetch, now) = (DocumentFetch::new(address(100), None), Instant::now());
-    fetch.take_offer(address(1), key(5), now);
-    fetch.take_offer(address(2), key(5), now);
+    fetch.record_offer(address(1), key(5), now);
+    fetch.record_offer(address(2), key(5), now);
     let mut first = Source::new(1, 5, None);
     assert!(first.send(&mut fetch, 3, now).is_none());
-    assert_eq!(fetch.check(after(now, 399)), None);
-    let turn = fetch.check(after(now, 400)).unwrap();
-    assert_eq!((turn.to, turn.offset), (Some(address(2)), 3 * 8_192));
+    assert_eq!(fetch.check_timeout(after(now, 399)), None);
+    let switch = fetch.check_timeout(after(now, 400)).unwrap();
+    assert_eq!((switch.to, switch.offset), (Some(address(2)), 3 * 8_192));
     let mut second = Source::new(2, 5, None);
-    let whole = second.send(&mut fetch, 1_000, after(now, 410)).unwrap();
-    assert_eq!(whole.payload.unpack(None).unwrap(), document(5));
+    let complete = second.send(&mut fetch, 1_000, after(now, 410)).unwrap();
+    assert_eq!(complete.payload.unpack(None).unwrap(), document(5));
     let sent = second.payload.bytes().len() as u32 - 3 * PART_BYTES;
     assert!(
         sent < second.payload.bytes().len() as u32,
@@ -92,137 +93,143 @@
 }
 
 #[test]
-fn what_came_is_kept_while_there_is_no_source_at_all() {
+fn received_bytes_are_kept_without_a_source() {
     let (mut fetch, now) = (DocumentFetch::new(address(100), None), Instant::now());
-    fetch.take_offer(address(1), key(5), now);
+    fetch.record_offer(address(1), key(5), now);
     Source::new(1, 5, None).send(&mut fetch, 4, now);
-    let turn = fetch.lose_source(address(1), now).unwrap();
-    assert_eq!((turn.to, turn.offset), (None, 4 * 8_192));
-    fetch.take_offer(address(1), key(5), after(now, 2_000));
-    assert_eq!(fetch.want_of(address(1)).unwrap().offset, 4 * PART_BYTES);
+    let switch = fetch.mark_source_lost(address(1), now).unwrap();
+    assert_eq!((switch.to, switch.offset), (None, 4 * 8_192));
+    fetch.record_offer(address(1), key(5), after(now, 2_000));
+    assert_eq!(
+        fetch.request_for(address(1)).unwrap().offset,
+        4 * PART_BYTES
+    );
 }
 
 #[test]
-fn a_transfer_ends_though_newer_configurations_come_faster_than_it() {
+fn transfer_completes_although_newer_configurations_arrive_faster() {
     let base = document(1);
     let mut fetch = DocumentFetch::new(address(100), Some(base.key()));
     let now = Instant::now();
-    fetch.take_offer(address(1), key(2), now);
+    fetch.record_offer(address(1), key(2), now);
     let mut source = Source::new(1, 2, None);
     for version in 3..20 {
-        if let Some(whole) = source.send(&mut fetch, 1, now) {
-            assert_eq!(whole.payload.key().document.version, 2);
-            fetch.take_held(key(2), now);
-            let next = fetch.want_of(address(1)).unwrap();
+        if let Some(complete) = source.send(&mut fetch, 1, now) {
+            assert_eq!(complete.payload.key().document.version, 2);
+            fetch.set_stored(key(2), now);
+            let next = fetch.request_for(address(1)).unwrap();
             assert_eq!((next.base, next.key), (Some(key(2)), key(version - 1)));
             return;
         }
-        fetch.take_offer(address(1), key(version), now);
+        fetch.record_offer(address(1), key(version), now);
     }
     panic!("the transfer did not end");
 }
 
 #[test]
-fn on_a_slow_link_the_sources_are_not_asked_all_at_once() {
+fn slow_link_does_not_trigger_requests_to_all_sources() {
     let (mut fetch, now) = (DocumentFetch::new(address(100), None), Instant::now());
-    (1..=6).for_each(|number| fetch.take_offer(address(number), key(5), now));
+    (1..=6).for_each(|number| fetch.record_offer(address(number), key(5), now));
     // A part takes three seconds to come.
-    let turns = (0..30).filter(|step| fetch.check(after(now, step * 100)).is_some());
-    assert!(turns.count() <= 3);
+    let requests = (0..30).filter(|step| fetch.check_timeout(after(now, step * 100)).is_some());
+    assert!(requests.count() <= 3);
 }
 
 #[test]
-fn parts_of_a_source_that_was_left_still_count_and_doubled_ones_do_not() {
+fn late_parts_of_a_former_source_are_accepted_and_duplicates_ignored() {
     let (mut fetch, now) = (DocumentFetch::new(address(100), None), Instant::now());
-    fetch.take_offer(address(1), key(5), now);
-    fetch.take_offer(address(2), key(5), now);
+    fetch.record_offer(address(1), key(5), now);
+    fetch.record_offer(address(2), key(5), now);
     let mut first = Source::new(1, 5, None);
-    let want = fetch.want_of(address(1));
+    let request = fetch.request_for(address(1));
     first
         .sending
-        .take_want(want.as_ref(), |_| Some(first.payload.clone()));
+        .set_request(request.as_ref(), |_| Some(first.payload.clone()));
     let late: Vec<DocumentPart> = std::iter::from_fn(|| first.sending.next_part()).collect();
-    fetch.check(after(now, 400)).unwrap();
+    fetch.check_timeout(after(now, 400)).unwrap();
     for part in late.iter().chain(&late) {
-        assert!(fetch.take_part(address(1), part.clone(), now).is_none());
+        assert!(fetch.receive_part(address(1), part.clone(), now).is_none());
     }
     let have = late.len() as u32 * PART_BYTES;
-    assert_eq!(fetch.want_of(address(2)).unwrap().offset, have);
+    assert_eq!(fetch.request_for(address(2)).unwrap().offset, have);
     // Out of order: nothing is taken.
     let mut beyond = late[0].clone();
     beyond.offset = have + 1;
-    fetch.take_part(address(2), beyond, now);
-    assert_eq!(fetch.want_of(address(2)).unwrap().offset, have);
+    fetch.receive_part(address(2), beyond, now);
+    assert_eq!(fetch.request_for(address(2)).unwrap().offset, have);
 }
 
 #[test]
-fn a_source_with_other_bytes_begins_anew() {
+fn transfer_restarts_when_the_new_source_has_other_bytes() {
     let (mut fetch, now) = (DocumentFetch::new(address(100), None), Instant::now());
-    fetch.take_offer(address(1), key(5), now);
-    fetch.take_offer(address(2), key(5), now);
+    fetch.record_offer(address(1), key(5), now);
+    fetch.record_offer(address(2), key(5), now);
     Source::new(1, 5, None).send(&mut fetch, 3, now);
-    fetch.check(after(now, 400)).unwrap();
+    fetch.check_timeout(after(now, 400)).unwrap();
     let mut other = Source::new(2, 6, None);
-    let whole = other.send(&mut fetch, 1_000, now).unwrap();
-    assert_eq!(whole.payload.unpack(None).unwrap(), document(6));
+    let complete = other.send(&mut fetch, 1_000, now).unwrap();
+    assert_eq!(complete.payload.unpack(None).unwrap(), document(6));
 }
 
 #[test]
-fn after_a_payload_that_cannot_be_used_the_whole_is_asked_of_another_source() {
-    let held = document(1);
-    let mut fetch = DocumentFetch::new(address(100), Some(held.key()));
+fn unusable_payload_is_replaced_by_a_complete_one_from_another_source() {
+    let stored = document(1);
+    let mut fetch = DocumentFetch::new(address(100), Some(stored.key()));
     let now = Instant::now();
-    fetch.take_offer(address(1), key(5), now);
-    fetch.take_offer(address(2), key(5), now);
+    fetch.record_offer(address(1), key(5), now);
+    fetch.record_offer(address(2), key(5), now);
     let mut source = Source::new(1, 5, Some(&document(4)));
-    let whole = source.send(&mut fetch, 1_000, now).unwrap();
-    assert!(whole.payload.unpack(Some(&held)).is_err());
-    fetch.take_fault(address(1), now);
-    assert_eq!(fetch.want_of(address(1)), None);
-    let want = fetch.want_of(address(2)).unwrap();
-    assert_eq!((want.base, want.begun, want.offset), (None, None, 0));
+    let complete = source.send(&mut fetch, 1_000, now).unwrap();
+    assert!(complete.payload.unpack(Some(&stored)).is_err());
+    fetch.reject_payload(address(1), now);
+    assert_eq!(fetch.request_for(address(1)), None);
+    let request = fetch.request_for(address(2)).unwrap();
+    assert_eq!(
+        (request.base, request.partial, request.offset),
+        (None, None, 0)
+    );
 }
 
 #[test]
-fn what_is_not_newer_is_never_asked_for() {
+fn only_newer_configurations_are_requested() {
     let mut fetch = DocumentFetch::new(address(100), Some(key(5)));
     let now = Instant::now();
-    fetch.take_offer(address(1), key(4), now);
-    fetch.take_offer(address(2), key(5), now);
-    assert!((1..=2).all(|number| fetch.want_of(address(number)).is_none()));
+    fetch.record_offer(address(1), key(4), now);
+    fetch.record_offer(address(2), key(5), now);
+    assert!((1..=2).all(|number| fetch.request_for(address(number)).is_none()));
 }
 
 #[test]
-fn sources_that_all_have_a_payload_of_no_use_are_not_asked_in_a_tight_loop() {
-    let held = document(1);
-    let mut fetch = DocumentFetch::new(address(100), Some(held.key()));
+fn unusable_payloads_from_all_sources_pause_requests() {
+    let stored = document(1);
+    let mut fetch = DocumentFetch::new(address(100), Some(stored.key()));
     let now = Instant::now();
-    fetch.take_offer(address(1), key(5), now);
-    fetch.take_offer(address(2), key(5), now);
-    let mut asked = 0;
+    fetch.record_offer(address(1), key(5), now);
+    fetch.record_offer(address(2), key(5), now);
+    let mut tried = 0;
     for step in 0..100 {
         let now = after(now, step * 50);
-        fetch.check(now);
+        fetch.check_timeout(now);
         for number in 1..=2 {
-            if fetch.want_of(address(number)).is_none() {
+            if fetch.request_for(address(number)).is_none() {
                 continue;
             }
             let mut source = Source::new(number, 5, None);
             if source.send(&mut fetch, 1_000, now).is_some() {
-                asked += 1;
-                fetch.take_fault(address(number), now);
+                tried += 1;
+                fetch.reject_payload(address(number), now);
             }
         }
     }
-    assert!((4..12).contains(&asked), "asked {asked} times in 5 s");
+    assert!((4..12).contains(&tried), "asked {tried} times in 5 s");
     // One that is in order ends it.
     let later = after(now, 20_000);
-    fetch.check(later);
+    fetch.check_timeout(later);
     let source = (1..=2)
-        .find(|number| fetch.want_of(address(*number)).is_some())
+        .find(|number| fetch.request_for(address(*number)).is_some())
         .unwrap();
-    assert_eq!(fetch.want_of(address(source)).unwrap().base, None);
-    fetch.take_held(key(5), later);
-    fetch.take_offer(address(1), key(6), later);
-    assert_eq!(fetch.want_of(address(1)).unwrap().base, Some(key(5)));
+    assert_eq!(fetch.request_for(address(source)).unwrap().base, None);
+    fetch.set_stored(key(5), later);
+    fetch.record_offer(address(1), key(6), later);
+    assert_eq!(fetch.request_for(address(1)).unwrap().base, Some(key(5)));
 }
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -20,17 +20,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
-use crate::change_reports::{RateSource, SuspectSource};
+use crate::change_reports::{RateLimitSource, SuspectSource};
 use crate::document_follower::{DocumentFollower, DocumentSink};
-use crate::first_form::FirstUpdate;
 use crate::message::UpdateTail;
-use crate::serve::SILENCE_LIMIT;
-use crate::{DirectoryUpdate, GatewayRecord, SubscriberHello, TargetRecord, TargetState};
+use crate::message_v1::DirectoryUpdateV1;
+use crate::serve::PEER_SILENCE_TIMEOUT;
+use crate::{DirectoryUpdate, EntryHostRecord, SubscriberHello, TargetRecord, TargetState};
 
-pub use acknowledge::SpreadWait;
+pub use acknowledge::PropagationWait;
 
-use acknowledge::{TakenUpdate, acknowledge};
-use followed::{FollowedHost, choose_followed, choose_tellers, rank_controls};
+use acknowledge::{AppliedUpdate, acknowledge};
+use followed::{FollowedHost, choose_followed, choose_list_sources, rank_controls};
 use report::send_reports;
 
 /// How long opening a connection may take. A first packet that is lost is sent again by the system
@@ -39,14 +39,14 @@
 
 /// Waits before a control host that was lost is tried again: short at first, since a process that
 /// was started anew is there within moments, and doubled with each try that fails.
-const FIRST_RETRY_WAIT: Duration = Duration::from_millis(40);
-const LAST_RETRY_WAIT: Duration = Duration::from_millis(320);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
 
 /// How often the set of control hosts is looked at.
-const MEMBERS_TICK: Duration = Duration::from_millis(200);
+const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a control host that is not wanted any more is followed on.
-const UNWANTED_ROUNDS: u32 = 50;
+const MAX_ROUNDS_UNNEEDED: u32 = 50;
 
 /// Returns what a process counts for the roll-outs that are under way; nothing where none is.
 pub type CountSource = Box<dyn Fn() -> Vec<PhaseCounts>>;
@@ -58,19 +58,19 @@
     /// Where events go.
     pub recorder: Arc<EventRecorder>,
     /// This process, where it takes callers' requests; told to every control host.
-    pub gateway: watch::Receiver<Option<GatewayRecord>>,
+    pub entry_host: watch::Receiver<Option<EntryHostRecord>>,
     /// Where configurations are kept; nothing for a control host, which gets them by agreement.
     pub documents: Option<DocumentSink>,
     /// What this process holds against requests, where it sends them to targets; told to every control host.
     pub suspects: Option<SuspectSource>,
     /// The rates that targets named to this process, where it sends requests to them; told to every control host.
-    pub rates: Option<RateSource>,
+    pub rate_limits: Option<RateLimitSource>,
     /// What this process counts for roll-outs, where it sends requests to targets; told to every control host.
     pub counts: Option<CountSource>,
     /// Whether this process is a control host.
-    pub control: bool,
+    pub is_control: bool,
     /// The address of this process, which is not followed.
-    pub me: SocketAddr,
+    pub own_address: SocketAddr,
     /// Where to start; read again whenever it changes.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
     /// Takes an update of a control host.
@@ -78,41 +78,41 @@
     /// Hears that a control host was lost.
     pub on_lost: Box<dyn Fn(SocketAddr)>,
     /// Waits until those that follow this process know of a withdrawal that it took; nothing where nobody follows it.
-    pub spread: Option<SpreadWait>,
+    pub propagation: Option<PropagationWait>,
 }
 
-struct Following {
+struct FollowState {
     config: FollowConfig,
     documents: Option<DocumentFollower>,
     /// The members that each connected control host named.
-    named: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
+    announced_members: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
     followed: RefCell<BTreeMap<SocketAddr, FollowedHost>>,
     /// Control hosts for which a task runs that follows them: also those that it is about to leave.
-    running: RefCell<BTreeSet<SocketAddr>>,
+    tasks: RefCell<BTreeSet<SocketAddr>>,
     /// Wakes those that follow a control host when one is not followed any more.
-    dropped: watch::Sender<()>,
+    unfollowed: watch::Sender<()>,
     /// Control hosts that this process is connected with.
     connected: RefCell<BTreeSet<SocketAddr>>,
     /// Those of them that tell it of targets and entry hosts.
-    tellers: watch::Sender<BTreeSet<SocketAddr>>,
+    list_sources: watch::Sender<BTreeSet<SocketAddr>>,
     /// Tells this start of the process apart from others.
-    start: u64,
+    incarnation: u64,
 }
 
-impl Following {
+impl FollowState {
     fn new(mut config: FollowConfig) -> Self {
-        let (me, recorder) = (config.me, config.recorder.clone());
+        let (own_address, recorder) = (config.own_address, config.recorder.clone());
         let sink = config.documents.take();
         Self {
-            documents: sink.map(|sink| DocumentFollower::new(me, sink, recorder)),
+            documents: sink.map(|sink| DocumentFollower::new(own_address, sink, recorder)),
             config,
-            named: RefCell::default(),
+            announced_members: RefCell::default(),
             followed: RefCell::default(),
-            running: RefCell::default(),
-            dropped: watch::Sender::default(),
+            tasks: RefCell::default(),
+            unfollowed: watch::Sender::default(),
             connected: RefCell::default(),
-            tellers: watch::Sender::default(),
-            start: fastrand::u64(..),
+            list_sources: watch::Sender::default(),
+            incarnation: fastrand::u64(..),
         }
     }
 
@@ -121,104 +121,103 @@
     }
 
     /// Resolves when a control host is not followed any more.
-    async fn until_dropped(&self, address: SocketAddr) {
-        let mut dropped = self.dropped.subscribe();
+    async fn wait_until_unfollowed(&self, address: SocketAddr) {
+        let mut unfollowed = self.unfollowed.subscribe();
         while self.is_followed(address) {
-            if dropped.changed().await.is_err() {
+            if unfollowed.changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 
     /// Notes the form that a control host has announced.
-    fn note_build(&self, address: SocketAddr, form: Option<MessageForm>) {
+    fn record_build(&self, address: SocketAddr, message_version: Option<MessageForm>) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
-            host.earlier = form < Some(MessageForm::Third);
+            host.runs_earlier_build = message_version < Some(MessageForm::Third);
         }
     }
 
     /// Notes whether a control host hears a leader.
-    fn note_leader(&self, address: SocketAddr, unled: bool) {
+    fn record_leadership(&self, address: SocketAddr, leaderless: bool) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
-            host.unled = match (unled, host.unled) {
+            host.leaderless_since = match (leaderless, host.leaderless_since) {
                 (false, _) => None,
                 (true, since) => Some(since.unwrap_or_else(Instant::now)),
             };
         }
     }
 
-    fn note_connection(&self, address: SocketAddr, is_up: bool) {
+    fn set_connected(&self, address: SocketAddr, is_connected: bool) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
-            host.connected = is_up;
-            host.since = Instant::now();
-            host.unled = None;
+            host.connected = is_connected;
+            host.changed_at = Instant::now();
+            host.leaderless_since = None;
         }
         let mut connected = self.connected.borrow_mut();
-        match is_up {
+        match is_connected {
             true => connected.insert(address),
             false => connected.remove(&address),
         };
-        let tellers = match self.config.control {
+        let list_sources = match self.config.is_control {
             true => connected.clone(),
-            false => choose_tellers(self.config.me, &connected),
+            false => choose_list_sources(self.config.own_address, &connected),
         };
-        let former = self.tellers.send_replace(tellers.clone());
+        let former = self.list_sources.send_replace(list_sources.clone());
         // What those told that tell no more would be out of date from now on.
-        for dropped in former
-            .difference(&tellers)
+        for removed in former
+            .difference(&list_sources)
             .filter(|one| connected.contains(one))
         {
-            (self.config.on_lost)(*dropped);
+            (self.config.on_lost)(*removed);
         }
     }
 
-    fn is_teller(&self, address: SocketAddr) -> bool {
-        self.tellers.borrow().contains(&address)
+    fn is_list_source(&self, address: SocketAddr) -> bool {
+        self.list_sources.borrow().contains(&address)
     }
 
-    fn held_version(&self) -> u64 {
+    fn document_version(&self) -> u64 {
         let documents = self.documents.as_ref();
-        documents.map_or(0, DocumentFollower::held_version)
+        documents.map_or(0, DocumentFollower::current_version)
     }
 }
 
 /// Follows control hosts that the seeds or the followed ones name, until the process ends: an entry host a few of
 /// them, a control host all.
 pub async fn follow_directory(config: FollowConfig) {
-    let following = Rc::new(Following::new(config));
+    let state = Rc::new(FollowState::new(config));
     loop {
-        for address in fresh_addresses(&following) {
-            if following.running.borrow_mut().insert(address) {
-                ntex::rt::spawn(follow_one(following.clone(), address));
+        for address in update_followed(&state) {
+            if state.tasks.borrow_mut().insert(address) {
+                ntex::rt::spawn(follow_host(state.clone(), address));
             }
         }
-        if let Some(documents) = &following.documents {
-            documents.check();
+        if let Some(documents) = &state.documents {
+            documents.check_timeout();
         }
-        sleep(MEMBERS_TICK).await;
+        sleep(MEMBERSHIP_INTERVAL).await;
     }
 }
 
 // Seeds may be out of date, so the members that connected control hosts name count beside them. A
 // host that neither names any more is given up after some rounds.
-fn fresh_addresses(following: &Following) -> Vec<SocketAddr> {
-    let mut wanted: BTreeSet<SocketAddr> =
-        following.config.seeds.borrow().iter().copied().collect();
-    wanted.extend(following.named.borrow().values().flatten().copied());
-    wanted.remove(&following.config.me);
+fn update_followed(state: &FollowState) -> Vec<SocketAddr> {
+    let mut known: BTreeSet<SocketAddr> = state.config.seeds.borrow().iter().copied().collect();
+    known.extend(state.announced_members.borrow().values().flatten().copied());
+    known.remove(&state.config.own_address);
     let now = Instant::now();
-    let chosen = chosen_of(following, wanted, now);
-    let mut followed = following.followed.borrow_mut();
+    let chosen = choose_hosts(state, known, now);
+    let mut followed = state.followed.borrow_mut();
     for (address, host) in followed.iter_mut() {
-        host.unwanted = match chosen.contains(address) {
+        host.rounds_unneeded = match chosen.contains(address) {
             true => 0,
-            false => host.unwanted + 1,
+            false => host.rounds_unneeded + 1,
         };
     }
     let before = followed.len();
-    followed.retain(|_, host| host.unwanted <= UNWANTED_ROUNDS);
+    followed.retain(|_, host| host.rounds_unneeded <= MAX_ROUNDS_UNNEEDED);
     if followed.len() < before {
-        following.dropped.send_replace(());
+        state.unfollowed.send_replace(());
     }
     let fresh = chosen.into_iter();
     let fresh: Vec<SocketAddr> = fresh.filter(|one| !followed.contains_key(one)).collect();
@@ -227,46 +226,48 @@
 }
 
 /// Returns the control hosts that are to be followed, of those that are known.
-fn chosen_of(
-    following: &Following,
+fn choose_hosts(
+    state: &FollowState,
     known: BTreeSet<SocketAddr>,
     now: Instant,
 ) -> BTreeSet<SocketAddr> {
-    let followed = following.followed.borrow();
+    let followed = state.followed.borrow();
     // One of an earlier build tells the others nothing of whom it hears, so each has to hear this process itself.
-    if following.config.control || followed.values().any(|host| host.earlier) {
+    if state.config.is_control || followed.values().any(|host| host.runs_earlier_build) {
         return known;
     }
-    let ranked = rank_controls(following.config.me, &known);
+    let ranked = rank_controls(state.config.own_address, &known);
     choose_followed(&ranked, |address| {
-        followed.get(&address).is_none_or(|host| host.counts(now))
+        followed
+            .get(&address)
+            .is_none_or(|host| host.is_usable(now))
     })
 }
 
-async fn follow_one(following: Rc<Following>, address: SocketAddr) {
-    let config = &following.config;
-    let mut told_lost = false;
-    let mut wait = FIRST_RETRY_WAIT;
-    while following.is_followed(address) {
+async fn follow_host(state: Rc<FollowState>, address: SocketAddr) {
+    let config = &state.config;
+    let mut failure_recorded = false;
+    let mut delay = MIN_RETRY_DELAY;
+    while state.is_followed(address) {
         let connected = match timeout(CONNECT_TIMEOUT, connect(config, address)).await {
             Ok(connected) => connected.map_err(|error| error.to_string()),
             Err(_) => Err("no answer in time".to_owned()),
         };
         if let Ok((reader, writer)) = connected {
-            told_lost = false;
-            wait = FIRST_RETRY_WAIT;
-            let detail = format!("have_version={}", following.held_version());
+            failure_recorded = false;
+            delay = MIN_RETRY_DELAY;
+            let detail = format!("have_version={}", state.document_version());
             record(config, EventCode::ControlFollowed, address, detail);
-            following.note_connection(address, true);
-            following.note_build(address, reader.form());
+            state.set_connected(address, true);
+            state.record_build(address, reader.form());
             let ended = tokio::select! {
-                ended = exchange(&following, address, reader, writer) => ended,
-                () = following.until_dropped(address) => Ok(()),
+                ended = run_connection(&state, address, reader, writer) => ended,
+                () = state.wait_until_unfollowed(address) => Ok(()),
             };
-            following.note_connection(address, false);
-            following.named.borrow_mut().remove(&address);
-            if let Some(documents) = &following.documents {
-                documents.lose_source(address);
+            state.set_connected(address, false);
+            state.announced_members.borrow_mut().remove(&address);
+            if let Some(documents) = &state.documents {
+                documents.mark_source_lost(address);
             }
             (config.on_lost)(address);
             let cause = ended.err().map_or(String::new(), |error| error.to_string());
@@ -276,15 +277,15 @@
                 address,
                 format!("cause={cause}"),
             );
-        } else if !told_lost {
-            told_lost = true;
+        } else if !failure_recorded {
+            failure_recorded = true;
             let cause = connected.err().unwrap_or_default();
             record(config, EventCode::ControlLost, address, cause);
         }
-        sleep(wait).await;
-        wait = (wait * 2).min(LAST_RETRY_WAIT);
+        sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
-    following.running.borrow_mut().remove(&address);
+    state.tasks.borrow_mut().remove(&address);
 }
 
 fn record(config: &FollowConfig, code: EventCode, address: SocketAddr, detail: String) {
@@ -298,88 +299,91 @@
     let (reader, mut writer) = connect_peer(&config.identity, address).await?;
     writer.send(&PeerGreeting::Directory).await?;
     let hello = SubscriberHello {
-        control: config.control,
+        is_control: config.is_control,
     };
     writer.send(&hello).await?;
     Ok((
-        reader.with_silence_limit(SILENCE_LIMIT),
-        writer.with_silence_limit(SILENCE_LIMIT),
+        reader.with_silence_limit(PEER_SILENCE_TIMEOUT),
+        writer.with_silence_limit(PEER_SILENCE_TIMEOUT),
     ))
 }
 
-async fn exchange(
-    following: &Following,
+async fn run_connection(
+    state: &FollowState,
     address: SocketAddr,
     reader: PeerReader,
     writer: PeerWriter,
 ) -> Result<(), WireError> {
-    let (taken, acknowledged) = watch::channel(0);
-    let (took, taking) = mpsc::unbounded_channel();
+    let (acknowledged_sender, acknowledged) = watch::channel(0);
+    let (applied_sender, applied) = mpsc::unbounded_channel();
     tokio::select! {
-        ended = take_updates(following, address, reader, took) => ended,
-        ended = send_reports(following, address, writer, acknowledged) => ended,
-        () = acknowledge(following.config.spread.as_ref(), taking, taken) => Ok(()),
+        ended = receive_updates(state, address, reader, applied_sender) => ended,
+        ended = send_reports(state, address, writer, acknowledged) => ended,
+        () = acknowledge(state.config.propagation.as_ref(), applied, acknowledged_sender) => Ok(()),
     }
 }
 
-async fn take_updates(
-    following: &Following,
+async fn receive_updates(
+    state: &FollowState,
     address: SocketAddr,
     mut reader: PeerReader,
-    took: mpsc::UnboundedSender<TakenUpdate>,
+    applied_sender: mpsc::UnboundedSender<AppliedUpdate>,
 ) -> Result<(), WireError> {
     loop {
-        let mut update = receive_update(following, address, &mut reader).await?;
-        if let Some(controls) = &update.controls {
-            let mut named = following.named.borrow_mut();
-            named.insert(address, controls.clone());
+        let mut update = receive_update(state, address, &mut reader).await?;
+        if let Some(addresses) = &update.control_addresses {
+            let mut announced_members = state.announced_members.borrow_mut();
+            announced_members.insert(address, addresses.clone());
         }
-        if let Some(documents) = &following.documents {
-            take_documents(documents, address, &mut update);
+        if let Some(documents) = &state.documents {
+            pass_documents(documents, address, &mut update);
         }
-        if !following.is_teller(address) {
+        if !state.is_list_source(address) {
             // Its lists would not stay up to date; that a target withdrew stays true.
             let withdrew = |record: &TargetRecord| record.state > TargetState::Ready;
             update.targets.retain(withdrew);
-            update.gateways = None;
-            update.lists_whole = false;
+            update.entry_hosts = None;
+            update.lists_complete = false;
         }
-        following.note_leader(address, update.unled);
+        state.record_leadership(address, update.leaderless);
         let withdraws = update
             .targets
             .iter()
             .any(|one| one.state > TargetState::Ready);
-        let number = update.number;
-        (following.config.on_update)(address, update);
+        let revision = update.revision;
+        (state.config.on_update)(address, update);
         // Nobody takes it where the exchange is about to end.
-        let _ = took.send(TakenUpdate { number, withdraws });
+        let _ = applied_sender.send(AppliedUpdate {
+            revision,
+            withdraws,
+        });
     }
 }
 
 /// Receives an update. The first one of a control host that announced no form tells it.
 async fn receive_update(
-    following: &Following,
+    state: &FollowState,
     address: SocketAddr,
     reader: &mut PeerReader,
 ) -> Result<DirectoryUpdate, WireError> {
     let known = reader.form();
-    let (update, tail, rates) = reader
-        .receive_tailed::<DirectoryUpdate, FirstUpdate, UpdateTail, Vec<RateWord>>()
+    let (update, tail, rate_limits) = reader
+        .receive_tailed::<DirectoryUpdate, DirectoryUpdateV1, UpdateTail, Vec<RateWord>>()
         .await?;
-    let update = update.with_tails(tail, rates);
-    if let (None, Some(form)) = (known, reader.form()) {
-        let detail = format!("peer={} form={form}", reader.peer());
-        record(&following.config, EventCode::PeerEarlier, address, detail);
+    let update = update.with_tails(tail, rate_limits);
+    if let (None, Some(message_version)) = (known, reader.form()) {
+        let detail = format!("peer={} form={message_version}", reader.peer());
+        record(&state.config, EventCode::PeerEarlier, address, detail);
     }
     Ok(update)
 }
 
-fn take_documents(documents: &DocumentFollower, address: SocketAddr, update: &mut DirectoryUpdate) {
+fn pass_documents(documents: &DocumentFollower, address: SocketAddr, update: &mut DirectoryUpdate) {
     if let Some(offer) = update.offer.take() {
-        documents.take_offer(address, offer);
+        documents.record_offer(address, offer);
     }
     if let Some(part) = update.part.take() {
-        documents.take_part(address, part);
+        documents.receive_part(address, part);
     }
 }
 
--- a/crates/directory/src/follow/acknowledge.rs
+++ b/crates/directory/src/follow/acknowledge.rs
@@ -5,11 +5,11 @@
 use tokio::sync::{mpsc, watch};
 
 /// Begins to wait until followers know what this process knows now.
-pub type SpreadWait = Box<dyn Fn() -> Pin<Box<dyn Future<Output = ()>>>>;
+pub type PropagationWait = Box<dyn Fn() -> Pin<Box<dyn Future<Output = ()>>>>;
 
 /// An update that was taken.
-pub(super) struct TakenUpdate {
-    pub(super) number: u64,
+pub(super) struct AppliedUpdate {
+    pub(super) revision: u64,
     /// Whether it takes a target out of work.
     pub(super) withdraws: bool,
 }
@@ -17,19 +17,19 @@
 /// Acknowledges updates in their order: one that takes a target out of work once those that follow this process know
 /// of it.
 pub(super) async fn acknowledge(
-    spread: Option<&SpreadWait>,
-    mut taking: mpsc::UnboundedReceiver<TakenUpdate>,
-    taken: watch::Sender<u64>,
+    propagation: Option<&PropagationWait>,
+    mut applied: mpsc::UnboundedReceiver<AppliedUpdate>,
+    acknowledged_sender: watch::Sender<u64>,
 ) {
-    while let Some(first) = taking.recv().await {
-        let (mut number, mut withdraws) = (first.number, first.withdraws);
-        while let Ok(next) = taking.try_recv() {
-            number = next.number;
+    while let Some(first) = applied.recv().await {
+        let (mut revision, mut withdraws) = (first.revision, first.withdraws);
+        while let Ok(next) = applied.try_recv() {
+            revision = next.revision;
             withdraws |= next.withdraws;
         }
-        if let Some(spread) = spread.filter(|_| withdraws) {
-            spread().await;
+        if let Some(propagation) = propagation.filter(|_| withdraws) {
+            propagation().await;
         }
-        taken.send_if_modified(|last| std::mem::replace(last, number) != number);
+        acknowledged_sender.send_if_modified(|last| std::mem::replace(last, revision) != revision);
     }
 }
--- a/crates/directory/src/follow/report.rs
+++ b/crates/directory/src/follow/report.rs
@@ -8,115 +8,120 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use super::Following;
+use super::FollowState;
 use crate::change_reports::ChangeReports;
 use crate::document_follower::DocumentFollower;
 use crate::fetch::FetchProgress;
 use crate::message::ReportTail;
-use crate::serve::{RATES_AT_ONCE, SUSPECTS_AT_ONCE, UPDATE_PERIOD};
-use crate::{GatewayRecord, SubscriberReport};
+use crate::serve::{MAX_RATE_LIMITS_PER_MESSAGE, MAX_SUSPECTS_PER_MESSAGE, UPDATE_INTERVAL};
+use crate::{EntryHostRecord, SubscriberReport};
 
 /// Between two reports while a roll-out is under way: how long a bad version goes on to get its share.
-const COUNT_PERIOD: Duration = Duration::from_millis(100);
+const ROLLOUT_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) async fn send_reports(
-    following: &Following,
+    state: &FollowState,
     address: SocketAddr,
     mut writer: PeerWriter,
     mut acknowledged: watch::Receiver<u64>,
 ) -> Result<(), WireError> {
-    let mut gateway = following.config.gateway.clone();
-    let documents = following.documents.as_ref();
-    let mut wanted = documents.map(DocumentFollower::changes);
-    let mut tellers = following.tellers.subscribe();
-    let mut suspects = ChangeReports::new(following.config.suspects.as_ref(), SUSPECTS_AT_ONCE);
-    let mut rates = ChangeReports::new(following.config.rates.as_ref(), RATES_AT_ONCE);
+    let mut entry_host = state.config.entry_host.clone();
+    let documents = state.documents.as_ref();
+    let mut requests = documents.map(DocumentFollower::changes);
+    let mut list_sources = state.list_sources.subscribe();
+    let mut suspects = ChangeReports::new(state.config.suspects.as_ref(), MAX_SUSPECTS_PER_MESSAGE);
+    let mut rate_limits = ChangeReports::new(
+        state.config.rate_limits.as_ref(),
+        MAX_RATE_LIMITS_PER_MESSAGE,
+    );
     loop {
         // Read before the report is made: what changes while it is sent is told by the next one.
-        let told = wanted.as_ref().and_then(|wanted| *wanted.borrow());
-        let counts = following.config.counts.as_ref();
+        let reported = requests.as_ref().and_then(|requests| *requests.borrow());
+        let counts = state.config.counts.as_ref();
         let report = SubscriberReport {
-            start: following.start,
-            counted: counts.map_or_else(Vec::new, |counts| counts()),
-            document_version: following.held_version(),
-            want: documents.and_then(|documents| documents.want_of(address)),
-            gateway: gateway.borrow_and_update().clone(),
+            incarnation: state.incarnation,
+            phase_counts: counts.map_or_else(Vec::new, |counts| counts()),
+            document_version: state.document_version(),
+            document_request: documents.and_then(|documents| documents.request_for(address)),
+            entry_host: entry_host.borrow_and_update().clone(),
             acknowledged: *acknowledged.borrow_and_update(),
-            lists: tellers.borrow_and_update().contains(&address),
+            wants_lists: list_sources.borrow_and_update().contains(&address),
             suspects: suspects.next(),
-            rates: rates.next(),
+            rate_limits: rate_limits.next(),
         };
         send_report(&mut writer, &report).await?;
-        if report.suspects.len() == SUSPECTS_AT_ONCE || report.rates.len() == RATES_AT_ONCE {
+        if report.suspects.len() == MAX_SUSPECTS_PER_MESSAGE
+            || report.rate_limits.len() == MAX_RATE_LIMITS_PER_MESSAGE
+        {
             continue;
         }
         tokio::select! {
             changed = acknowledged.changed() => if changed.is_err() { return Ok(()) },
-            () = record_changed(&mut gateway) => {}
-            () = want_changed(&mut wanted, told, address) => {}
-            () = teller_changed(&mut tellers, report.lists, address) => {}
+            () = record_changed(&mut entry_host) => {}
+            () = request_changed(&mut requests, reported, address) => {}
+            () = list_sources_changed(&mut list_sources, report.wants_lists, address) => {}
             () = suspects.changed() => {}
-            () = rates.changed() => {}
-            () = sleep(report_period(&report)) => {}
+            () = rate_limits.changed() => {}
+            () = sleep(report_interval(&report)) => {}
         }
     }
 }
 
 /// Sends a report, and behind it what was counted for roll-outs and what targets named.
 async fn send_report(writer: &mut PeerWriter, report: &SubscriberReport) -> Result<(), WireError> {
-    if report.counted.is_empty() && report.rates.is_empty() {
+    if report.phase_counts.is_empty() && report.rate_limits.is_empty() {
         return writer.send(report).await;
     }
     let tail = ReportTail {
-        start: report.start,
-        counted: report.counted.clone(),
+        incarnation: report.incarnation,
+        phase_counts: report.phase_counts.clone(),
     };
-    if report.rates.is_empty() {
+    if report.rate_limits.is_empty() {
         return writer.send(&(report, tail)).await;
     }
-    writer.send(&(report, tail, &report.rates)).await
+    writer.send(&(report, tail, &report.rate_limits)).await
 }
 
-fn report_period(last: &SubscriberReport) -> Duration {
-    match last.counted.is_empty() {
-        true => UPDATE_PERIOD,
-        false => COUNT_PERIOD,
+fn report_interval(last: &SubscriberReport) -> Duration {
+    match last.phase_counts.is_empty() {
+        true => UPDATE_INTERVAL,
+        false => ROLLOUT_REPORT_INTERVAL,
     }
 }
 
 // Only what concerns this control host is told to it.
-async fn want_changed(
-    wanted: &mut Option<watch::Receiver<Option<FetchProgress>>>,
-    told: Option<FetchProgress>,
+async fn request_changed(
+    requests: &mut Option<watch::Receiver<Option<FetchProgress>>>,
+    reported: Option<FetchProgress>,
     address: SocketAddr,
 ) {
-    let Some(wanted) = wanted else {
+    let Some(requests) = requests else {
         return std::future::pending().await;
     };
     let is_of_this = |progress: &FetchProgress| progress.source == address;
     let concerns = |now: &Option<FetchProgress>| {
-        *now != told
-            && (told.as_ref().is_some_and(is_of_this) || now.as_ref().is_some_and(is_of_this))
+        *now != reported
+            && (reported.as_ref().is_some_and(is_of_this) || now.as_ref().is_some_and(is_of_this))
     };
-    if wanted.wait_for(concerns).await.is_err() {
+    if requests.wait_for(concerns).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-async fn teller_changed(
-    tellers: &mut watch::Receiver<BTreeSet<SocketAddr>>,
-    told: bool,
+async fn list_sources_changed(
+    list_sources: &mut watch::Receiver<BTreeSet<SocketAddr>>,
+    reported: bool,
     address: SocketAddr,
 ) {
-    let differs = |now: &BTreeSet<SocketAddr>| now.contains(&address) != told;
-    if tellers.wait_for(differs).await.is_err() {
+    let differs = |now: &BTreeSet<SocketAddr>| now.contains(&address) != reported;
+    if list_sources.wait_for(differs).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
 // Where nobody can change the record any more there is nothing to wait for.
-async fn record_changed(gateway: &mut watch::Receiver<Option<GatewayRecord>>) {
-    if gateway.changed().await.is_err() {
+async fn record_changed(entry_host: &mut watch::Receiver<Option<EntryHostRecord>>) {
+    if entry_host.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/crates/directory/src/follow/tests.rs
+++ b/crates/directory/src/follow/tests.rs
@@ -1,4 +1,4 @@
-use super::followed::{FOLLOWED, OPENING_PATIENCE, UNLED_PATIENCE};
+use super::followed::{CONNECT_GRACE, FOLLOWED_HOSTS, LEADERLESS_GRACE};
 use super::*;
 
 fn address(last: u8) -> SocketAddr {
@@ -6,35 +6,35 @@
 }
 
 #[test]
-fn a_process_is_told_by_few_control_hosts_and_keeps_them() {
+fn list_sources_are_few_and_stable() {
     let me = address(200);
     let mut connected: BTreeSet<SocketAddr> = (1..20).map(address).collect();
-    let tellers = choose_tellers(me, &connected);
-    assert_eq!(tellers.len(), FOLLOWED);
+    let list_sources = choose_list_sources(me, &connected);
+    assert_eq!(list_sources.len(), FOLLOWED_HOSTS);
     // Others come and go, and the chosen ones stay.
-    let others: Vec<SocketAddr> = connected.difference(&tellers).copied().collect();
+    let others: Vec<SocketAddr> = connected.difference(&list_sources).copied().collect();
     for other in &others {
         connected.remove(other);
-        assert_eq!(choose_tellers(me, &connected), tellers);
+        assert_eq!(choose_list_sources(me, &connected), list_sources);
     }
     // With fewer than that all of them tell.
-    let lost = *tellers.first().expect("tellers");
+    let lost = *list_sources.first().expect("tellers");
     connected.remove(&lost);
-    assert_eq!(choose_tellers(me, &connected), connected);
+    assert_eq!(choose_list_sources(me, &connected), connected);
 }
 
 #[test]
-fn the_work_of_telling_is_spread_over_the_control_hosts() {
+fn list_sources_are_balanced_over_control_hosts() {
     let connected: BTreeSet<SocketAddr> = (1..20).map(address).collect();
-    let mut told: BTreeMap<SocketAddr, usize> = BTreeMap::new();
+    let mut loads: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for number in 0..300_u16 {
         let me = SocketAddr::from(([127, 0, 1, (number % 250) as u8], 1 + number));
-        for teller in choose_tellers(me, &connected) {
-            *told.entry(teller).or_default() += 1;
+        for source in choose_list_sources(me, &connected) {
+            *loads.entry(source).or_default() += 1;
         }
     }
-    let most = told.values().max().copied().unwrap_or(0);
-    assert!(told.len() == 19 && most < 80, "{told:?}");
+    let max_load = loads.values().max().copied().unwrap_or(0);
+    assert!(loads.len() == 19 && max_load < 80, "{loads:?}");
 }
 
 fn ranked(count: u8) -> Vec<SocketAddr> {
@@ -43,20 +43,23 @@
 
 /// What an entry host follows does not grow with the control hosts.
 #[test]
-fn an_entry_host_follows_a_few_of_any_number_of_control_hosts() {
+fn number_of_followed_control_hosts_is_bounded() {
     for count in [1, 2, 3, 5, 6, 8, 25, 100] {
         let chosen = choose_followed(&ranked(count), |_| true);
-        assert_eq!(chosen.len(), usize::from(count).min(FOLLOWED));
+        assert_eq!(chosen.len(), usize::from(count).min(FOLLOWED_HOSTS));
     }
 }
 
 /// Each that is lost, or has heard no leader for long, has one more in its place; it is tried on.
 #[test]
-fn others_are_followed_in_place_of_those_that_are_of_no_use() {
+fn unusable_control_hosts_are_supplemented_by_others() {
     let ranked = ranked(25);
     for lost in 0..10 {
         let chosen = choose_followed(&ranked, |address| !ranked[..lost].contains(&address));
-        assert_eq!(chosen, ranked[..lost + FOLLOWED].iter().copied().collect());
+        assert_eq!(
+            chosen,
+            ranked[..lost + FOLLOWED_HOSTS].iter().copied().collect()
+        );
     }
     let none = choose_followed(&ranked, |_| false);
     assert_eq!(none.len(), 25);
@@ -64,7 +67,7 @@
 
 /// When one control host is lost, only its own followers find another.
 #[test]
-fn a_lost_control_host_moves_its_own_followers_only() {
+fn lost_control_host_affects_only_its_followers() {
     let controls: BTreeSet<SocketAddr> = (1..=25).map(address).collect();
     let lost = address(7);
     for number in 0..200 {
@@ -78,14 +81,14 @@
 }
 
 #[test]
-fn a_control_host_counts_while_it_is_opened_or_hears_a_leader() {
+fn control_host_is_usable_while_connecting_or_with_a_leader() {
     let now = Instant::now();
     let mut host = FollowedHost::new(now);
-    assert!(host.counts(now));
-    assert!(!host.counts(now + OPENING_PATIENCE));
+    assert!(host.is_usable(now));
+    assert!(!host.is_usable(now + CONNECT_GRACE));
     host.connected = true;
-    assert!(host.counts(now + OPENING_PATIENCE));
-    host.unled = Some(now);
-    assert!(host.counts(now + OPENING_PATIENCE));
-    assert!(!host.counts(now + UNLED_PATIENCE));
+    assert!(host.is_usable(now + CONNECT_GRACE));
+    host.leaderless_since = Some(now);
+    assert!(host.is_usable(now + CONNECT_GRACE));
+    assert!(!host.is_usable(now + LEADERLESS_GRACE));
 }
--- a/crates/directory/src/form.rs
+++ b/crates/directory/src/form.rs
@@ -14,10 +14,10 @@
 use crate::message::{DirectoryCall, DirectoryReply};
 
 /// Wait between two tries.
-const TRY_PERIOD: Duration = Duration::from_millis(150);
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Wait between two looks whether this host is still a member.
-const SETTLED_PERIOD: Duration = Duration::from_millis(1_000);
+const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// How long a control host may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
@@ -37,7 +37,7 @@
     cluster: Option<u64>,
     members: Members,
     leader: Option<NodeId>,
-    unled: bool,
+    founding_only: bool,
     last: u64,
 }
 
@@ -48,42 +48,46 @@
 /// system, and its number follows from the founders' identities; so a try that was cut off half-way
 /// is taken up again as the same one.
 pub async fn form_or_join(node: DirectoryNode, config: FormConfig) {
-    let mut told = false;
+    let mut join_recorded = false;
     loop {
-        if is_settled(&node).await {
-            sleep(SETTLED_PERIOD).await;
+        if is_member(&node).await {
+            sleep(MEMBERSHIP_CHECK_INTERVAL).await;
             continue;
         }
         let status = node.replica().status();
         let seeds = config.seeds.borrow().clone();
         let known = status.members.all().map(|member| member.peer);
-        let mut asked: Vec<SocketAddr> = seeds.iter().copied().chain(known).collect();
-        asked.sort();
-        asked.dedup();
-        let identities = identify_all(&node, &asked).await;
-        let names_me = |other: &&Identity| other.members.is_voter(status.id);
-        if let Some(founder) = identities.iter().filter(names_me).find(|other| other.unled) {
-            take_founding(&node, founder).await;
-        } else if let Some(other) = host_to_ask(&identities) {
-            if !told {
-                told = true;
+        let mut contacted: Vec<SocketAddr> = seeds.iter().copied().chain(known).collect();
+        contacted.sort();
+        contacted.dedup();
+        let identities = identify_all(&node, &contacted).await;
+        let lists_this_host = |other: &&Identity| other.members.is_voter(status.id);
+        if let Some(founder) = identities
+            .iter()
+            .filter(lists_this_host)
+            .find(|other| other.founding_only)
+        {
+            adopt_founding(&node, founder).await;
+        } else if let Some(other) = choose_sponsor(&identities) {
+            if !join_recorded {
+                join_recorded = true;
                 node.record(
                     EventCode::ClusterJoined,
                     &format!("asked={}", other.member.peer),
                 );
             }
-            ask_to_join(&node, other).await;
+            request_membership(&node, other).await;
         } else if config.first_start {
             form(&node, &seeds, &identities).await;
         }
-        sleep(TRY_PERIOD).await;
+        sleep(ATTEMPT_INTERVAL).await;
     }
 }
 
 /// Returns the control host that should be asked to take this one in: one that knows a leader, with the
 /// longest log. One that was left out as well knows neither, and two such hosts would ask each other for
 /// ever.
-fn host_to_ask(identities: &[Identity]) -> Option<&Identity> {
+fn choose_sponsor(identities: &[Identity]) -> Option<&Identity> {
     let members = identities
         .iter()
         .filter(|other| !other.members.voters.is_empty());
@@ -92,7 +96,7 @@
 
 // A founder that was stopped half-way through the forming takes its part from one that finished.
 // Safe since nobody has led that cluster yet, so its members are still the founders.
-async fn take_founding(node: &DirectoryNode, founder: &Identity) {
+async fn adopt_founding(node: &DirectoryNode, founder: &Identity) {
     if let Some(cluster) = founder.cluster {
         let founders = founder.members.clone();
         let _ = node.replica().form(cluster, founders).await;
@@ -101,7 +105,7 @@
 
 // A member that was left out while it was cut off does not hear of it from the log; another
 // member that knows a leader tells it.
-async fn is_settled(node: &DirectoryNode) -> bool {
+async fn is_member(node: &DirectoryNode) -> bool {
     let status = node.replica().status();
     if status.members.find(status.id).is_none() {
         return false;
@@ -110,21 +114,22 @@
         return true;
     }
     let others = status.members.all().filter(|member| member.id != status.id);
-    let asked = others.map(|member| identify(node, member.peer));
-    let answers = futures_util::future::join_all(asked).await;
-    let mut led = answers
+    let contacted = others.map(|member| identify(node, member.peer));
+    let replies = futures_util::future::join_all(contacted).await;
+    let mut with_leader = replies
         .into_iter()
         .flatten()
         .filter(|other| other.leader.is_some());
-    !led.any(|other| other.last > status.last.index && other.members.find(status.id).is_none())
+    !with_leader
+        .any(|other| other.last > status.last.index && other.members.find(status.id).is_none())
 }
 
 async fn identify_all(node: &DirectoryNode, seeds: &[SocketAddr]) -> Vec<Identity> {
-    let me = node.member().peer;
-    let others = seeds.iter().filter(|seed| **seed != me);
-    let asked = others.map(|seed| identify(node, *seed));
-    let answers = futures_util::future::join_all(asked).await;
-    answers.into_iter().flatten().collect()
+    let own_address = node.member().peer;
+    let others = seeds.iter().filter(|seed| **seed != own_address);
+    let contacted = others.map(|seed| identify(node, *seed));
+    let replies = futures_util::future::join_all(contacted).await;
+    replies.into_iter().flatten().collect()
 }
 
 async fn identify(node: &DirectoryNode, seed: SocketAddr) -> Option<Identity> {
@@ -135,14 +140,14 @@
             cluster,
             members,
             leader,
-            unled,
+            founding_only,
             last,
         }) => Some(Identity {
             member,
             cluster,
             members,
             leader,
-            unled,
+            founding_only,
             last,
         }),
         _ => None,
@@ -152,11 +157,11 @@
 // The seed with the lowest address forms the cluster; the others wait for it.
 async fn form(node: &DirectoryNode, seeds: &[SocketAddr], others: &[Identity]) {
     let me = node.member();
-    let wanted: BTreeSet<SocketAddr> = seeds.iter().copied().collect();
+    let expected: BTreeSet<SocketAddr> = seeds.iter().copied().collect();
     let present = others.iter().map(|other| other.member.peer);
     let present: BTreeSet<SocketAddr> = present.chain([me.peer]).collect();
-    let blank = others.iter().all(|other| other.cluster.is_none());
-    if wanted.first() != Some(&me.peer) || wanted != present || !blank {
+    let none_has_cluster = others.iter().all(|other| other.cluster.is_none());
+    if expected.first() != Some(&me.peer) || expected != present || !none_has_cluster {
         return;
     }
     let mut voters: Vec<Member> = others.iter().map(|other| other.member.clone()).collect();
@@ -192,7 +197,7 @@
     hash
 }
 
-async fn ask_to_join(node: &DirectoryNode, other: &Identity) {
+async fn request_membership(node: &DirectoryNode, other: &Identity) {
     let mut member = node.member();
     // The same host with an empty disk takes the place of its former self.
     let former = other.members.all().find(|known| {
--- a/crates/directory/src/held_requests.rs
+++ b/crates/directory/src/held_requests.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Requests that are kept on disk. A record takes some 300 bytes, so a snapshot grows by 150 KB at most.
-const MAX_HELD: usize = 512;
+const MAX_HELD_REQUESTS: usize = 512;
 
 /// Records of held requests, by request. Each replica applies the same commands and so holds the same.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,8 +24,8 @@
     }
 
     /// Takes a committed command. A request against which nothing stands any more goes.
-    pub(crate) fn apply(&mut self, told: &[SuspectRecord]) {
-        for record in told {
+    pub(crate) fn apply(&mut self, records: &[SuspectRecord]) {
+        for record in records {
             let key = record.subject.key;
             let known = self.records.entry(key).or_insert_with(|| record.clone());
             known.merge(record);
@@ -33,7 +33,7 @@
                 self.records.remove(&key);
             }
         }
-        while self.records.len() > MAX_HELD {
+        while self.records.len() > MAX_HELD_REQUESTS {
             // The weakest evidence goes first, the same at every replica.
             let weakest = self.records.iter();
             let weakest = weakest.min_by_key(|(key, one)| (one.ends.len(), **key));
@@ -45,18 +45,19 @@
     }
 
     /// Returns those of some records that the log does not have as they are.
-    pub(crate) fn lacking(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
-        let is_news = |record: &SuspectRecord| match self.records.get(&record.subject.key) {
+    pub(crate) fn missing(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
+        let is_missing = |record: &SuspectRecord| match self.records.get(&record.subject.key) {
             Some(kept) => kept.clone().merge(record),
-            None => record.held && self.records.len() < MAX_HELD,
+            None => record.held && self.records.len() < MAX_HELD_REQUESTS,
         };
-        let news = known.into_iter().filter(is_news);
+        let missing = known.into_iter().filter(is_missing);
         // How long ago it was is nothing that a log can tell.
-        news.map(|record| SuspectRecord {
-            age_ms: 0,
-            ..record
-        })
-        .collect()
+        missing
+            .map(|record| SuspectRecord {
+                age_ms: 0,
+                ..record
+            })
+            .collect()
     }
 }
 
--- a/crates/directory/src/held_requests/tests.rs
+++ b/crates/directory/src/held_requests/tests.rs
@@ -12,38 +12,38 @@
 }
 
 #[test]
-fn the_log_gets_what_it_lacks_and_no_more() {
+fn only_missing_records_are_written_to_the_log() {
     let mut held = HeldRequests::default();
     let (suspect, guilty) = (record("/suspect", 0, 2), record("/guilty", 0, 3));
     let known = vec![suspect, guilty.clone()];
-    assert_eq!(held.lacking(known.clone()), std::slice::from_ref(&guilty));
-    held.apply(&held.lacking(known.clone()));
-    assert!(held.lacking(known).is_empty());
+    assert_eq!(held.missing(known.clone()), std::slice::from_ref(&guilty));
+    held.apply(&held.missing(known.clone()));
+    assert!(held.missing(known).is_empty());
     let mut tried = guilty;
     tried.trials = 1;
     tried.age_ms = 70;
-    let news = held.lacking(vec![tried]);
-    assert_eq!((news.len(), news[0].age_ms), (1, 0));
+    let missing = held.missing(vec![tried]);
+    assert_eq!((missing.len(), missing[0].age_ms), (1, 0));
 }
 
 #[test]
-fn a_released_request_leaves_the_log() {
+fn released_request_is_removed_from_the_log() {
     let mut held = HeldRequests::default();
     held.apply(&[record("/guilty", 0, 3)]);
     let released = record("/guilty", 1, 0);
-    let news = held.lacking(vec![released]);
-    held.apply(&news);
+    let missing = held.missing(vec![released]);
+    held.apply(&missing);
     assert!(held.records().is_empty());
 }
 
 #[test]
-fn what_is_kept_on_disk_is_bounded_alike_at_every_replica() {
+fn stored_records_are_bounded_on_every_replica() {
     let records: Vec<SuspectRecord> = (0..2_000)
         .map(|number| record(&format!("/{number}"), 0, 3 + number % 4))
         .collect();
     let (mut first, mut second) = (HeldRequests::default(), HeldRequests::default());
     first.apply(&records);
     records.chunks(10).for_each(|some| second.apply(some));
-    assert_eq!(first.records().len(), MAX_HELD);
-    assert_eq!(second.records().len(), MAX_HELD);
+    assert_eq!(first.records().len(), MAX_HELD_REQUESTS);
+    assert_eq!(second.records().len(), MAX_HELD_REQUESTS);
 }
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -15,38 +15,38 @@
 mod change_reports;
 mod document;
 mod document_follower;
+mod document_sender;
+mod entry_host_push;
 mod evacuation;
 mod fetch;
-mod first_form;
 mod follow;
 mod form;
-mod gateway_push;
 mod held_requests;
 mod history;
 mod machine;
 mod message;
+mod message_v1;
 mod node;
 mod payload;
 mod registry;
-mod sending;
 mod serve;
 mod serve_call;
 mod view;
 
 pub use call::CallError;
-pub use change_reports::{ChangeAsk, ChangeSource, RateSource, SuspectSource};
-pub use document::{ContentHash, Document, DocumentKey, HeldDocument};
+pub use change_reports::{ChangeQuery, ChangeSource, RateLimitSource, SuspectSource};
+pub use document::{ContentHash, Document, DocumentKey, StoredDocument};
 pub use document_follower::DocumentSink;
-pub use evacuation::{EvacuationBook, EvacuationOrder, EvacuationOutcome, HallEvacuation};
+pub use evacuation::{EvacuationOrder, EvacuationOutcome, EvacuationStore, HallEvacuation};
 pub use follow::{CountSource, FollowConfig, follow_directory};
 pub use form::{FormConfig, form_or_join};
 pub use machine::{DocumentMachine, DocumentParser, ServiceNames};
 pub use message::{
-    DirectoryUpdate, DocumentPart, DocumentWant, GatewayRecord, OwnGateways, SubscriberHello,
-    SubscriberReport, TargetRecord, TargetState,
+    DirectoryUpdate, DocumentPart, DocumentRequest, EntryHostRecord, LocalEntryHosts,
+    SubscriberHello, SubscriberReport, TargetRecord, TargetState,
 };
 pub use node::{DirectoryCounts, DirectoryError, DirectoryNode, DirectoryTiming};
-pub use payload::{DocumentPayload, PayloadFault, PayloadKey};
+pub use payload::{DocumentPayload, PayloadError, PayloadKey};
 pub use registry::{ChangedTargets, Registry, RegistryChange};
 pub use serve::serve_subscriber;
 pub use serve_call::serve_call;
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -14,8 +14,8 @@
 use crate::held_requests::HeldRequests;
 use crate::history::DocumentHistory;
 use crate::{
-    Document, DocumentKey, DocumentPayload, EvacuationBook, EvacuationOrder, EvacuationOutcome,
-    HeldDocument,
+    Document, DocumentKey, DocumentPayload, EvacuationOrder, EvacuationOutcome, EvacuationStore,
+    StoredDocument,
 };
 
 /// Names of services.
@@ -55,7 +55,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum DocumentAnswer {
     /// To `Put`: the version that is held now.
-    Held(u64),
+    CurrentVersion(u64),
     /// To `Read`.
     Document(Option<Document>),
     /// To `Evacuate`.
@@ -70,10 +70,10 @@
 #[derive(Clone, Default)]
 pub struct DocumentMachine {
     history: Arc<Mutex<DocumentHistory>>,
-    evacuations: Arc<Mutex<Arc<EvacuationBook>>>,
+    evacuations: Arc<Mutex<Arc<EvacuationStore>>>,
     held_requests: Arc<Mutex<HeldRequests>>,
     rollouts: Arc<Mutex<Arc<RolloutBook>>>,
-    holds: Arc<watch::Sender<u64>>,
+    held_requests_changed: Arc<watch::Sender<u64>>,
     changed: Arc<watch::Sender<u64>>,
 }
 
@@ -94,12 +94,12 @@
     }
 
     /// Returns the committed document that this replica has reached.
-    pub fn held(&self) -> Option<Arc<HeldDocument>> {
+    pub fn current_document(&self) -> Option<Arc<StoredDocument>> {
         self.lock().newest().cloned()
     }
 
     /// Returns the committed evacuations that this replica has reached.
-    pub fn evacuations(&self) -> Arc<EvacuationBook> {
+    pub fn evacuations(&self) -> Arc<EvacuationStore> {
         self.lock_evacuations().clone()
     }
 
@@ -124,24 +124,32 @@
 
     fn apply(&self, command: &[u8]) -> Vec<u8> {
         let answer = match postcard::from_bytes(command) {
-            Ok(DocumentCommand::Put(document)) => DocumentAnswer::Held(self.put(document)),
-            Ok(DocumentCommand::Read) => {
-                DocumentAnswer::Document(self.held().map(|held| held.document().clone()))
+            Ok(DocumentCommand::Put(document)) => {
+                DocumentAnswer::CurrentVersion(self.put(document))
             }
+            Ok(DocumentCommand::Read) => DocumentAnswer::Document(
+                self.current_document()
+                    .map(|current| current.document().clone()),
+            ),
             Ok(DocumentCommand::Evacuate(order)) => {
                 DocumentAnswer::Evacuation(self.evacuate(&order))
             }
             Ok(DocumentCommand::Hold(records)) => {
-                self.hold(&records);
+                self.store_held(&records);
                 DocumentAnswer::Done
             }
-            Ok(DocumentCommand::Rollout(command)) => DocumentAnswer::Rollout(self.roll(&command)),
+            Ok(DocumentCommand::Rollout(command)) => {
+                DocumentAnswer::Rollout(self.apply_rollout(&command))
+            }
             // A command of a later build changes nothing here, where that build should not have sent it.
             Err(error) => {
                 log::error!(
                     "a command of the log cannot be read and changes nothing here: {error}"
                 );
-                DocumentAnswer::Held(self.held().map_or(0, |held| held.version()))
+                DocumentAnswer::CurrentVersion(
+                    self.current_document()
+                        .map_or(0, |current| current.version()),
+                )
             }
         };
         postcard::to_stdvec(&answer).unwrap_or_default()
@@ -149,13 +157,13 @@
 
     fn put(&self, document: Document) -> u64 {
         let mut history = self.lock();
-        if let Some(held) = history.newest()
-            && document.version <= held.version()
+        if let Some(current) = history.newest()
+            && document.version <= current.version()
         {
-            return held.version();
+            return current.version();
         }
         let version = document.version;
-        history.push(Arc::new(HeldDocument::new(document)));
+        history.push(Arc::new(StoredDocument::new(document)));
         drop(history);
         self.changed.send_replace(version);
         version
@@ -167,7 +175,7 @@
         outcome
     }
 
-    fn roll(&self, command: &RolloutCommand) -> RolloutOutcome {
+    fn apply_rollout(&self, command: &RolloutCommand) -> RolloutOutcome {
         let outcome = Arc::make_mut(&mut *self.lock_rollouts()).apply(command);
         self.changed.send_modify(|_| {});
         outcome
@@ -179,26 +187,28 @@
     }
 
     /// Returns those of some records that the log does not have as they are.
-    pub(crate) fn lacking(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
-        self.lock_held().lacking(known)
+    pub(crate) fn missing_from_log(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
+        self.lock_held().missing(known)
     }
 
     /// Returns a receiver that wakes when the held requests have changed.
-    pub(crate) fn holds(&self) -> watch::Receiver<u64> {
-        self.holds.subscribe()
+    pub(crate) fn held_request_changes(&self) -> watch::Receiver<u64> {
+        self.held_requests_changed.subscribe()
     }
 
-    fn hold(&self, records: &[SuspectRecord]) {
+    fn store_held(&self, records: &[SuspectRecord]) {
         self.lock_held().apply(records);
-        self.holds.send_modify(|count| *count += 1);
+        self.held_requests_changed.send_modify(|count| *count += 1);
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let held = self.held().map(|held| held.document().clone());
+        let current = self
+            .current_document()
+            .map(|current| current.document().clone());
         let evacuations = self.evacuations();
         let requests = self.lock_held();
         let rollouts = self.rollouts();
-        postcard::to_stdvec(&(held, &*evacuations, &*requests, &*rollouts)).unwrap_or_default()
+        postcard::to_stdvec(&(current, &*evacuations, &*requests, &*rollouts)).unwrap_or_default()
     }
 
     fn restore(&self, bytes: &[u8]) {
@@ -214,10 +224,10 @@
         *self.lock_evacuations() = Arc::new(evacuations);
         *self.lock_rollouts() = Arc::new(rollouts);
         *self.lock_held() = requests;
-        self.holds.send_modify(|count| *count += 1);
+        self.held_requests_changed.send_modify(|count| *count += 1);
         let version = document.as_ref().map_or(0, |document| document.version);
         if let Some(document) = document {
-            self.lock().push(Arc::new(HeldDocument::new(document)));
+            self.lock().push(Arc::new(StoredDocument::new(document)));
         }
         self.changed.send_replace(version);
     }
@@ -236,14 +246,14 @@
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_evacuations(&self) -> MutexGuard<'_, Arc<EvacuationBook>> {
+    fn lock_evacuations(&self) -> MutexGuard<'_, Arc<EvacuationStore>> {
         self.evacuations
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-type Snapshot = (Option<Document>, EvacuationBook, HeldRequests, RolloutBook);
+type Snapshot = (Option<Document>, EvacuationStore, HeldRequests, RolloutBook);
 
 /// Reads a snapshot. One of an older program ends after the document, or after a later part.
 fn read_snapshot(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
--- a/crates/directory/src/machine/tests.rs
+++ b/crates/directory/src/machine/tests.rs
@@ -9,33 +9,39 @@
     }
 }
 
-fn evacuate(machine: &DocumentMachine, evacuated: bool, seen: u64) {
+fn evacuate(machine: &DocumentMachine, evacuated: bool, seen_revision: u64) {
     let order = EvacuationOrder {
         hall: "north".to_owned(),
         evacuated,
-        seen,
+        seen_revision,
     };
     let command = postcard::to_stdvec(&DocumentCommand::Evacuate(order)).unwrap();
     machine.apply(&command);
 }
 
 #[test]
-fn a_snapshot_carries_the_document_and_the_evacuations() {
+fn snapshot_restores_the_document_and_the_evacuations() {
     let machine = DocumentMachine::new();
     machine.put(document(4));
     evacuate(&machine, true, 0);
     let other = DocumentMachine::new();
     other.restore(&machine.snapshot());
-    assert_eq!(other.held().map(|held| held.version()), Some(4));
+    assert_eq!(
+        other.current_document().map(|current| current.version()),
+        Some(4)
+    );
     assert!(other.evacuations().is_evacuated("north"));
 }
 
 #[test]
-fn a_snapshot_from_before_there_were_evacuations_is_read() {
+fn snapshot_without_evacuations_is_decoded() {
     let machine = DocumentMachine::new();
     machine.restore(&postcard::to_stdvec(&Some(document(4))).unwrap());
-    assert_eq!(machine.held().map(|held| held.version()), Some(4));
-    assert_eq!(*machine.evacuations(), EvacuationBook::default());
+    assert_eq!(
+        machine.current_document().map(|current| current.version()),
+        Some(4)
+    );
+    assert_eq!(*machine.evacuations(), EvacuationStore::default());
 }
 
 /// A configuration with a higher version neither ends an evacuation nor begins one.
@@ -52,7 +58,7 @@
 
 /// The bytes of commands, answers and snapshots as they were shipped: other replicas and later starts read them.
 #[test]
-fn what_the_log_and_the_disk_hold_is_as_it_was_shipped() {
+fn log_and_snapshot_encoding_is_unchanged() {
     use crate::message::tests::{hex, report};
     let document = Document {
         version: 300,
@@ -61,9 +67,9 @@
     let order = EvacuationOrder {
         hall: "hall-1".to_owned(),
         evacuated: true,
-        seen: 0,
+        seen_revision: 0,
     };
-    let outcome = EvacuationBook::default().apply(&order);
+    let outcome = EvacuationStore::default().apply(&order);
     let records = report().suspects;
     let commands = [
         DocumentCommand::Put(document.clone()),
@@ -72,7 +78,7 @@
         DocumentCommand::Hold(records),
     ];
     let answers = [
-        DocumentAnswer::Held(300),
+        DocumentAnswer::CurrentVersion(300),
         DocumentAnswer::Document(Some(document)),
         DocumentAnswer::Evacuation(outcome),
         DocumentAnswer::Done,
@@ -83,7 +89,7 @@
     }
     let shipped = machine.snapshot();
     let rollouts = rollout_commands();
-    let outcomes = rollouts.iter().map(|one| machine.roll(one));
+    let outcomes = rollouts.iter().map(|one| machine.apply_rollout(one));
     let outcomes: Vec<String> = outcomes
         .map(|one| format!("answer {}", hex(&DocumentAnswer::Rollout(one))))
         .collect();
@@ -141,12 +147,12 @@
 
 /// Orders are kept by a later start, and by a replica that gets a snapshot.
 #[test]
-fn a_snapshot_carries_roll_outs_and_one_from_before_there_were_any_is_read() {
+fn snapshot_restores_roll_outs_and_is_decoded_without_them() {
     let machine = DocumentMachine::new();
     machine.put(document(4));
     let before = machine.snapshot();
     rollout_commands().iter().for_each(|one| {
-        machine.roll(one);
+        machine.apply_rollout(one);
     });
     let other = DocumentMachine::new();
     other.restore(&machine.snapshot());
@@ -155,17 +161,23 @@
     let (last, shipped) = before.split_last().unwrap();
     assert_eq!(*last, 0);
     other.restore(shipped);
-    assert_eq!(other.held().map(|held| held.version()), Some(4));
+    assert_eq!(
+        other.current_document().map(|current| current.version()),
+        Some(4)
+    );
     assert!(other.rollouts().newest("desk").is_none());
 }
 
 /// A replica passes over a command that it does not know, and answers so; nothing of its state changes.
 #[test]
-fn a_command_of_a_later_build_changes_nothing() {
+fn unknown_command_changes_nothing() {
     let machine = DocumentMachine::new();
     let before = machine.snapshot();
     let answer = machine.apply(&[250, 1, 2, 3]);
     let answer: DocumentAnswer = postcard::from_bytes(&answer).unwrap();
-    assert!(matches!(answer, DocumentAnswer::Held(0)), "{answer:?}");
+    assert!(
+        matches!(answer, DocumentAnswer::CurrentVersion(0)),
+        "{answer:?}"
+    );
     assert_eq!(machine.snapshot(), before);
 }
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -8,7 +8,7 @@
 use linnet_rollout::{PhaseCounts, ReporterCounts, RolloutBook};
 use serde::{Deserialize, Serialize};
 
-use crate::{DocumentKey, EvacuationBook, PayloadKey};
+use crate::{DocumentKey, EvacuationStore, PayloadKey};
 
 /// What a target says of its readiness. A later state never gives way to an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
 
 /// A process that takes callers' requests.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct GatewayRecord {
+pub struct EntryHostRecord {
     /// Name of its host.
     pub name: String,
     /// Its data hall.
@@ -66,51 +66,51 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SubscriberHello {
     /// Whether it is a control host, which wants to know of every heartbeat.
-    pub control: bool,
+    pub is_control: bool,
 }
 
 /// What a subscriber sends now and then, and whenever it took an update.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SubscriberReport {
     /// The subscriber, where it takes callers' requests.
-    pub gateway: Option<GatewayRecord>,
+    pub entry_host: Option<EntryHostRecord>,
     /// The number of the last update that it took.
     pub acknowledged: u64,
     /// The version of the configuration that it has; 0 for none.
     pub document_version: u64,
     /// What this control host should send of a configuration.
-    pub want: Option<DocumentWant>,
+    pub document_request: Option<DocumentRequest>,
     /// Whether this control host should tell of targets and entry hosts.
-    pub lists: bool,
+    pub wants_lists: bool,
     /// What changed of what the subscriber holds against requests, a part of it at most.
     pub suspects: Vec<SuspectRecord>,
     /// Tells the starts of the subscriber apart. It travels in a [`ReportTail`].
     #[serde(skip)]
-    pub start: u64,
+    pub incarnation: u64,
     /// What it counted for roll-outs. It travels in a [`ReportTail`].
     #[serde(skip)]
-    pub counted: Vec<PhaseCounts>,
+    pub phase_counts: Vec<PhaseCounts>,
     /// What changed of the rates that targets named to it, a part of it at most. It travels behind the
     /// [`ReportTail`].
     #[serde(skip)]
-    pub rates: Vec<RateWord>,
+    pub rate_limits: Vec<RateWord>,
 }
 
 /// What a subscriber wants of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DocumentWant {
+pub struct DocumentRequest {
     /// The configuration.
     pub key: DocumentKey,
     /// The one that it has; what changed since then is enough.
     pub base: Option<DocumentKey>,
     /// The payload of which it has a beginning.
-    pub begun: Option<PayloadKey>,
+    pub partial: Option<PayloadKey>,
     /// Tells apart the turns in which sources are asked.
     pub attempt: u32,
     /// Bytes of that payload that it has.
     pub offset: u32,
     /// Up to which byte more may be sent.
-    pub until: u32,
+    pub limit: u32,
 }
 
 /// Some bytes of a payload.
@@ -129,24 +129,24 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
     /// Number of the change that the update brings the subscriber to.
-    pub number: u64,
+    pub revision: u64,
     /// The configuration that this control host holds, where that changed.
     pub offer: Option<DocumentKey>,
     /// The next part of the configuration that the subscriber wants.
     pub part: Option<DocumentPart>,
     /// The evacuations of halls, where they changed; a few bytes a hall, so always all of them.
-    pub evacuations: Option<EvacuationBook>,
+    pub evacuations: Option<EvacuationStore>,
     /// Whether the subscriber has with this all targets and entry hosts that there are, as far as a control
     /// host can know: nothing of it waits, and the control host has run for long enough to hear of all.
-    pub lists_whole: bool,
+    pub lists_complete: bool,
     /// Targets that changed.
     pub targets: Vec<TargetRecord>,
     /// All entry hosts that this control host hears, where that changed.
-    pub gateways: Option<Vec<GatewayRecord>>,
+    pub entry_hosts: Option<Vec<EntryHostRecord>>,
     /// Peer addresses of all members of the cluster, where that changed.
-    pub controls: Option<Vec<SocketAddr>>,
+    pub control_addresses: Option<Vec<SocketAddr>>,
     /// Targets that were heard since the last update; for control hosts only.
-    pub heard: Vec<HeardTarget>,
+    pub heartbeats: Vec<ForwardedHeartbeat>,
     /// What changed of what is held against requests, a part of it at most.
     pub suspects: Vec<SuspectRecord>,
     /// The roll-outs of services, where they changed. They travel in an [`UpdateTail`].
@@ -155,18 +155,18 @@
     /// What entry hosts counted for roll-outs since the last update; for control hosts only. It travels in an
     /// [`UpdateTail`].
     #[serde(skip)]
-    pub counted: Vec<ReporterCounts>,
+    pub reporter_counts: Vec<ReporterCounts>,
     /// The entry hosts that this control host hears itself, where they changed; for control hosts only. They travel in
     /// an [`UpdateTail`].
     #[serde(skip)]
-    pub own_gateways: Option<OwnGateways>,
+    pub local_entry_hosts: Option<LocalEntryHosts>,
     /// Whether this control host hears no leader: what it tells of configurations and orders may be old. It travels in
     /// an [`UpdateTail`].
     #[serde(skip)]
-    pub unled: bool,
+    pub leaderless: bool,
     /// What changed of the rates that targets named, a part of it at most. It travels behind the [`UpdateTail`].
     #[serde(skip)]
-    pub rates: Vec<RateWord>,
+    pub rate_limits: Vec<RateWord>,
 }
 
 /// What stands behind an update since the third form.
@@ -175,26 +175,26 @@
     /// The version of each target of the update, in their order.
     versions: Vec<String>,
     rollouts: Option<RolloutBook>,
-    counted: Vec<ReporterCounts>,
-    own_gateways: Option<OwnGateways>,
-    unled: bool,
+    reporter_counts: Vec<ReporterCounts>,
+    local_entry_hosts: Option<LocalEntryHosts>,
+    leaderless: bool,
 }
 
 /// The entry hosts that one control host hears itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnGateways {
+pub struct LocalEntryHosts {
     /// Those that it hears.
-    pub heard: Vec<GatewayRecord>,
+    pub connected: Vec<EntryHostRecord>,
     /// Those that it lost without a word a while ago: they may be cut off from the control hosts only.
-    pub lost: Vec<GatewayRecord>,
+    pub disconnected: Vec<EntryHostRecord>,
 }
 
 /// What stands behind a report since the third form.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReportTail {
     /// Tells the starts of a subscriber apart.
-    pub(crate) start: u64,
-    pub(crate) counted: Vec<PhaseCounts>,
+    pub(crate) incarnation: u64,
+    pub(crate) phase_counts: Vec<PhaseCounts>,
 }
 
 impl DirectoryUpdate {
@@ -203,30 +203,30 @@
         let tail = UpdateTail {
             versions: self.targets.iter().map(|one| one.version.clone()).collect(),
             rollouts: self.rollouts.clone(),
-            counted: self.counted.clone(),
-            own_gateways: self.own_gateways.clone(),
-            unled: self.unled,
+            reporter_counts: self.reporter_counts.clone(),
+            local_entry_hosts: self.local_entry_hosts.clone(),
+            leaderless: self.leaderless,
         };
         (tail != UpdateTail::default()).then_some(tail)
     }
 
     /// Takes what stood behind it.
-    pub(crate) fn with_tails(mut self, tail: UpdateTail, rates: Vec<RateWord>) -> Self {
-        self.rates = rates;
+    pub(crate) fn with_tails(mut self, tail: UpdateTail, rate_limits: Vec<RateWord>) -> Self {
+        self.rate_limits = rate_limits;
         for (target, version) in self.targets.iter_mut().zip(tail.versions) {
             target.version = version;
         }
         self.rollouts = tail.rollouts;
-        self.counted = tail.counted;
-        self.own_gateways = tail.own_gateways;
-        self.unled = tail.unled;
+        self.reporter_counts = tail.reporter_counts;
+        self.local_entry_hosts = tail.local_entry_hosts;
+        self.leaderless = tail.leaderless;
         self
     }
 }
 
 /// A heartbeat that a control host passes on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HeardTarget {
+pub struct ForwardedHeartbeat {
     /// The target.
     pub id: String,
     /// Its start; see [`TargetRecord::born`].
@@ -260,7 +260,7 @@
         members: Members,
         leader: Option<NodeId>,
         /// Whether the log holds nothing but the founding entry.
-        unled: bool,
+        founding_only: bool,
         /// The end of the log.
         last: u64,
     },
--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -27,8 +27,8 @@
     }
 }
 
-fn gateway() -> GatewayRecord {
-    GatewayRecord {
+fn entry_host() -> EntryHostRecord {
+    EntryHostRecord {
         name: "entry-0".to_owned(),
         hall: "hall-1".to_owned(),
         peer: SocketAddr::from(([10, 0, 0, 7], 9_200)),
@@ -66,14 +66,14 @@
 
 /// An update in which nothing is left out.
 pub(crate) fn update() -> DirectoryUpdate {
-    let mut evacuations = EvacuationBook::default();
+    let mut evacuations = EvacuationStore::default();
     evacuations.apply(&EvacuationOrder {
         hall: "hall-1".to_owned(),
         evacuated: true,
-        seen: 0,
+        seen_revision: 0,
     });
     DirectoryUpdate {
-        number: 300,
+        revision: 300,
         offer: Some(key(300)),
         part: Some(DocumentPart {
             payload: payload(),
@@ -81,11 +81,11 @@
             bytes: vec![1, 2, 3],
         }),
         evacuations: Some(evacuations),
-        lists_whole: true,
+        lists_complete: true,
         targets: vec![target()],
-        gateways: Some(vec![gateway()]),
-        controls: Some(vec![SocketAddr::from(([10, 0, 0, 9], 9_200))]),
-        heard: vec![HeardTarget {
+        entry_hosts: Some(vec![entry_host()]),
+        control_addresses: Some(vec![SocketAddr::from(([10, 0, 0, 9], 9_200))]),
+        heartbeats: vec![ForwardedHeartbeat {
             id: "i-7f3a91c2".to_owned(),
             born: 7,
             sequence: 301,
@@ -93,39 +93,39 @@
         }],
         suspects: vec![suspect()],
         rollouts: None,
-        counted: Vec::new(),
-        own_gateways: None,
-        unled: false,
-        rates: Vec::new(),
+        reporter_counts: Vec::new(),
+        local_entry_hosts: None,
+        leaderless: false,
+        rate_limits: Vec::new(),
     }
 }
 
 /// A report in which nothing is left out.
 pub(crate) fn report() -> SubscriberReport {
     SubscriberReport {
-        gateway: Some(gateway()),
+        entry_host: Some(entry_host()),
         acknowledged: 300,
         document_version: 7,
-        want: Some(DocumentWant {
+        document_request: Some(DocumentRequest {
             key: key(300),
             base: Some(key(7)),
-            begun: Some(payload()),
+            partial: Some(payload()),
             attempt: 2,
             offset: 128,
-            until: 8_192,
+            limit: 8_192,
         }),
-        lists: true,
+        wants_lists: true,
         suspects: vec![suspect()],
-        start: 0,
-        counted: Vec::new(),
-        rates: Vec::new(),
+        incarnation: 0,
+        phase_counts: Vec::new(),
+        rate_limits: Vec::new(),
     }
 }
 
 #[test]
-fn messages_of_the_directory_are_as_they_were_shipped() {
+fn message_encoding_is_unchanged() {
     let lines = [
-        format!("hello {}", hex(&SubscriberHello { control: true })),
+        format!("hello {}", hex(&SubscriberHello { is_control: true })),
         format!("update {}", hex(&update())),
         format!("report {}", hex(&report())),
         format!("identify {}", hex(&DirectoryCall::Identify)),
@@ -134,7 +134,7 @@
         format!("answer {}", hex(&DirectoryReply::Answer(vec![1, 2]))),
         format!(
             "not leader {}",
-            hex(&DirectoryReply::NotLeader(Some(gateway().peer)))
+            hex(&DirectoryReply::NotLeader(Some(entry_host().peer)))
         ),
         format!(
             "refused {}",
@@ -146,7 +146,7 @@
 
 /// What stands behind messages since the third form.
 #[test]
-fn tails_are_as_they_were_shipped_and_messages_without_them_are_read() {
+fn tail_encoding_is_unchanged_and_tails_are_optional() {
     use linnet_rollout::{RolloutCommand, RolloutOrder, RouteCounts};
     let mut rollouts = RolloutBook::default();
     rollouts.apply(&RolloutCommand::Begin {
@@ -167,24 +167,27 @@
     let mut full = update();
     full.targets[0].version = "v2".to_owned();
     full.rollouts = Some(rollouts);
-    full.counted = vec![ReporterCounts {
+    full.reporter_counts = vec![ReporterCounts {
         reporter: "entry-0/7".to_owned(),
         counted: counted.clone(),
     }];
-    full.own_gateways = Some(OwnGateways {
-        heard: vec![gateway()],
-        lost: vec![gateway()],
+    full.local_entry_hosts = Some(LocalEntryHosts {
+        connected: vec![entry_host()],
+        disconnected: vec![entry_host()],
     });
-    full.unled = true;
+    full.leaderless = true;
     let tail = full.tail().unwrap();
-    let told = postcard::to_stdvec(&(&full, &tail)).unwrap();
-    let (read, rest): (DirectoryUpdate, _) = postcard::take_from_bytes(&told).unwrap();
+    let encoded = postcard::to_stdvec(&(&full, &tail)).unwrap();
+    let (read, rest): (DirectoryUpdate, _) = postcard::take_from_bytes(&encoded).unwrap();
     assert_eq!(hex(&read), hex(&update()));
     let read = read.with_tails(postcard::from_bytes(rest).unwrap(), Vec::new());
     assert_eq!(read.tail(), full.tail());
     assert_eq!(DirectoryUpdate::default().tail(), None);
-    let report = ReportTail { start: 7, counted };
-    let rates = vec![RateWord {
+    let report = ReportTail {
+        incarnation: 7,
+        phase_counts: counted,
+    };
+    let rate_limits = vec![RateWord {
         target: "i-7f3a91c2".to_owned(),
         rate: Some(linnet_rate::NamedRate::new(2.5)),
         asked_ms: 300,
@@ -193,11 +196,11 @@
     let lines = [
         format!("update tail {}", hex(&tail)),
         format!("report tail {}", hex(&report)),
-        format!("rates behind either {}", hex(&rates)),
+        format!("rates behind either {}", hex(&rate_limits)),
     ];
     insta::assert_snapshot!(lines.join("\n"));
     // Builds of the third form pass over what stands behind the first tail.
-    let told = postcard::to_stdvec(&(&full, &tail, &rates)).unwrap();
-    let (_, rest): (DirectoryUpdate, _) = postcard::take_from_bytes(&told).unwrap();
+    let encoded = postcard::to_stdvec(&(&full, &tail, &rate_limits)).unwrap();
+    let (_, rest): (DirectoryUpdate, _) = postcard::take_from_bytes(&encoded).unwrap();
     assert_eq!(postcard::from_bytes::<UpdateTail>(rest).unwrap(), tail);
 }
--- a/crates/directory/src/node.rs
+++ b/crates/directory/src/node.rs
@@ -1,7 +1,7 @@
 //! A control host's part of the directory.
 
 mod commands;
-mod rates;
+mod rate_limits;
 mod rollouts;
 mod state;
 mod suspects;
@@ -21,8 +21,8 @@
 use tokio::time::timeout;
 
 use crate::{
-    DirectoryUpdate, DocumentMachine, DocumentParser, DocumentPayload, DocumentWant,
-    EvacuationBook, HeldDocument, RegistryChange, TargetRecord,
+    DirectoryUpdate, DocumentMachine, DocumentParser, DocumentPayload, DocumentRequest,
+    EvacuationStore, RegistryChange, StoredDocument, TargetRecord,
 };
 
 pub(crate) use state::{NodeState, SubscriberState};
@@ -31,30 +31,30 @@
 /// the start of a whole fleet one is elected within 0.1 to 0.35 s; without the wait hosts served for 60 ms by an
 /// older configuration than was acknowledged, the one of the last snapshot. Where no quorum comes back, what
 /// the disk holds is better than nothing.
-const LEADER_AWAITED: Duration = Duration::from_secs(2);
+const LEADER_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Spans of time of the directory.
 #[derive(Debug, Clone, Copy)]
 pub struct DirectoryTiming {
     /// How long a target may be silent before it is marked so.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// How long a command may take until it is given up, beside the time that its bytes take.
-    pub commit: Duration,
+    pub commit_timeout: Duration,
     /// How long the followers' word is waited for before a withdrawal is acknowledged.
-    pub spread: Duration,
+    pub propagation_timeout: Duration,
     /// How long after its start a control host has heard of every target: two heartbeats, since one may be
     /// lost.
-    pub hearing: Duration,
+    pub discovery_time: Duration,
 }
 
 impl DirectoryTiming {
     /// Creates the spans for targets that send a heartbeat each `heartbeat`.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
-            silence: heartbeat * 5,
-            commit: Duration::from_millis(900),
-            spread: Duration::from_millis(600),
-            hearing: heartbeat * 2,
+            silence_timeout: heartbeat * 5,
+            commit_timeout: Duration::from_millis(900),
+            propagation_timeout: Duration::from_millis(600),
+            discovery_time: heartbeat * 2,
         }
     }
 }
@@ -76,7 +76,7 @@
     /// The order makes no sense.
     #[display("{_0}")]
     #[error(ignore)]
-    BadOrder(OrderFault),
+    InvalidOrder(OrderFault),
     /// The configuration has no such service.
     #[display("no service has the name {_0}")]
     #[error(ignore)]
@@ -84,13 +84,13 @@
     /// Another roll-out of the service is under way.
     #[display("version {_0} is being rolled out")]
     #[error(ignore)]
-    UnderWay(String),
+    RolloutInProgress(String),
     /// A control host of an earlier build is left, which could not keep the order.
     #[display("a control host of an earlier build is left")]
-    EarlierBuild,
+    OutdatedControlHost,
     /// No other control host has taken the word of the target.
     #[display("no other control host has taken it")]
-    NotSpread,
+    NotPropagated,
 }
 
 /// How much a control host knows.
@@ -99,9 +99,9 @@
     /// Targets that are known.
     pub targets: usize,
     /// Entry hosts that are heard.
-    pub gateways: usize,
+    pub entry_hosts: usize,
     /// Those of them that told last that they have an older configuration than is held here.
-    pub gateways_behind: usize,
+    pub outdated_entry_hosts: usize,
 }
 
 struct Shared {
@@ -112,8 +112,8 @@
     recorder: Arc<EventRecorder>,
     timing: DirectoryTiming,
     started: Instant,
-    me: SocketAddr,
-    ops: SocketAddr,
+    peer_address: SocketAddr,
+    ops_address: SocketAddr,
     hall: String,
     state: Mutex<NodeState>,
     changed: watch::Sender<u64>,
@@ -121,7 +121,7 @@
     /// subscriber: with n of them an update that each acknowledges would take n times n wakes.
     acknowledged: watch::Sender<u64>,
     /// Whether [`DirectoryNode::tells_state`] held once.
-    tells_state: AtomicBool,
+    may_announce_state: AtomicBool,
 }
 
 /// The directory of one control host. Cheap to clone.
@@ -141,7 +141,7 @@
         identity: PeerIdentity,
         recorder: Arc<EventRecorder>,
         timing: DirectoryTiming,
-        (me, ops): (SocketAddr, SocketAddr),
+        (peer_address, ops_address): (SocketAddr, SocketAddr),
         hall: String,
     ) -> Self {
         let node = Self {
@@ -153,26 +153,26 @@
                 recorder,
                 timing,
                 started: Instant::now(),
-                me,
-                ops,
+                peer_address,
+                ops_address,
                 hall,
                 state: Mutex::default(),
                 changed: watch::Sender::new(0),
                 acknowledged: watch::Sender::new(0),
-                tells_state: AtomicBool::new(false),
+                may_announce_state: AtomicBool::new(false),
             }),
         };
         ntex::rt::spawn(tasks::expire_targets(node.clone()));
         ntex::rt::spawn(tasks::announce_documents(node.clone()));
         ntex::rt::spawn(tasks::announce_state(node.clone()));
-        ntex::rt::spawn(suspects::take_held(node.clone()));
-        ntex::rt::spawn(suspects::keep_held(node.clone()));
-        ntex::rt::spawn(rollouts::steer_rollouts(node.clone()));
+        ntex::rt::spawn(suspects::load_held_requests(node.clone()));
+        ntex::rt::spawn(suspects::persist_held_requests(node.clone()));
+        ntex::rt::spawn(rollouts::advance_rollouts(node.clone()));
         node
     }
 
     /// Returns the committed evacuations that this host has reached.
-    pub fn evacuations(&self) -> Arc<EvacuationBook> {
+    pub fn evacuations(&self) -> Arc<EvacuationStore> {
         self.shared.machine.evacuations()
     }
 
@@ -193,21 +193,21 @@
     ///
     /// [`DirectoryError::NotSpread`]: no other control host has it yet; the target should ask
     /// another one.
-    pub async fn take_heartbeat(&self, record: TargetRecord) -> Result<(), DirectoryError> {
+    pub async fn receive_heartbeat(&self, record: TargetRecord) -> Result<(), DirectoryError> {
         let (id, detail) = (record.id.clone(), describe_target(&record));
-        self.name_services(&record);
-        let change = self.lock().registry.take_heartbeat(record, Instant::now());
-        self.finish_change(&id, &detail, change).await
+        self.refresh_services(&record);
+        let change = self.lock().registry.apply_heartbeat(record, Instant::now());
+        self.publish_change(&id, &detail, change).await
     }
 
     /// Tells the registry which services there are, where that decides on a target that has come. Reading the
     /// whole configuration for each heartbeat, or each version, would cost more than it is needed for.
-    fn name_services(&self, record: &TargetRecord) {
-        if !self.lock().registry.is_newcomer(record) {
+    fn refresh_services(&self, record: &TargetRecord) {
+        if !self.lock().registry.is_new_at_used_address(record) {
             return;
         }
-        let held = self.held_document();
-        let services = held.map(|held| (self.shared.parser.services)(held.body()));
+        let current = self.current_document();
+        let services = current.map(|current| (self.shared.parser.services)(current.body()));
         self.lock().registry.set_services(services);
     }
 
@@ -217,87 +217,91 @@
     /// # Errors
     ///
     /// As [`DirectoryNode::take_heartbeat`].
-    pub async fn take_leave(&self, id: &str, born: Option<u64>) -> Result<(), DirectoryError> {
-        let change = self.lock().registry.take_leave(id, born, Instant::now());
+    pub async fn deregister_target(
+        &self,
+        id: &str,
+        born: Option<u64>,
+    ) -> Result<(), DirectoryError> {
+        let change = self.lock().registry.deregister(id, born, Instant::now());
         match change {
-            Some(change) => self.finish_change(id, "state=Gone", change).await,
+            Some(change) => self.publish_change(id, "state=Gone", change).await,
             None => Ok(()),
         }
     }
 
-    async fn finish_change(
+    async fn publish_change(
         &self,
         id: &str,
         detail: &str,
         change: RegistryChange,
     ) -> Result<(), DirectoryError> {
-        self.note_change(id, detail, change);
+        self.record_change(id, detail, change);
         if change == RegistryChange::Withdrawn {
-            return self.await_spread().await;
+            return self.wait_for_propagation().await;
         }
         Ok(())
     }
 
     /// Logs a change of a target and wakes the tasks that push it on.
-    pub(crate) fn note_change(&self, id: &str, detail: &str, change: RegistryChange) {
+    pub(crate) fn record_change(&self, id: &str, detail: &str, change: RegistryChange) {
         let code = match change {
-            RegistryChange::Nothing => return,
+            RegistryChange::Unchanged => return,
             RegistryChange::Registered => EventCode::TargetRegistered,
             RegistryChange::Withdrawn => EventCode::TargetWithdrawn,
         };
         self.shared.recorder.record(code, id, detail);
-        self.wake();
+        self.notify_subscribers();
     }
 
-    async fn await_spread(&self) -> Result<(), DirectoryError> {
-        let number = self.lock().registry.number();
+    async fn wait_for_propagation(&self) -> Result<(), DirectoryError> {
+        let revision = self.lock().registry.revision();
         let mut changes = self.shared.acknowledged.subscribe();
-        let all_took_it = async {
-            while !self.spread_to(number, |_| true) {
+        let all_acknowledged = async {
+            while !self.all_acknowledged(revision, |_| true) {
                 if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
-        let _ = timeout(self.shared.timing.spread, all_took_it).await;
-        let alone = self.shared.replica.status().members.voters.len() <= 1;
-        let safe = alone || self.any_control_took(number);
-        safe.then_some(()).ok_or(DirectoryError::NotSpread)
+        let _ = timeout(self.shared.timing.propagation_timeout, all_acknowledged).await;
+        let only_voter = self.shared.replica.status().members.voters.len() <= 1;
+        let is_safe = only_voter || self.any_control_acknowledged(revision);
+        is_safe.then_some(()).ok_or(DirectoryError::NotPropagated)
     }
 
     /// Notes that another control host was lost.
-    pub fn lose_control(&self, from: SocketAddr) {
-        self.lock().lose_control(from, Instant::now());
-        self.wake();
+    pub fn mark_control_lost(&self, from: SocketAddr) {
+        self.lock().mark_control_lost(from, Instant::now());
+        self.notify_subscribers();
     }
 
     /// Resolves when the entry hosts that follow this control host took what it knows now, or had time to: another
     /// control host acknowledges a withdrawal for those that follow this one as well.
-    pub async fn await_followers(&self) {
-        let number = self.lock().registry.number();
+    pub async fn wait_for_followers(&self) {
+        let revision = self.lock().registry.revision();
         let mut changes = self.shared.acknowledged.subscribe();
-        let all_took_it = async {
-            while !self.spread_to(number, |one| !one.control) {
+        let all_acknowledged = async {
+            while !self.all_acknowledged(revision, |one| !one.is_control) {
                 if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
         // Whoever waits for this host's word has to get it within its own bound.
-        let bound = self.shared.timing.spread / 2;
-        let _ = timeout(bound, all_took_it).await;
+        let bound = self.shared.timing.propagation_timeout / 2;
+        let _ = timeout(bound, all_acknowledged).await;
     }
 
-    fn spread_to(&self, number: u64, which: impl Fn(&SubscriberState) -> bool) -> bool {
+    fn all_acknowledged(&self, revision: u64, which: impl Fn(&SubscriberState) -> bool) -> bool {
         let state = self.lock();
         let mut wanted = state.subscribers.values().filter(|one| which(one));
-        wanted.all(|one| one.acknowledged >= number)
+        wanted.all(|one| one.acknowledged >= revision)
     }
 
-    fn any_control_took(&self, number: u64) -> bool {
+    fn any_control_acknowledged(&self, revision: u64) -> bool {
         let state = self.lock();
-        let mut controls = state.subscribers.values().filter(|one| one.control);
-        controls.any(|one| one.acknowledged >= number)
+        let mut controls = state.subscribers.values().filter(|one| one.is_control);
+        controls.any(|one| one.acknowledged >= revision)
     }
 
     /// Returns this host as a member of the cluster.
@@ -306,8 +310,8 @@
             id: self.shared.replica.status().id,
             name: self.shared.identity.name.clone(),
             hall: self.shared.hall.clone(),
-            peer: self.shared.me,
-            ops: self.shared.ops,
+            peer: self.shared.peer_address,
+            ops: self.shared.ops_address,
             replaces: None,
         }
     }
@@ -323,49 +327,53 @@
     }
 
     /// Returns the committed configuration that this host has reached.
-    pub fn held_document(&self) -> Option<Arc<HeldDocument>> {
-        self.shared.machine.held()
+    pub fn current_document(&self) -> Option<Arc<StoredDocument>> {
+        self.shared.machine.current_document()
     }
 
     /// Returns what brings a subscriber the configuration that it wants, or the newest.
-    pub(crate) fn payload(&self, want: &DocumentWant) -> Option<Arc<DocumentPayload>> {
-        self.shared.machine.payload(want.key, want.base)
+    pub(crate) fn payload(&self, request: &DocumentRequest) -> Option<Arc<DocumentPayload>> {
+        self.shared.machine.payload(request.key, request.base)
     }
 
     /// Says whether this host has run for so long that it has heard of every target that is there.
-    pub(crate) fn has_heard_all(&self) -> bool {
-        self.shared.started.elapsed() >= self.shared.timing.hearing
+    pub(crate) fn is_discovery_complete(&self) -> bool {
+        self.shared.started.elapsed() >= self.shared.timing.discovery_time
     }
 
     /// Says whether what this host holds by agreement may be told: it has reached what was committed before
     /// its start, or has run for so long without a leader that none is to be awaited.
-    pub(crate) fn tells_state(&self) -> bool {
-        let told = &self.shared.tells_state;
-        if !told.load(Ordering::Relaxed) {
-            let awaited = self.shared.started.elapsed() < LEADER_AWAITED;
-            let ready = !awaited || self.shared.replica.has_reached_term();
-            told.store(ready, Ordering::Relaxed);
+    pub(crate) fn may_announce_state(&self) -> bool {
+        let may_announce = &self.shared.may_announce_state;
+        if !may_announce.load(Ordering::Relaxed) {
+            let is_waiting = self.shared.started.elapsed() < LEADER_WAIT_TIMEOUT;
+            let ready = !is_waiting || self.shared.replica.has_reached_term();
+            may_announce.store(ready, Ordering::Relaxed);
         }
-        told.load(Ordering::Relaxed)
+        may_announce.load(Ordering::Relaxed)
     }
 
     /// Returns the peer addresses of all members of the cluster.
-    pub(crate) fn controls(&self) -> Vec<SocketAddr> {
+    pub(crate) fn control_addresses(&self) -> Vec<SocketAddr> {
         let members = self.shared.replica.status().members;
         members.all().map(|member| member.peer).collect()
     }
 
     /// Counts what this host knows.
     pub fn counts(&self) -> DirectoryCounts {
-        let held = self.held_document().map_or(0, |held| held.version());
+        let current = self
+            .current_document()
+            .map_or(0, |current| current.version());
         let state = self.lock();
         let subscribers = state.subscribers.values();
-        let gateways = subscribers.filter(|one| one.gateway.is_some());
-        let behind = gateways.clone().filter(|one| one.document_version < held);
+        let entry_hosts = subscribers.filter(|one| one.entry_host.is_some());
+        let behind = entry_hosts
+            .clone()
+            .filter(|one| one.document_version < current);
         DirectoryCounts {
             targets: state.registry.records().count(),
-            gateways: gateways.clone().count(),
-            gateways_behind: behind.count(),
+            entry_hosts: entry_hosts.clone().count(),
+            outdated_entry_hosts: behind.count(),
         }
     }
 
@@ -374,23 +382,26 @@
     }
 
     /// Takes what another control host knows of targets and entry hosts.
-    pub fn take_from_control(&self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
-        if let Some(records) = update.own_gateways {
-            self.lock().take_gateways(from, records);
-            self.wake();
+    pub fn merge_control_update(&self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
+        if let Some(records) = update.local_entry_hosts {
+            self.lock().set_remote_entry_hosts(from, records);
+            self.notify_subscribers();
         }
         for record in update.targets {
             let (id, detail) = (record.id.clone(), describe_target(&record));
-            self.name_services(&record);
-            let change = self.lock().registry.take_record(record, now);
-            self.note_change(&id, &detail, change);
+            self.refresh_services(&record);
+            let change = self.lock().registry.merge_record(record, now);
+            self.record_change(&id, &detail, change);
         }
-        self.take_suspects(&update.suspects);
-        self.take_rates(&update.rates);
-        self.lock().evidence.take_told(&update.counted);
-        for heard in &update.heard {
-            let change = self.lock().registry.take_heard(heard, now);
-            self.note_change(&heard.id, "heard by another control host", change);
+        self.merge_suspects(&update.suspects);
+        self.merge_rate_limits(&update.rate_limits);
+        self.lock().evidence.take_told(&update.reporter_counts);
+        for heartbeat in &update.heartbeats {
+            let change = self
+                .lock()
+                .registry
+                .apply_forwarded_heartbeat(heartbeat, now);
+            self.record_change(&heartbeat.id, "heard by another control host", change);
         }
     }
 
@@ -402,11 +413,11 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn wake(&self) {
+    pub(crate) fn notify_subscribers(&self) {
         self.shared.changed.send_modify(|count| *count += 1);
     }
 
-    pub(crate) fn note_acknowledged(&self) {
+    pub(crate) fn notify_acknowledged(&self) {
         self.shared.acknowledged.send_modify(|count| *count += 1);
     }
 
--- a/crates/directory/src/node/commands.rs
+++ b/crates/directory/src/node/commands.rs
@@ -14,24 +14,24 @@
 use crate::{Document, EvacuationOrder, EvacuationOutcome};
 
 /// Wait before a command is tried again where no leader is known.
-const LEADER_RETRY_WAIT: Duration = Duration::from_millis(40);
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// How long one try of a small command is waited for. A leader that is frozen answers nothing; the next
 /// one is elected within half a second, and a command is handed to it by the next try in place of being
 /// refused when the time for all tries is over.
-const TRY_BOUND: Duration = Duration::from_millis(300);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Bytes up to which a command is small. Larger ones pass several links before they are committed, and a
 /// try that is broken off sends them anew: one of 4 MB was not acknowledged over links of 24 Mbit/s.
-const SMALL_COMMAND: usize = 64 * 1024;
+const MAX_SMALL_COMMAND_BYTES: usize = 64 * 1024;
 
 /// How often an order for a hall is given anew since others changed the hall meanwhile.
-const ORDER_TRIES: usize = 3;
+const MAX_ORDER_ATTEMPTS: usize = 3;
 
 /// Bytes a second at which a command and its answer are taken to pass between control hosts, at least.
 /// With one limit for every size a configuration of 4 MB was committed and never acknowledged over
 /// links of 24 Mbit/s, and each try sent it anew.
-const LEAST_BYTES_PER_S: f64 = 2_000_000.0;
+const MIN_BYTES_PER_S: f64 = 2_000_000.0;
 
 impl DirectoryNode {
     /// Takes a configuration; the version that is held then.
@@ -46,22 +46,22 @@
             DirectoryError::Invalid(fault)
         })?;
         let bytes = body.len();
-        if let Some(held) = self
-            .held_document()
-            .filter(|held| held.version() >= version)
+        if let Some(current) = self
+            .current_document()
+            .filter(|current| current.version() >= version)
         {
             // What is held is committed, so the operator's second try needs no other commit.
-            let detail = format!("version={version} bytes={bytes} held={}", held.version());
+            let detail = format!("version={version} bytes={bytes} held={}", current.version());
             self.record(EventCode::RoutingAccepted, &detail);
-            return Ok(held.version());
+            return Ok(current.version());
         }
         let command = DocumentCommand::Put(Document { version, body });
         let outcome = self.commit(&command).await;
-        let detail = |held| format!("version={version} bytes={bytes} held={held}");
+        let detail = |current| format!("version={version} bytes={bytes} held={current}");
         match outcome {
-            Ok(DocumentAnswer::Held(held)) => {
-                self.record(EventCode::RoutingAccepted, &detail(held.to_string()));
-                Ok(held)
+            Ok(DocumentAnswer::CurrentVersion(current)) => {
+                self.record(EventCode::RoutingAccepted, &detail(current.to_string()));
+                Ok(current)
             }
             _ => {
                 self.record(EventCode::RoutingRefused, &detail("unknown".to_owned()));
@@ -96,16 +96,16 @@
         hall: &str,
         evacuated: bool,
     ) -> Result<(), DirectoryError> {
-        let mut seen = self.evacuations().state_of(hall).revision;
-        for _ in 0..ORDER_TRIES {
+        let mut seen_revision = self.evacuations().state_of(hall).revision;
+        for _ in 0..MAX_ORDER_ATTEMPTS {
             let order = EvacuationOrder {
                 hall: hall.to_owned(),
                 evacuated,
-                seen,
+                seen_revision,
             };
             let answer = self.commit(&DocumentCommand::Evacuate(order)).await;
             match answer {
-                Ok(DocumentAnswer::Evacuation(EvacuationOutcome::Held(state))) => {
+                Ok(DocumentAnswer::Evacuation(EvacuationOutcome::InEffect(state))) => {
                     let revision = state.revision;
                     let detail = format!("hall={hall} evacuated={evacuated} revision={revision}");
                     self.record(EventCode::EvacuationAccepted, &detail);
@@ -113,7 +113,7 @@
                 }
                 // This host had not reached the newest order for the hall yet.
                 Ok(DocumentAnswer::Evacuation(EvacuationOutcome::Outdated(state))) => {
-                    seen = state.revision;
+                    seen_revision = state.revision;
                 }
                 _ => break,
             }
@@ -124,24 +124,24 @@
     }
 
     /// Puts what is held against requests into the log, where this host leads and the log lacks it.
-    pub(crate) async fn keep_held(&self) {
+    pub(crate) async fn persist_held_requests(&self) {
         let status = self.shared.replica.status();
         if status.leader != Some(status.id) {
             return;
         }
         // A control host that cannot read this command would pass it over. What is held is told by messages all
         // the same, and comes into the log once that host is replaced.
-        if self.lock().has_first_form_control() {
+        if self.lock().has_v1_control() {
             return;
         }
         let known = self.lock().suspects.all_records(Instant::now());
-        let lacking = self.shared.machine.lacking(known);
-        if lacking.is_empty() {
+        let missing = self.shared.machine.missing_from_log(known);
+        if missing.is_empty() {
             return;
         }
-        let count = lacking.len();
+        let count = missing.len();
         // What could not be committed is tried again with the next look, unless it was all the same.
-        if let Err(error) = self.commit(&DocumentCommand::Hold(lacking)).await {
+        if let Err(error) = self.commit(&DocumentCommand::Hold(missing)).await {
             let detail = format!("requests={count} cause={error}");
             self.record(EventCode::HoldFailed, &detail);
         }
@@ -158,33 +158,35 @@
             | DocumentCommand::Evacuate(_)
             | DocumentCommand::Hold(_)
             | DocumentCommand::Rollout(_) => 0,
-            DocumentCommand::Read => self.held_document().map_or(0, |held| held.body().len()),
+            DocumentCommand::Read => self
+                .current_document()
+                .map_or(0, |current| current.body().len()),
         };
         let length = bytes.len() + answer_bytes;
-        let passing = Duration::from_secs_f64(length as f64 / LEAST_BYTES_PER_S);
-        let bound = self.shared.timing.commit + passing;
-        let try_bound = match length <= SMALL_COMMAND {
-            true => TRY_BOUND,
-            false => bound,
+        let transfer_time = Duration::from_secs_f64(length as f64 / MIN_BYTES_PER_S);
+        let timeout_total = self.shared.timing.commit_timeout + transfer_time;
+        let attempt_timeout = match length <= MAX_SMALL_COMMAND_BYTES {
+            true => ATTEMPT_TIMEOUT,
+            false => timeout_total,
         };
         let started = Instant::now();
-        while let Some(left) = bound.checked_sub(started.elapsed()) {
-            let left = left.min(try_bound);
-            let answer = match timeout(left, self.commit_once(&bytes, left)).await {
+        while let Some(remaining) = timeout_total.checked_sub(started.elapsed()) {
+            let remaining = remaining.min(attempt_timeout);
+            let answer = match timeout(remaining, self.commit_once(&bytes, remaining)).await {
                 Ok(Some(answer)) => postcard::from_bytes(&answer).ok(),
                 _ => None,
             };
             if let Some(answer) = answer {
                 return Ok(answer);
             }
-            sleep(LEADER_RETRY_WAIT).await;
+            sleep(LEADER_RETRY_DELAY).await;
         }
         Err(DirectoryError::NoQuorum)
     }
 
     // Every command may be given twice: a put of the same version changes nothing the second time, and
     // an order for a hall that is as it wants it neither.
-    async fn commit_once(&self, bytes: &[u8], bound: Duration) -> Option<Vec<u8>> {
+    async fn commit_once(&self, bytes: &[u8], call_timeout: Duration) -> Option<Vec<u8>> {
         match self.shared.replica.propose(bytes.to_vec()).await {
             Ok(answer) => return Some(answer),
             Err(ProposeError::NotLeader { .. }) => {}
@@ -192,7 +194,7 @@
         }
         let leader = self.leader_address()?;
         let request = DirectoryCall::Command(bytes.to_vec());
-        match call(&self.shared.identity, leader, &request, bound).await {
+        match call(&self.shared.identity, leader, &request, call_timeout).await {
             Ok(DirectoryReply::Answer(answer)) => Some(answer),
             _ => None,
         }
--- a/crates/directory/src/node/rates.rs
+++ b/crates/directory/src/node/rate_limits.rs
@@ -8,15 +8,19 @@
 use super::{DirectoryNode, NodeState};
 
 impl NodeState {
-    fn note_starts(&mut self, now: BootInstant) {
+    fn update_target_starts(&mut self, now: BootInstant) {
         let unix_ms = unix_ms();
-        let named: Vec<String> = self.rates.named().map(|(id, _)| id.to_owned()).collect();
+        let named: Vec<String> = self
+            .rate_limits
+            .named()
+            .map(|(id, _)| id.to_owned())
+            .collect();
         for id in named {
             let Some(born) = self.registry.born_of(&id) else {
                 continue;
             };
-            if self.rates.note_start(&id, born, unix_ms, now) == StartChange::Spoken {
-                self.rates.tell_again(&id, now);
+            if self.rate_limits.note_start(&id, born, unix_ms, now) == StartChange::Spoken {
+                self.rate_limits.tell_again(&id, now);
             }
         }
     }
@@ -29,38 +33,38 @@
 
 impl DirectoryNode {
     /// Takes what targets said of their rates, and tells the others what is news to them.
-    pub(crate) fn take_rates(&self, words: &[RateWord]) {
+    pub(crate) fn merge_rate_limits(&self, words: &[RateWord]) {
         if words.is_empty() {
             return;
         }
         let now = BootInstant::now();
-        let mut news = false;
+        let mut changed = false;
         {
             let mut state = self.lock();
             for word in words {
-                news |= state.rates.relay(word, now);
+                changed |= state.rate_limits.relay(word, now);
             }
         }
-        if news {
-            self.wake();
+        if changed {
+            self.notify_subscribers();
         }
     }
 
     /// Forgets rates of which nothing was heard for long, and those that a former start of a target named. What a
     /// present start named is told again: others forgot it with the former one.
-    pub(crate) fn keep_rates(&self) {
+    pub(crate) fn expire_rate_limits(&self) {
         let mut state = self.lock();
-        if state.rates.is_empty() {
+        if state.rate_limits.is_empty() {
             return;
         }
         let now = BootInstant::now();
-        state.rates.expire(now);
-        let before = state.rates.number();
-        state.note_starts(now);
-        let news = state.rates.number() > before;
+        state.rate_limits.expire(now);
+        let before = state.rate_limits.number();
+        state.update_target_starts(now);
+        let changed = state.rate_limits.number() > before;
         drop(state);
-        if news {
-            self.wake();
+        if changed {
+            self.notify_subscribers();
         }
     }
 }
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -15,7 +15,7 @@
 use crate::machine::{DocumentAnswer, DocumentCommand};
 
 /// How often the control host that leads looks whether a roll-out is to move on.
-const STEER_PERIOD: Duration = Duration::from_millis(100);
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Since when a control host knows of roll-outs, by service and revision, and how old each was then.
 #[derive(Default)]
@@ -77,13 +77,13 @@
     }
 
     async fn try_order(&self, order: RolloutOrder) -> Result<RolloutRecord, DirectoryError> {
-        order.check().map_err(DirectoryError::BadOrder)?;
-        let held = self.held_document().ok_or(DirectoryError::NoQuorum)?;
-        if !(self.shared.parser.services)(held.body()).contains(&order.service) {
+        order.check().map_err(DirectoryError::InvalidOrder)?;
+        let current = self.current_document().ok_or(DirectoryError::NoQuorum)?;
+        if !(self.shared.parser.services)(current.body()).contains(&order.service) {
             return Err(DirectoryError::UnknownService(order.service));
         }
-        if !self.lock().knows_rollouts() {
-            return Err(DirectoryError::EarlierBuild);
+        if !self.lock().all_controls_support_rollouts() {
+            return Err(DirectoryError::OutdatedControlHost);
         }
         let slots = self.lock().registry.slots_by_version(&order.service);
         let former = slots.into_keys().filter(|one| *one != order.version);
@@ -92,9 +92,11 @@
             order,
             now_ms: unix_ms(),
         };
-        match self.roll(command).await? {
+        match self.commit_rollout(command).await? {
             RolloutOutcome::Held(record) => record.ok_or(DirectoryError::NoQuorum),
-            RolloutOutcome::UnderWay(other) => Err(DirectoryError::UnderWay(other.version)),
+            RolloutOutcome::UnderWay(other) => {
+                Err(DirectoryError::RolloutInProgress(other.version))
+            }
         }
     }
 
@@ -107,11 +109,14 @@
         &self,
         service: &str,
     ) -> Result<Option<RolloutRecord>, DirectoryError> {
-        if !self.lock().knows_rollouts() {
-            return Err(DirectoryError::EarlierBuild);
+        if !self.lock().all_controls_support_rollouts() {
+            return Err(DirectoryError::OutdatedControlHost);
         }
         let service = service.to_owned();
-        match self.roll(RolloutCommand::Look { service }).await? {
+        match self
+            .commit_rollout(RolloutCommand::Look { service })
+            .await?
+        {
             RolloutOutcome::Held(record) => Ok(record),
             RolloutOutcome::UnderWay(record) => Ok(Some(record)),
         }
@@ -127,7 +132,7 @@
         let Some(record) = known.newest(service).filter(|one| one.is_in_progress()) else {
             return Ok(false);
         };
-        self.take_step(service, record, RolloutStep::Revert(RolloutCause::Operator))
+        self.apply_step(service, record, RolloutStep::Revert(RolloutCause::Operator))
             .await?;
         Ok(true)
     }
@@ -148,19 +153,22 @@
     }
 
     /// Takes what a subscriber counted for roll-outs.
-    pub(crate) fn take_counts(&self, report: &SubscriberReport) {
-        let Some(gateway) = report
-            .gateway
+    pub(crate) fn record_counts(&self, report: &SubscriberReport) {
+        let Some(entry_host) = report
+            .entry_host
             .as_ref()
-            .filter(|_| !report.counted.is_empty())
+            .filter(|_| !report.phase_counts.is_empty())
         else {
             return;
         };
-        let reporter = format!("{}/{:x}", gateway.name, report.start);
-        self.lock().evidence.take(&reporter, &report.counted);
+        let reporter = format!("{}/{:x}", entry_host.name, report.incarnation);
+        self.lock().evidence.take(&reporter, &report.phase_counts);
     }
 
-    async fn roll(&self, command: RolloutCommand) -> Result<RolloutOutcome, DirectoryError> {
+    async fn commit_rollout(
+        &self,
+        command: RolloutCommand,
+    ) -> Result<RolloutOutcome, DirectoryError> {
         match self.commit(&DocumentCommand::Rollout(command)).await? {
             DocumentAnswer::Rollout(outcome) => Ok(outcome),
             _ => Err(DirectoryError::NoQuorum),
@@ -171,22 +179,22 @@
     fn decide_step(&self, service: &str, record: &RolloutRecord, elapsed: Duration) -> RolloutStep {
         let state = self.lock();
         let slots = state.registry.slots_by_version(service);
-        let of = |tested: bool| {
-            let wanted = slots.iter();
-            let wanted = wanted.filter(|(version, _)| (**version == record.version) == tested);
-            wanted.map(|(_, slots)| slots).sum()
+        let slots_of = |tested: bool| {
+            let selected = slots.iter();
+            let selected = selected.filter(|(version, _)| (**version == record.version) == tested);
+            selected.map(|(_, slots)| slots).sum()
         };
         let sums: RolloutSums = state.evidence.sums(service, record);
         next_step(&RolloutFacts {
             record,
             elapsed,
-            slots: (of(true), of(false)),
+            slots: (slots_of(true), slots_of(false)),
             sums: &sums,
             rule: state.exposure,
         })
     }
 
-    async fn take_step(
+    async fn apply_step(
         &self,
         service: &str,
         record: &RolloutRecord,
@@ -210,14 +218,14 @@
             RolloutStep::Complete(cause) => end(true, cause),
             RolloutStep::Revert(cause) => end(false, cause),
         };
-        let outcome = self.roll(command).await;
+        let outcome = self.commit_rollout(command).await;
         if let Ok(RolloutOutcome::Held(Some(record))) = &outcome {
-            self.note_step(service, record);
+            self.record_step(service, record);
         }
         outcome.map(|_| ())
     }
 
-    fn note_step(&self, service: &str, record: &RolloutRecord) {
+    fn record_step(&self, service: &str, record: &RolloutRecord) {
         let sums = self.lock().evidence.sums(service, record);
         let ((tested, former), (tested_bad, former_bad)) = (sums.answers(), sums.failures());
         let detail = format!(
@@ -234,10 +242,10 @@
 }
 
 /// Moves the roll-outs on that are under way, while this control host leads.
-pub(super) async fn steer_rollouts(node: DirectoryNode) {
+pub(super) async fn advance_rollouts(node: DirectoryNode) {
     let mut ages = RolloutAges::default();
     loop {
-        sleep(STEER_PERIOD).await;
+        sleep(ADVANCE_INTERVAL).await;
         let book = node.rollouts();
         ages.retain(|service, revision| {
             let newest = book.newest(service);
@@ -252,7 +260,7 @@
             }
             let step = node.decide_step(service, record, elapsed);
             // What could not be committed is decided anew with the next look.
-            if let Err(error) = node.take_step(service, record, step).await {
+            if let Err(error) = node.apply_step(service, record, step).await {
                 let detail = format!("service={service} cause={error}");
                 node.record(EventCode::RolloutStepFailed, &detail);
             }
--- a/crates/directory/src/node/state/tests.rs
+++ b/crates/directory/src/node/state/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn record(number: u16) -> GatewayRecord {
-    GatewayRecord {
+fn record(number: u16) -> EntryHostRecord {
+    EntryHostRecord {
         name: format!("host-{number}"),
         hall: "hall".to_owned(),
         peer: SocketAddr::from(([127, 0, 0, 1], 1_000 + number)),
@@ -15,53 +15,59 @@
     let mut state = NodeState::default();
     for number in 0..hosts {
         let subscriber = SubscriberState {
-            control: false,
+            is_control: false,
             acknowledged: 0,
-            gateway: None,
+            entry_host: None,
             document_version: 0,
-            want: None,
-            lists: true,
-            form: None,
+            document_request: None,
+            wants_lists: true,
+            message_version: None,
         };
         state.subscribers.insert(u64::from(number), subscriber);
         assert_eq!(
-            state.set_gateway(u64::from(number), Some(record(number))),
+            state.set_entry_host(u64::from(number), Some(record(number))),
             Some(true)
         );
     }
     state
 }
 
-fn names(list: &[GatewayRecord]) -> Vec<&str> {
+fn names(list: &[EntryHostRecord]) -> Vec<&str> {
     list.iter().map(|one| one.name.as_str()).collect()
 }
 
 /// The list was worked out anew for each subscriber at each change.
 #[test]
-fn the_list_of_entry_hosts_is_worked_out_once_a_change() {
+fn entry_host_list_is_built_once_per_change() {
     let (mut state, now) = (state(3), Instant::now());
-    let list = state.gateways(now);
+    let list = state.entry_hosts(now);
     assert_eq!(names(&list), ["host-0", "host-1", "host-2"]);
-    assert!(Arc::ptr_eq(&list, &state.gateways(now)));
-    assert_eq!(state.set_gateway(1, Some(record(1))), Some(false));
-    assert!(Arc::ptr_eq(&list, &state.gateways(now)));
-    assert_eq!(state.set_gateway(1, Some(record(7))), Some(true));
-    assert_eq!(names(&state.gateways(now)), ["host-0", "host-2", "host-7"]);
+    assert!(Arc::ptr_eq(&list, &state.entry_hosts(now)));
+    assert_eq!(state.set_entry_host(1, Some(record(1))), Some(false));
+    assert!(Arc::ptr_eq(&list, &state.entry_hosts(now)));
+    assert_eq!(state.set_entry_host(1, Some(record(7))), Some(true));
     assert_eq!(
-        state.set_gateway(9, None),
+        names(&state.entry_hosts(now)),
+        ["host-0", "host-2", "host-7"]
+    );
+    assert_eq!(
+        state.set_entry_host(9, None),
         None,
         "a subscriber that is not known"
     );
 }
 
 #[test]
-fn a_host_that_was_lost_is_told_on_and_no_longer() {
+fn disconnected_entry_host_is_listed_for_the_retention_time() {
     let (mut state, now) = (state(2), Instant::now());
-    state.lose_subscriber(0, now);
-    assert_eq!(names(&state.gateways(now)), ["host-0", "host-1"]);
-    let before = now + LOST_GATEWAY_TOLD - Duration::from_millis(1);
-    assert_eq!(names(&state.gateways(before)), ["host-0", "host-1"]);
-    assert_eq!(names(&state.gateways(now + LOST_GATEWAY_TOLD)), ["host-1"]);
+    state.mark_subscriber_lost(0, now);
+    assert_eq!(names(&state.entry_hosts(now)), ["host-0", "host-1"]);
+    let before = now + LOST_ENTRY_HOST_RETENTION - Duration::from_millis(1);
+    assert_eq!(names(&state.entry_hosts(before)), ["host-0", "host-1"]);
+    assert_eq!(
+        names(&state.entry_hosts(now + LOST_ENTRY_HOST_RETENTION)),
+        ["host-1"]
+    );
 }
 
 /// Prints what the list of 295 entry hosts costs each of as many subscribers at a change, in
@@ -73,98 +79,103 @@
     let (mut state, now) = (state(HOSTS), Instant::now());
     let began = Instant::now();
     for _ in 0..HOSTS {
-        state.gateway_list = None;
-        let _ = state.gateways(now);
+        state.cached_list = None;
+        let _ = state.entry_hosts(now);
     }
     let anew = began.elapsed().as_secs_f64() * 1_000.0;
     let began = Instant::now();
-    state.gateway_list = None;
+    state.cached_list = None;
     for _ in 0..HOSTS {
-        let _ = state.gateways(now);
+        let _ = state.entry_hosts(now);
     }
-    let kept = began.elapsed().as_secs_f64() * 1_000.0;
-    println!("list of {HOSTS} hosts for {HOSTS} subscribers: {anew:.2} ms anew, {kept:.2} ms kept");
+    let cached = began.elapsed().as_secs_f64() * 1_000.0;
+    println!(
+        "list of {HOSTS} hosts for {HOSTS} subscribers: {anew:.2} ms anew, {cached:.2} ms kept"
+    );
 }
 
 fn control(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 2], 1_000 + number))
 }
 
-fn heard(numbers: &[u16]) -> OwnGateways {
-    OwnGateways {
-        heard: numbers.iter().map(|number| record(*number)).collect(),
-        lost: Vec::new(),
+fn connected(numbers: &[u16]) -> LocalEntryHosts {
+    LocalEntryHosts {
+        connected: numbers.iter().map(|number| record(*number)).collect(),
+        disconnected: Vec::new(),
     }
 }
 
 /// An entry host follows a few control hosts, so that none hears all of them.
 #[test]
-fn entry_hosts_that_other_control_hosts_hear_are_told_too() {
+fn entry_hosts_of_other_control_hosts_are_listed() {
     let (mut state, now) = (state(2), Instant::now());
-    state.take_gateways(control(0), heard(&[1, 5]));
-    state.take_gateways(control(1), heard(&[5, 8]));
+    state.set_remote_entry_hosts(control(0), connected(&[1, 5]));
+    state.set_remote_entry_hosts(control(1), connected(&[5, 8]));
     assert_eq!(
-        names(&state.gateways(now)),
+        names(&state.entry_hosts(now)),
         ["host-0", "host-1", "host-5", "host-8"]
     );
-    assert_eq!(*state.own_gateways(now), heard(&[0, 1]));
-    state.take_gateways(control(1), heard(&[8]));
-    state.take_gateways(control(0), heard(&[1]));
-    assert_eq!(names(&state.gateways(now)), ["host-0", "host-1", "host-8"]);
+    assert_eq!(*state.local_entry_hosts(now), connected(&[0, 1]));
+    state.set_remote_entry_hosts(control(1), connected(&[8]));
+    state.set_remote_entry_hosts(control(0), connected(&[1]));
+    assert_eq!(
+        names(&state.entry_hosts(now)),
+        ["host-0", "host-1", "host-8"]
+    );
 }
 
 #[test]
-fn whoever_heard_that_an_entry_host_stops_is_right() {
+fn announced_stop_overrides_other_reports() {
     let (mut state, now) = (state(1), Instant::now());
-    let mut stopping = heard(&[0]);
-    stopping.heard[0].stopping = true;
-    state.take_gateways(control(0), stopping.clone());
-    assert_eq!(state.gateways(now).to_vec(), stopping.heard);
+    let mut stopping = connected(&[0]);
+    stopping.connected[0].stopping = true;
+    state.set_remote_entry_hosts(control(0), stopping.clone());
+    assert_eq!(state.entry_hosts(now).to_vec(), stopping.connected);
 }
 
 #[test]
-fn entry_hosts_of_a_lost_control_host_are_told_on_until_they_have_found_another() {
+fn entry_hosts_of_a_lost_control_host_stay_listed_while_they_reconnect() {
     let (mut state, now) = (state(1), Instant::now());
-    state.take_gateways(control(0), heard(&[5]));
-    state.lose_control(control(0), now);
-    assert_eq!(names(&state.gateways(now)), ["host-0", "host-5"]);
-    let later = now + LOST_GATEWAY_TOLD;
-    assert_eq!(names(&state.gateways(later)), ["host-0"]);
+    state.set_remote_entry_hosts(control(0), connected(&[5]));
+    state.mark_control_lost(control(0), now);
+    assert_eq!(names(&state.entry_hosts(now)), ["host-0", "host-5"]);
+    let later = now + LOST_ENTRY_HOST_RETENTION;
+    assert_eq!(names(&state.entry_hosts(later)), ["host-0"]);
 }
 
 /// Two control hosts lose an entry host in turn, each while the other still tells that it hears it: neither may take
 /// the other's word for more than that.
 #[test]
-fn an_entry_host_that_all_control_hosts_lose_is_told_on_by_each() {
+fn entry_host_lost_by_all_control_hosts_stays_listed_by_each() {
     let (mut first, now) = (state(2), Instant::now());
     let mut second = state(2);
-    let tell = |from: &mut NodeState, to: &mut NodeState, number| {
-        to.take_gateways(control(number), (*from.own_gateways(now)).clone());
+    let send = |from: &mut NodeState, to: &mut NodeState, number| {
+        to.set_remote_entry_hosts(control(number), (*from.local_entry_hosts(now)).clone());
     };
-    tell(&mut first, &mut second, 0);
-    tell(&mut second, &mut first, 1);
-    first.lose_subscriber(1, now);
-    tell(&mut first, &mut second, 0);
-    second.lose_subscriber(1, now);
-    tell(&mut second, &mut first, 1);
-    tell(&mut first, &mut second, 0);
+    send(&mut first, &mut second, 0);
+    send(&mut second, &mut first, 1);
+    first.mark_subscriber_lost(1, now);
+    send(&mut first, &mut second, 0);
+    second.mark_subscriber_lost(1, now);
+    send(&mut second, &mut first, 1);
+    send(&mut first, &mut second, 0);
     for state in [&mut first, &mut second] {
-        assert_eq!(names(&state.gateways(now)), ["host-0", "host-1"]);
+        assert_eq!(names(&state.entry_hosts(now)), ["host-0", "host-1"]);
     }
     // A third one, which never heard it, tells it too.
     let mut third = state(1);
-    tell(&mut second, &mut third, 1);
-    assert_eq!(names(&third.gateways(now)), ["host-0", "host-1"]);
+    send(&mut second, &mut third, 1);
+    assert_eq!(names(&third.entry_hosts(now)), ["host-0", "host-1"]);
 }
 
 /// It has left this control host for another one, and ends there: nothing here brings it back.
 #[test]
-fn an_entry_host_that_went_to_another_control_host_is_not_told_as_lost_here() {
+fn entry_host_that_moved_is_not_listed_as_disconnected() {
     let (mut state, now) = (state(2), Instant::now());
-    state.lose_subscriber(1, now);
-    assert_eq!(names(&state.gateways(now)), ["host-0", "host-1"]);
-    state.take_gateways(control(0), heard(&[1]));
-    assert_eq!(*state.own_gateways(now), heard(&[0]));
-    state.take_gateways(control(0), heard(&[]));
-    assert_eq!(names(&state.gateways(now)), ["host-0"]);
+    state.mark_subscriber_lost(1, now);
+    assert_eq!(names(&state.entry_hosts(now)), ["host-0", "host-1"]);
+    state.set_remote_entry_hosts(control(0), connected(&[1]));
+    assert_eq!(*state.local_entry_hosts(now), connected(&[0]));
+    state.set_remote_entry_hosts(control(0), connected(&[]));
+    assert_eq!(names(&state.entry_hosts(now)), ["host-0"]);
 }
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -13,86 +13,91 @@
 
 /// Heartbeats after which a target that was taken as ended is known to run on. One or two may have been on
 /// their way since before.
-const LIVING_HEARTBEATS: u64 = 3;
+const MIN_PROOF_HEARTBEATS: u64 = 3;
 
 /// How often it is looked whether the log lacks a held request. A request that came to be held less than that
 /// before all power was lost is found out anew.
-const KEEPING_PERIOD: Duration = Duration::from_millis(250);
+const PERSIST_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The last heartbeat of each start of a target when its end was first heard of here.
 #[derive(Default)]
-pub(crate) struct LivingTargets {
+pub(crate) struct LivenessProbes {
     sequences: HashMap<EndKey, u64>,
 }
 
-impl LivingTargets {
+impl LivenessProbes {
     /// Takes a heartbeat that is known of a start whose end is held against requests; says whether it
     /// proves that there was no end.
-    fn take(&mut self, end: EndKey, sequence: u64) -> bool {
+    fn proves_running(&mut self, end: EndKey, sequence: u64) -> bool {
         let first = *self.sequences.entry(end).or_insert(sequence);
-        sequence >= first + LIVING_HEARTBEATS
+        sequence >= first + MIN_PROOF_HEARTBEATS
     }
 }
 
 impl NodeState {
     /// Takes back the ends of targets that run on; returns the requests that they were held against.
-    fn retract_living(&mut self) -> Vec<RequestKey> {
+    fn retract_refuted_crashes(&mut self) -> Vec<RequestKey> {
         let targets = self.registry.records();
         let ends = targets.map(|one| (EndKey::new(&one.id, one.born), one.sequence));
         let known = self.suspects.known_ends();
-        let accused: Vec<(EndKey, u64)> = ends.filter(|(end, _)| known.contains(end)).collect();
-        let living = &mut self.living;
-        living.sequences.retain(|end, _| known.contains(end));
-        let mut freed = Vec::new();
-        for (end, sequence) in accused {
-            if living.take(end, sequence) {
-                freed.extend(self.suspects.retract(end));
+        let reported: Vec<(EndKey, u64)> = ends.filter(|(end, _)| known.contains(end)).collect();
+        let probes = &mut self.liveness_probes;
+        probes.sequences.retain(|end, _| known.contains(end));
+        let mut cleared = Vec::new();
+        for (end, sequence) in reported {
+            if probes.proves_running(end, sequence) {
+                cleared.extend(self.suspects.retract(end));
             }
         }
-        freed
+        cleared
     }
 }
 
 impl NodeState {
     /// Says whether a control host is known that speaks the first form only.
-    pub(super) fn has_first_form_control(&self) -> bool {
+    pub(super) fn has_v1_control(&self) -> bool {
         let mut subscribers = self.subscribers.values();
-        subscribers.any(|one| one.control && one.form == Some(MessageForm::First))
+        subscribers.any(|one| one.is_control && one.message_version == Some(MessageForm::First))
     }
 
     /// Says whether all control hosts that are connected know of roll-outs.
-    pub(super) fn knows_rollouts(&self) -> bool {
-        let mut controls = self.subscribers.values().filter(|one| one.control);
-        controls.all(|one| one.form >= Some(MessageForm::Third))
+    pub(super) fn all_controls_support_rollouts(&self) -> bool {
+        let mut controls = self.subscribers.values().filter(|one| one.is_control);
+        controls.all(|one| one.message_version >= Some(MessageForm::Third))
     }
 }
 
 impl DirectoryNode {
     /// Notes the form that a subscriber speaks, which it did not announce.
-    pub(crate) fn note_form(&self, subscriber: u64, peer: &str, form: MessageForm) {
+    pub(crate) fn record_message_version(
+        &self,
+        subscriber: u64,
+        peer: &str,
+        message_version: MessageForm,
+    ) {
         if let Some(known) = self.lock().subscribers.get_mut(&subscriber) {
-            known.form = Some(form);
+            known.message_version = Some(message_version);
         }
-        let detail = format!("peer={peer} form={form}");
+        let detail = format!("peer={peer} form={message_version}");
         self.record(EventCode::PeerEarlier, &detail);
     }
 
     /// Takes what another process holds against requests, and tells the others what is news to them.
-    pub(crate) fn take_suspects(&self, records: &[SuspectRecord]) {
+    pub(crate) fn merge_suspects(&self, records: &[SuspectRecord]) {
         if records.is_empty() {
             return;
         }
         let now = Instant::now();
-        let mut news = false;
+        let mut changed = false;
         {
             let mut state = self.lock();
             let book = &mut state.suspects;
             for record in records {
-                news |= book.merge(record, now) && book.is_shared(record.subject.key);
+                changed |= book.merge(record, now) && book.is_shared(record.subject.key);
             }
         }
-        if news {
-            self.wake();
+        if changed {
+            self.notify_subscribers();
         }
     }
 
@@ -112,52 +117,52 @@
         if known {
             let detail = format!("key={key} cause=an operator");
             self.record(EventCode::RequestReleased, &detail);
-            self.wake();
+            self.notify_subscribers();
         }
         known
     }
 
     /// Decides on requests, takes back what did not hold, and forgets what is old.
-    pub(crate) fn keep_suspects(&self, now: Instant) {
+    pub(crate) fn update_suspects(&self, now: Instant) {
         let mut state = self.lock();
         if state.suspects.is_empty() {
             return;
         }
         let before = state.suspects.number();
         state.suspects.settle(now);
-        let freed = state.retract_living();
+        let cleared = state.retract_refuted_crashes();
         state.suspects.expire(now);
         let changed = state.suspects.number() != before;
         drop(state);
-        for key in freed {
+        for key in cleared {
             let detail = format!("key={key} cause=its target runs on");
             self.record(EventCode::RequestAcquitted, &detail);
         }
         if changed {
-            self.wake();
+            self.notify_subscribers();
         }
     }
 }
 
 /// Takes the held requests that the log keeps, as after a start.
-pub(super) async fn take_held(node: DirectoryNode) {
-    let mut holds = node.shared.machine.holds();
-    holds.mark_changed();
-    while holds.changed().await.is_ok() {
+pub(super) async fn load_held_requests(node: DirectoryNode) {
+    let mut changes = node.shared.machine.held_request_changes();
+    changes.mark_changed();
+    while changes.changed().await.is_ok() {
         let kept = node.shared.machine.held_requests();
         if !kept.is_empty() {
             let detail = format!("requests={}", kept.len());
             node.record(EventCode::HoldKept, &detail);
         }
-        node.take_suspects(&kept);
+        node.merge_suspects(&kept);
     }
 }
 
 /// Has the log keep the requests that are held.
-pub(super) async fn keep_held(node: DirectoryNode) {
+pub(super) async fn persist_held_requests(node: DirectoryNode) {
     loop {
-        sleep(KEEPING_PERIOD).await;
-        node.keep_held().await;
+        sleep(PERSIST_INTERVAL).await;
+        node.persist_held_requests().await;
     }
 }
 
--- a/crates/directory/src/node/suspects/tests.rs
+++ b/crates/directory/src/node/suspects/tests.rs
@@ -25,32 +25,38 @@
 
 /// A cut that refuses connections looks like the end of a target until it heals.
 #[test]
-fn an_end_is_taken_back_when_the_same_start_goes_on_sending_heartbeats() {
+fn crash_is_retracted_when_the_same_incarnation_sends_heartbeats() {
     let now = Instant::now();
     let mut state = NodeState::default();
     let subject = RequestSubject::new("a", "GET", ["h", "/x"], b"");
-    state.registry.take_heartbeat(heartbeat(7, 20), now);
+    state.registry.apply_heartbeat(heartbeat(7, 20), now);
     state.suspects.accuse(&subject, EndKey::new("t", 7), now);
     for sequence in 20..23 {
-        state.registry.take_heartbeat(heartbeat(7, sequence), now);
-        assert!(state.retract_living().is_empty(), "heartbeat {sequence}");
+        state.registry.apply_heartbeat(heartbeat(7, sequence), now);
+        assert!(
+            state.retract_refuted_crashes().is_empty(),
+            "heartbeat {sequence}"
+        );
     }
-    state.registry.take_heartbeat(heartbeat(7, 23), now);
-    assert_eq!(state.retract_living(), [subject.key]);
+    state.registry.apply_heartbeat(heartbeat(7, 23), now);
+    assert_eq!(state.retract_refuted_crashes(), [subject.key]);
     assert!(state.suspects.records(now).is_empty());
 }
 
 #[test]
-fn heartbeats_of_the_next_start_take_nothing_back() {
+fn heartbeats_of_the_next_incarnation_retract_nothing() {
     let now = Instant::now();
     let mut state = NodeState::default();
     let subject = RequestSubject::new("a", "GET", ["h", "/x"], b"");
-    state.registry.take_heartbeat(heartbeat(7, 20), now);
+    state.registry.apply_heartbeat(heartbeat(7, 20), now);
     state.suspects.accuse(&subject, EndKey::new("t", 7), now);
-    assert!(state.retract_living().is_empty());
+    assert!(state.retract_refuted_crashes().is_empty());
     for sequence in 1..60 {
-        state.registry.take_heartbeat(heartbeat(8, sequence), now);
-        assert!(state.retract_living().is_empty(), "heartbeat {sequence}");
+        state.registry.apply_heartbeat(heartbeat(8, sequence), now);
+        assert!(
+            state.retract_refuted_crashes().is_empty(),
+            "heartbeat {sequence}"
+        );
     }
     assert_eq!(state.suspects.records(now).len(), 1);
 }
--- a/crates/directory/src/node/tasks.rs
+++ b/crates/directory/src/node/tasks.rs
@@ -8,40 +8,40 @@
 use super::DirectoryNode;
 
 /// How often targets are checked for silence.
-const EXPIRY_TICK: Duration = Duration::from_millis(250);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(super) async fn expire_targets(node: DirectoryNode) {
     loop {
-        sleep(EXPIRY_TICK).await;
-        let span = node.shared.timing.silence;
-        let silent = node.lock().registry.expire(Instant::now(), span);
+        sleep(EXPIRY_INTERVAL).await;
+        let silence_timeout = node.shared.timing.silence_timeout;
+        let silent = node.lock().registry.expire(Instant::now(), silence_timeout);
         for id in &silent {
-            let detail = format!("silent_ms={}", span.as_millis());
+            let detail = format!("silent_ms={}", silence_timeout.as_millis());
             node.shared
                 .recorder
                 .record(EventCode::TargetSilent, id, detail);
         }
         if !silent.is_empty() {
-            node.wake();
+            node.notify_subscribers();
         }
-        node.keep_suspects(Instant::now());
-        node.keep_rates();
+        node.update_suspects(Instant::now());
+        node.expire_rate_limits();
     }
 }
 
 /// Wakes the pushes once what this host holds by agreement may be told.
 pub(super) async fn announce_state(node: DirectoryNode) {
     let mut changes = node.shared.replica.changes();
-    while !node.tells_state() {
+    while !node.may_announce_state() {
         // Also looks by itself, since the wait for a leader ends without a change.
-        let _ = timeout(EXPIRY_TICK, changes.changed()).await;
+        let _ = timeout(EXPIRY_INTERVAL, changes.changed()).await;
     }
-    node.wake();
+    node.notify_subscribers();
 }
 
 pub(super) async fn announce_documents(node: DirectoryNode) {
     let mut changes = node.shared.machine.changes();
     while changes.changed().await.is_ok() {
-        node.wake();
+        node.notify_subscribers();
     }
 }
--- a/crates/directory/src/payload.rs
+++ b/crates/directory/src/payload.rs
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 use zstd::stream::{Decoder, Encoder};
 
-use crate::{ContentHash, Document, DocumentKey, HeldDocument};
+use crate::{ContentHash, Document, DocumentKey, StoredDocument};
 
 /// Level of compression: the library's usual one. A configuration of 0.8 MB is packed to 120 KB.
-const LEVEL: i32 = 3;
+const COMPRESSION_LEVEL: i32 = 3;
 
 /// Bounds of the window of the compression, as powers of two: it has to reach back over the whole
 /// base, and a window of more than 128 MB would be refused on reading.
-const LEAST_WINDOW: u32 = 10;
-const MOST_WINDOW: u32 = 27;
+const MIN_WINDOW_LOG: u32 = 10;
+const MAX_WINDOW_LOG: u32 = 27;
 
 /// The largest configuration that is unpacked, in bytes; operators cannot send one as large.
 const MAX_DOCUMENT_BYTES: u64 = 32 * 1024 * 1024;
@@ -42,21 +42,21 @@
 
 /// Why a payload brought no configuration.
 #[derive(Debug, Display, derive_more::Error)]
-pub enum PayloadFault {
+pub enum PayloadError {
     /// The bytes are not those that the key names.
     #[display("the bytes differ from their hash")]
-    Damaged,
+    HashMismatch,
     /// It tells changes against a configuration that is not here.
     #[display("it is based on {_0}, which is not held")]
     #[error(ignore)]
-    OtherBase(DocumentKey),
+    MissingBase(DocumentKey),
     /// The bytes cannot be unpacked.
     #[display("unpacking: {_0}")]
-    Unpacking(io::Error),
+    Decompression(io::Error),
     /// What was unpacked is not the configuration that the key names.
     #[display("it brought other content than {_0}")]
     #[error(ignore)]
-    OtherContent(DocumentKey),
+    ContentMismatch(DocumentKey),
 }
 
 impl DocumentPayload {
@@ -65,11 +65,11 @@
     /// # Errors
     ///
     /// The error of the compression.
-    pub fn new(document: &HeldDocument, base: Option<&HeldDocument>) -> io::Result<Self> {
+    pub fn new(document: &StoredDocument, base: Option<&StoredDocument>) -> io::Result<Self> {
         let bytes = pack(document.body(), base.map_or(&[], |base| base.body()))?;
         let key = PayloadKey {
             document: document.key(),
-            base: base.map(HeldDocument::key),
+            base: base.map(StoredDocument::key),
             length: bytes.len() as u32,
             hash: ContentHash::new(&bytes),
         };
@@ -96,33 +96,33 @@
     /// # Errors
     ///
     /// [`PayloadFault`]; nothing of it may be used then.
-    pub fn unpack(&self, base: Option<&HeldDocument>) -> Result<HeldDocument, PayloadFault> {
+    pub fn unpack(&self, base: Option<&StoredDocument>) -> Result<StoredDocument, PayloadError> {
         if ContentHash::new(&self.bytes) != self.key.hash {
-            return Err(PayloadFault::Damaged);
+            return Err(PayloadError::HashMismatch);
         }
         let base_body = match self.key.base {
             None => &[][..],
             Some(wanted) => match base.filter(|base| base.key() == wanted) {
                 Some(base) => base.body(),
-                None => return Err(PayloadFault::OtherBase(wanted)),
+                None => return Err(PayloadError::MissingBase(wanted)),
             },
         };
-        let body = unpack(&self.bytes, base_body).map_err(PayloadFault::Unpacking)?;
-        let held = HeldDocument::new(Document {
+        let body = unpack(&self.bytes, base_body).map_err(PayloadError::Decompression)?;
+        let stored = StoredDocument::new(Document {
             version: self.key.document.version,
             body,
         });
-        if held.key() != self.key.document {
-            return Err(PayloadFault::OtherContent(self.key.document));
+        if stored.key() != self.key.document {
+            return Err(PayloadError::ContentMismatch(self.key.document));
         }
-        Ok(held)
+        Ok(stored)
     }
 }
 
 fn pack(body: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
-    let mut encoder = Encoder::with_ref_prefix(Vec::new(), LEVEL, base)?;
-    let reach = (body.len() + base.len()).max(1).ilog2() + 1;
-    encoder.window_log(reach.clamp(LEAST_WINDOW, MOST_WINDOW))?;
+    let mut encoder = Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
+    let window_log = (body.len() + base.len()).max(1).ilog2() + 1;
+    encoder.window_log(window_log.clamp(MIN_WINDOW_LOG, MAX_WINDOW_LOG))?;
     // Finds what both have in common also where it lies far apart.
     encoder.long_distance_matching(!base.is_empty())?;
     encoder.set_pledged_src_size(Some(body.len() as u64))?;
--- a/crates/directory/src/registry/address.rs
+++ b/crates/directory/src/registry/address.rs
@@ -13,23 +13,23 @@
 
     /// Says whether a target is new and would take the address of another one, which depends on the services
     /// that are named.
-    pub(crate) fn is_newcomer(&self, record: &TargetRecord) -> bool {
-        !self.held.contains_key(&record.id) && self.has_live_other(record)
+    pub(crate) fn is_new_at_used_address(&self, record: &TargetRecord) -> bool {
+        !self.targets.contains_key(&record.id) && self.shares_live_address(record)
     }
 
-    pub(super) fn is_named(&self, service: &str) -> bool {
+    pub(super) fn is_configured(&self, service: &str) -> bool {
         let services = self.services.as_ref();
-        services.is_none_or(|names| names.contains(service))
+        services.is_none_or(|services| services.contains(service))
     }
 
     /// Says whether a target is called silent while another one serves at its address.
-    pub(super) fn is_contested(&self, id: &str) -> bool {
-        let held = self.held.get(id);
-        held.is_some_and(|held| held.record.silent && self.has_live_other(&held.record))
+    pub(super) fn is_address_taken(&self, id: &str) -> bool {
+        let entry = self.targets.get(id);
+        entry.is_some_and(|entry| entry.record.silent && self.shares_live_address(&entry.record))
     }
 
-    pub(super) fn has_live_other(&self, record: &TargetRecord) -> bool {
-        let mut others = self.held.values().map(|held| &held.record);
+    pub(super) fn shares_live_address(&self, record: &TargetRecord) -> bool {
+        let mut others = self.targets.values().map(|entry| &entry.record);
         others.any(|other| {
             other.id != record.id
                 && other.address == record.address
@@ -39,17 +39,17 @@
     }
 
     // An address belongs to one start at a time, so one that serves there ends the others.
-    pub(super) fn retire_others(&mut self, record: &TargetRecord, now: Instant) {
-        let others = self.held.values_mut().filter(|held| {
-            held.record.address == record.address
-                && held.record.id != record.id
-                && held.record.state != TargetState::Gone
+    pub(super) fn retire_others_at_address(&mut self, record: &TargetRecord, now: Instant) {
+        let others = self.targets.values_mut().filter(|entry| {
+            entry.record.address == record.address
+                && entry.record.id != record.id
+                && entry.record.state != TargetState::Gone
         });
         let mut retired = Vec::new();
-        for held in others {
-            held.record.state = TargetState::Gone;
-            held.heard = now;
-            retired.push(held.record.id.clone());
+        for entry in others {
+            entry.record.state = TargetState::Gone;
+            entry.last_heartbeat = now;
+            retired.push(entry.record.id.clone());
         }
         retired.iter().for_each(|id| self.mark_changed(id));
     }
