--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -12,25 +12,25 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 
-use crate::first_form::{FirstReport, FirstUpdate};
-use crate::gateway_push::GatewayPush;
+use crate::document_sender::DocumentSender;
+use crate::entry_host_push::EntryHostPush;
 use crate::message::ReportTail;
+use crate::message_v1::{DirectoryUpdateV1, SubscriberReportV1};
 use crate::node::SubscriberState;
-use crate::sending::DocumentSending;
 use crate::{
-    DirectoryNode, DirectoryUpdate, DocumentKey, EvacuationBook, GatewayRecord, OwnGateways,
+    DirectoryNode, DirectoryUpdate, DocumentKey, EntryHostRecord, EvacuationStore, LocalEntryHosts,
     SubscriberHello, SubscriberReport,
 };
 
 use additions::{
-    add_document, add_evacuations, add_gateways, add_heard, add_rollouts, add_withdrawn,
+    add_document, add_entry_hosts, add_evacuations, add_heartbeats, add_rollouts, add_withdrawn,
 };
 
 /// Between two signs of life to a subscriber.
-pub(crate) const UPDATE_PERIOD: Duration = Duration::from_millis(400);
+pub(crate) const UPDATE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A side from which no byte came for so long is taken as lost.
-pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(1_600);
+pub(crate) const PEER_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// Time between two updates to one entry host for each subscriber, so that the work for updates does not
 /// grow with what changes: 2,900 updates a second at most, whatever the fleet. When 285 targets
@@ -38,44 +38,44 @@
 /// leader was elected 1.9 s after the start. With this and the list that is kept a control host of that
 /// fleet used 0.048 cores in place of 0.157 on the mean of a day, and the first election came 0.35 s
 /// after the start.
-const SPAN_PER_SUBSCRIBER: Duration = Duration::from_micros(350);
+const UPDATE_SPACING_PER_SUBSCRIBER: Duration = Duration::from_micros(350);
 
 /// Targets in one update, at most. A subscriber whose link is slow or that has just come gets the rest when
 /// this part has passed, so a control host keeps one part for each of them and not all that they lack: with
 /// 300 machines and 3,000 targets that was up to 222 of its 256 MB after all were killed.
-const TARGETS_AT_ONCE: usize = 128;
+const MAX_TARGETS_PER_UPDATE: usize = 128;
 
 /// Records of requests that may end targets in one message, at most: some 20 KB.
-pub(crate) const SUSPECTS_AT_ONCE: usize = 64;
+pub(crate) const MAX_SUSPECTS_PER_MESSAGE: usize = 64;
 
 /// Rates of targets in one message, at most: some 8 KB.
-pub(crate) const RATES_AT_ONCE: usize = 256;
+pub(crate) const MAX_RATE_LIMITS_PER_MESSAGE: usize = 256;
 
 /// What was pushed to one subscriber so far.
 struct Pushed {
     subscriber: u64,
-    control: bool,
+    is_control: bool,
     offer: Option<DocumentKey>,
-    evacuations: Option<Arc<EvacuationBook>>,
+    evacuations: Option<Arc<EvacuationStore>>,
     rollouts: Option<Arc<RolloutBook>>,
     /// The number of the last change up to which it was told of counts for roll-outs.
-    counted: u64,
-    sending: DocumentSending,
-    number: u64,
+    counts_sent: u64,
+    sender: DocumentSender,
+    revision: u64,
     /// The number of the last change up to which it was told of targets that withdrew.
-    withdrawn: u64,
-    gateways: GatewayPush<[GatewayRecord]>,
+    withdrawn_sent: u64,
+    entry_hosts: EntryHostPush<[EntryHostRecord]>,
     /// The same for another control host, which is told of those that this one hears itself.
-    own_gateways: GatewayPush<OwnGateways>,
+    local_entry_hosts: EntryHostPush<LocalEntryHosts>,
     /// When the next list of entry hosts is due, where one is held back.
     next_list: Option<Duration>,
-    controls: Vec<std::net::SocketAddr>,
+    control_addresses: Vec<std::net::SocketAddr>,
     /// When it was last told of heartbeats.
-    heard: Option<Instant>,
+    heartbeats_sent: Option<Instant>,
     /// The number of the last change of what is held against requests that it was told.
-    suspects: u64,
+    suspects_sent: u64,
     /// The number of the last change of a target's rate that it was told.
-    rates: u64,
+    rate_limits_sent: u64,
 }
 
 /// Pushes the directory to one subscriber until it is lost.
@@ -88,84 +88,96 @@
     reader: PeerReader,
     writer: PeerWriter,
 ) -> Result<(), WireError> {
-    let mut reader = reader.with_silence_limit(SILENCE_LIMIT);
-    let writer = writer.with_silence_limit(SILENCE_LIMIT);
+    let mut reader = reader.with_silence_limit(PEER_SILENCE_TIMEOUT);
+    let writer = writer.with_silence_limit(PEER_SILENCE_TIMEOUT);
     let hello: SubscriberHello = reader.receive().await?;
-    let wanted = Arc::new(Notify::new());
-    let (told, form) = watch::channel(reader.form());
-    let number = add_subscriber(node, &hello, reader.form());
-    let taking = take_reports(node, number, &wanted, told, reader);
-    let pushing = push_updates(node, number, &hello, &wanted, form, writer);
+    let request_changed = Arc::new(Notify::new());
+    let (version_sender, message_version) = watch::channel(reader.form());
+    let subscriber = add_subscriber(node, &hello, reader.form());
+    let receiving = receive_reports(node, subscriber, &request_changed, version_sender, reader);
+    let sending = push_updates(
+        node,
+        subscriber,
+        &hello,
+        &request_changed,
+        message_version,
+        writer,
+    );
     // Either half ending means that the subscriber is lost.
     let outcome = tokio::select! {
-        outcome = taking => outcome,
-        outcome = pushing => outcome,
+        outcome = receiving => outcome,
+        outcome = sending => outcome,
     };
-    remove_subscriber(node, number);
+    unregister_subscriber(node, subscriber);
     outcome
 }
 
-fn add_subscriber(node: &DirectoryNode, hello: &SubscriberHello, form: Option<MessageForm>) -> u64 {
+fn add_subscriber(
+    node: &DirectoryNode,
+    hello: &SubscriberHello,
+    message_version: Option<MessageForm>,
+) -> u64 {
     let mut state = node.lock();
-    state.next_subscriber += 1;
-    let number = state.next_subscriber;
+    state.last_subscriber_id += 1;
+    let id = state.last_subscriber_id;
     let subscriber = SubscriberState {
-        control: hello.control,
+        is_control: hello.is_control,
         acknowledged: 0,
-        gateway: None,
+        entry_host: None,
         document_version: 0,
-        want: None,
+        document_request: None,
         // A control host wants every target.
-        lists: hello.control,
-        form,
+        wants_lists: hello.is_control,
+        message_version,
     };
-    state.subscribers.insert(number, subscriber);
-    number
+    state.subscribers.insert(id, subscriber);
+    id
 }
 
-fn remove_subscriber(node: &DirectoryNode, number: u64) {
+fn unregister_subscriber(node: &DirectoryNode, subscriber: u64) {
     let mut state = node.lock();
-    state.lose_subscriber(number, Instant::now());
+    state.mark_subscriber_lost(subscriber, Instant::now());
     drop(state);
-    node.wake();
+    node.notify_subscribers();
     // Nobody waits for what it would have acknowledged.
-    node.note_acknowledged();
+    node.notify_acknowledged();
 }
 
-async fn take_reports(
+async fn receive_reports(
     node: &DirectoryNode,
-    number: u64,
-    wanted: &Notify,
-    told: watch::Sender<Option<MessageForm>>,
+    subscriber: u64,
+    request_changed: &Notify,
+    version_sender: watch::Sender<Option<MessageForm>>,
     mut reader: PeerReader,
 ) -> Result<(), WireError> {
     loop {
-        let report = receive_report(node, number, &told, &mut reader).await?;
-        node.take_suspects(&report.suspects);
-        node.take_rates(&report.rates);
-        node.take_counts(&report);
+        let report = receive_report(node, subscriber, &version_sender, &mut reader).await?;
+        node.merge_suspects(&report.suspects);
+        node.merge_rate_limits(&report.rate_limits);
+        node.record_counts(&report);
         let mut state = node.lock();
-        let Some(changes) = state.set_gateway(number, report.gateway) else {
+        let Some(changes) = state.set_entry_host(subscriber, report.entry_host) else {
             return Ok(());
         };
-        let Some(subscriber) = state.subscribers.get_mut(&number) else {
+        let Some(subscriber) = state.subscribers.get_mut(&subscriber) else {
             return Ok(());
         };
-        let acknowledges = subscriber.acknowledged != report.acknowledged;
-        let wants = subscriber.want != report.want || (report.lists && !subscriber.lists);
-        subscriber.lists = report.lists;
+        let newly_acknowledged = subscriber.acknowledged != report.acknowledged;
+        let requests_more = subscriber.document_request != report.document_request
+            || (report.wants_lists && !subscriber.wants_lists);
+        subscriber.wants_lists = report.wants_lists;
         subscriber.acknowledged = report.acknowledged;
         subscriber.document_version = report.document_version;
-        subscriber.want = report.want;
+        subscriber.document_request = report.document_request;
         drop(state);
-        if acknowledges {
-            node.note_acknowledged();
+        if newly_acknowledged {
+            node.notify_acknowledged();
         }
         if changes {
-            node.wake();
+            node.notify_subscribers();
         }
-        if wants {
-            wanted.notify_one();
+        if requests_more {
+            request_changed.notify_one();
         }
     }
 }
@@ -173,20 +185,20 @@
 /// Receives a report. The first one of a subscriber that announced no form tells it.
 async fn receive_report(
     node: &DirectoryNode,
-    number: u64,
-    told: &watch::Sender<Option<MessageForm>>,
+    subscriber: u64,
+    version_sender: &watch::Sender<Option<MessageForm>>,
     reader: &mut PeerReader,
 ) -> Result<SubscriberReport, WireError> {
     let known = reader.form();
-    let (mut report, tail, rates) = reader
-        .receive_tailed::<SubscriberReport, FirstReport, ReportTail, Vec<RateWord>>()
+    let (mut report, tail, rate_limits) = reader
+        .receive_tailed::<SubscriberReport, SubscriberReportV1, ReportTail, Vec<RateWord>>()
         .await?;
-    report.rates = rates;
-    report.start = tail.start;
-    report.counted = tail.counted;
-    if let (None, Some(form)) = (known, reader.form()) {
-        node.note_form(number, reader.peer(), form);
-        told.send_replace(Some(form));
+    report.rate_limits = rate_limits;
+    report.incarnation = tail.incarnation;
+    report.phase_counts = tail.phase_counts;
+    if let (None, Some(message_version)) = (known, reader.form()) {
+        node.record_message_version(subscriber, reader.peer(), message_version);
+        version_sender.send_replace(Some(message_version));
     }
     Ok(report)
 }
@@ -195,75 +207,82 @@
     node: &DirectoryNode,
     subscriber: u64,
     hello: &SubscriberHello,
-    wanted: &Notify,
-    mut form: watch::Receiver<Option<MessageForm>>,
+    request_changed: &Notify,
+    mut message_version: watch::Receiver<Option<MessageForm>>,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
     // Whoever takes the reports is gone, and with it the subscriber, where none came.
-    let Ok(form) = form.wait_for(Option::is_some).await.map(|form| *form) else {
+    let Ok(message_version) = message_version
+        .wait_for(Option::is_some)
+        .await
+        .map(|message_version| *message_version)
+    else {
         return Ok(());
     };
     let mut changes = node.changes();
     let mut pushed = Pushed {
         subscriber,
-        control: hello.control,
+        is_control: hello.is_control,
         offer: None,
         evacuations: None,
         rollouts: None,
-        counted: 0,
-        sending: DocumentSending::default(),
-        number: 0,
-        withdrawn: 0,
-        gateways: GatewayPush::default(),
-        own_gateways: GatewayPush::default(),
+        counts_sent: 0,
+        sender: DocumentSender::default(),
+        revision: 0,
+        withdrawn_sent: 0,
+        entry_hosts: EntryHostPush::default(),
+        local_entry_hosts: EntryHostPush::default(),
         next_list: None,
-        controls: Vec::new(),
-        heard: None,
-        suspects: 0,
-        rates: 0,
+        control_addresses: Vec::new(),
+        heartbeats_sent: None,
+        suspects_sent: 0,
+        rate_limits_sent: 0,
     };
     let mut last_sent: Option<Instant> = None;
     loop {
         changes.mark_unchanged();
         let update = next_update(node, &mut pushed);
-        let due = last_sent.is_none_or(|at| at.elapsed() >= UPDATE_PERIOD);
+        let due = last_sent.is_none_or(|at| at.elapsed() >= UPDATE_INTERVAL);
         if due || !is_empty(&update) {
             last_sent = Some(Instant::now());
-            send_update(&mut writer, form, &update).await?;
+            send_update(&mut writer, message_version, &update).await?;
         }
-        let is_part = update.part.is_some()
-            || update.targets.len() == TARGETS_AT_ONCE
-            || update.suspects.len() == SUSPECTS_AT_ONCE
-            || update.rates.len() == RATES_AT_ONCE;
-        if is_part {
+        let is_partial = update.part.is_some()
+            || update.targets.len() == MAX_TARGETS_PER_UPDATE
+            || update.suspects.len() == MAX_SUSPECTS_PER_MESSAGE
+            || update.rate_limits.len() == MAX_RATE_LIMITS_PER_MESSAGE;
+        if is_partial {
             // What else changed meanwhile goes out with the next part.
             continue;
         }
-        let patience = pushed.next_list.unwrap_or(UPDATE_PERIOD).min(UPDATE_PERIOD);
-        let span = push_span(hello.control, node.lock().subscribers.len());
+        let max_wait = pushed
+            .next_list
+            .unwrap_or(UPDATE_INTERVAL)
+            .min(UPDATE_INTERVAL);
+        let spacing = min_update_spacing(hello.is_control, node.lock().subscribers.len());
         let changed = async {
-            let _ = timeout(patience, changes.changed()).await;
-            let since = last_sent.map_or(span, |at| at.elapsed());
-            sleep(span.saturating_sub(since)).await;
+            let _ = timeout(max_wait, changes.changed()).await;
+            let since = last_sent.map_or(spacing, |at| at.elapsed());
+            sleep(spacing.saturating_sub(since)).await;
         };
         tokio::select! {
             () = changed => {}
-            () = wanted.notified() => {}
+            () = request_changed.notified() => {}
         }
     }
 }
 
 async fn send_update(
     writer: &mut PeerWriter,
-    form: Option<MessageForm>,
+    message_version: Option<MessageForm>,
     update: &DirectoryUpdate,
 ) -> Result<(), WireError> {
-    if form == Some(MessageForm::First) {
-        return writer.send(&FirstUpdate::from(update.clone())).await;
+    if message_version == Some(MessageForm::First) {
+        return writer.send(&DirectoryUpdateV1::from(update.clone())).await;
     }
     match update.tail() {
-        tail if !update.rates.is_empty() => {
-            let tails = (tail.unwrap_or_default(), &update.rates);
+        tail if !update.rate_limits.is_empty() => {
+            let tails = (tail.unwrap_or_default(), &update.rate_limits);
             writer.send(&(update, tails)).await
         }
         Some(tail) => writer.send(&(update, tail)).await,
@@ -273,11 +292,11 @@
 
 /// Returns the least time between two updates to one subscriber, of so many, beside parts of a
 /// configuration. Other control hosts are told at once: a target that leaves waits for them.
-fn push_span(control: bool, subscribers: usize) -> Duration {
-    if control {
+fn min_update_spacing(is_control: bool, subscribers: usize) -> Duration {
+    if is_control {
         return Duration::ZERO;
     }
-    SPAN_PER_SUBSCRIBER * subscribers as u32
+    UPDATE_SPACING_PER_SUBSCRIBER * subscribers as u32
 }
 
 fn is_empty(update: &DirectoryUpdate) -> bool {
@@ -285,72 +304,77 @@
         && update.part.is_none()
         && update.evacuations.is_none()
         && update.rollouts.is_none()
-        && update.counted.is_empty()
-        && update.own_gateways.is_none()
+        && update.reporter_counts.is_empty()
+        && update.local_entry_hosts.is_none()
         && update.targets.is_empty()
-        && update.gateways.is_none()
-        && update.controls.is_none()
-        && update.heard.is_empty()
+        && update.entry_hosts.is_none()
+        && update.control_addresses.is_none()
+        && update.heartbeats.is_empty()
         && update.suspects.is_empty()
-        && update.rates.is_empty()
+        && update.rate_limits.is_empty()
 }
 
 fn next_update(node: &DirectoryNode, pushed: &mut Pushed) -> DirectoryUpdate {
     let mut update = DirectoryUpdate {
-        unled: !pushed.control && !node.replica().hears_leader(),
+        leaderless: !pushed.is_control && !node.replica().hears_leader(),
         ..DirectoryUpdate::default()
     };
-    if !pushed.control && node.tells_state() {
+    if !pushed.is_control && node.may_announce_state() {
         add_evacuations(node, pushed, &mut update);
         add_rollouts(node, pushed, &mut update);
         add_document(node, pushed, &mut update);
     }
-    let controls = node.controls();
-    if controls != pushed.controls {
-        pushed.controls.clone_from(&controls);
-        update.controls = Some(controls);
+    let addresses = node.control_addresses();
+    if addresses != pushed.control_addresses {
+        pushed.control_addresses.clone_from(&addresses);
+        update.control_addresses = Some(addresses);
     }
     let mut state = node.lock();
     pushed.next_list = None;
     let now = Instant::now();
     // Two entry hosts may have no control host in common, so control hosts tell each other all.
-    let suspects = match pushed.control {
+    let suspects = match pushed.is_control {
         true => state
             .suspects
-            .changed_after(pushed.suspects, SUSPECTS_AT_ONCE, now),
+            .changed_after(pushed.suspects_sent, MAX_SUSPECTS_PER_MESSAGE, now),
         false => state
             .suspects
-            .shared_after(pushed.suspects, SUSPECTS_AT_ONCE, now),
+            .shared_after(pushed.suspects_sent, MAX_SUSPECTS_PER_MESSAGE, now),
     };
-    pushed.suspects = suspects.number;
+    pushed.suspects_sent = suspects.number;
     update.suspects = suspects.records;
-    let rates = state
-        .rates
-        .changed_after(pushed.rates, RATES_AT_ONCE, true, BootInstant::now());
-    pushed.rates = rates.number;
-    update.rates = rates.words;
-    if !state.wants_lists(pushed.subscriber) {
+    let rate_limits = state.rate_limits.changed_after(
+        pushed.rate_limits_sent,
+        MAX_RATE_LIMITS_PER_MESSAGE,
+        true,
+        BootInstant::now(),
+    );
+    pushed.rate_limits_sent = rate_limits.number;
+    update.rate_limits = rate_limits.words;
+    if !state.sends_lists_to(pushed.subscriber) {
         // All of it is told once it wants lists from here.
-        pushed.number = 0;
-        pushed.gateways = GatewayPush::default();
+        pushed.revision = 0;
+        pushed.entry_hosts = EntryHostPush::default();
         add_withdrawn(&state.registry, pushed, &mut update, now);
         return update;
     }
-    if state.registry.number() > pushed.number {
+    if state.registry.revision() > pushed.revision {
         let changed = state
             .registry
-            .changed_after(pushed.number, TARGETS_AT_ONCE, now);
+            .changed_after(pushed.revision, MAX_TARGETS_PER_UPDATE, now);
         update.targets = changed.records;
-        pushed.number = changed.number;
+        pushed.revision = changed.revision;
     }
-    update.number = pushed.number;
-    pushed.withdrawn = pushed.number;
-    let is_all = pushed.number >= state.registry.number();
-    add_gateways(&mut state, pushed, &mut update, now);
-    update.lists_whole = is_all && pushed.next_list.is_none() && node.has_heard_all();
-    if pushed.control {
-        (update.counted, pushed.counted) = state.evidence.changed_after(pushed.counted);
-        add_heard(&state.registry, pushed, &mut update, now);
+    update.revision = pushed.revision;
+    pushed.withdrawn_sent = pushed.revision;
+    let is_complete = pushed.revision >= state.registry.revision();
+    add_entry_hosts(&mut state, pushed, &mut update, now);
+    update.lists_complete =
+        is_complete && pushed.next_list.is_none() && node.is_discovery_complete();
+    if pushed.is_control {
+        (update.reporter_counts, pushed.counts_sent) =
+            state.evidence.changed_after(pushed.counts_sent);
+        add_heartbeats(&state.registry, pushed, &mut update, now);
     }
     update
 }
--- a/crates/directory/src/serve/additions.rs
+++ b/crates/directory/src/serve/additions.rs
@@ -2,47 +2,50 @@
 
 use std::time::Instant;
 
-use super::{Pushed, UPDATE_PERIOD};
-use crate::gateway_push::GatewayDue;
+use super::{Pushed, UPDATE_INTERVAL};
+use crate::entry_host_push::PushDue;
 use crate::node::NodeState;
 use crate::{DirectoryNode, DirectoryUpdate, Registry};
 
 /// Tells an entry host of all entry hosts, and another control host of those that this one hears.
-pub(super) fn add_gateways(
+pub(super) fn add_entry_hosts(
     state: &mut NodeState,
     pushed: &mut Pushed,
     update: &mut DirectoryUpdate,
     now: Instant,
 ) {
-    if pushed.control {
-        match pushed.own_gateways.due(state.own_gateways(now), now) {
-            GatewayDue::Never => {}
-            GatewayDue::Now(list) => update.own_gateways = Some((*list).clone()),
-            GatewayDue::After(span) => pushed.next_list = Some(span),
+    if pushed.is_control {
+        match pushed
+            .local_entry_hosts
+            .due(state.local_entry_hosts(now), now)
+        {
+            PushDue::UpToDate => {}
+            PushDue::Now(list) => update.local_entry_hosts = Some((*list).clone()),
+            PushDue::After(span) => pushed.next_list = Some(span),
         }
         return;
     }
-    match pushed.gateways.due(state.gateways(now), now) {
-        GatewayDue::Never => {}
-        GatewayDue::Now(list) => update.gateways = Some(list.to_vec()),
-        GatewayDue::After(span) => pushed.next_list = Some(span),
+    match pushed.entry_hosts.due(state.entry_hosts(now), now) {
+        PushDue::UpToDate => {}
+        PushDue::Now(list) => update.entry_hosts = Some(list.to_vec()),
+        PushDue::After(span) => pushed.next_list = Some(span),
     }
 }
 
 /// Tells another control host of the heartbeats that came since it was told last, a few times a second: told
 /// with each change of a target, the work for one heartbeat would grow with the changes of the fleet.
-pub(super) fn add_heard(
+pub(super) fn add_heartbeats(
     registry: &Registry,
     pushed: &mut Pushed,
     update: &mut DirectoryUpdate,
     now: Instant,
 ) {
-    let since = pushed.heard;
-    if since.is_some_and(|since| now.saturating_duration_since(since) < UPDATE_PERIOD) {
+    let since = pushed.heartbeats_sent;
+    if since.is_some_and(|since| now.saturating_duration_since(since) < UPDATE_INTERVAL) {
         return;
     }
-    update.heard = registry.heard_since(since, now);
-    pushed.heard = Some(now);
+    update.heartbeats = registry.heartbeats_since(since, now);
+    pushed.heartbeats_sent = Some(now);
 }
 
 /// Tells a subscriber that takes lists from others of the targets that get no new work, all the same: those
@@ -53,9 +56,9 @@
     update: &mut DirectoryUpdate,
     now: Instant,
 ) {
-    update.targets = registry.withdrawn_after(pushed.withdrawn, now);
-    update.number = registry.number();
-    pushed.withdrawn = update.number;
+    update.targets = registry.withdrawn_after(pushed.withdrawn_sent, now);
+    update.revision = registry.revision();
+    pushed.withdrawn_sent = update.revision;
 }
 
 pub(super) fn add_evacuations(
@@ -63,10 +66,10 @@
     pushed: &mut Pushed,
     update: &mut DirectoryUpdate,
 ) {
-    let held = node.evacuations();
-    if pushed.evacuations.as_ref() != Some(&held) {
-        update.evacuations = Some((*held).clone());
-        pushed.evacuations = Some(held);
+    let current = node.evacuations();
+    if pushed.evacuations.as_ref() != Some(&current) {
+        update.evacuations = Some((*current).clone());
+        pushed.evacuations = Some(current);
     }
 }
 
@@ -75,10 +78,10 @@
     pushed: &mut Pushed,
     update: &mut DirectoryUpdate,
 ) {
-    let held = node.rollouts();
-    if pushed.rollouts.as_ref() != Some(&held) {
-        update.rollouts = Some((*held).clone());
-        pushed.rollouts = Some(held);
+    let current = node.rollouts();
+    if pushed.rollouts.as_ref() != Some(&current) {
+        update.rollouts = Some((*current).clone());
+        pushed.rollouts = Some(current);
     }
 }
 
@@ -87,17 +90,17 @@
     pushed: &mut Pushed,
     update: &mut DirectoryUpdate,
 ) {
-    let held = node.held_document().map(|held| held.key());
-    if held != pushed.offer {
-        pushed.offer = held;
-        update.offer = held;
+    let current = node.current_document().map(|current| current.key());
+    if current != pushed.offer {
+        pushed.offer = current;
+        update.offer = current;
     }
-    let want = {
+    let request = {
         let state = node.lock();
         let subscriber = state.subscribers.get(&pushed.subscriber);
-        subscriber.and_then(|subscriber| subscriber.want.clone())
+        subscriber.and_then(|subscriber| subscriber.document_request.clone())
     };
-    let find = |want: &_| node.payload(want);
-    pushed.sending.take_want(want.as_ref(), find);
-    update.part = pushed.sending.next_part();
+    let find = |request: &_| node.payload(request);
+    pushed.sender.set_request(request.as_ref(), find);
+    update.part = pushed.sender.next_part();
 }
--- a/crates/directory/src/serve/tests.rs
+++ b/crates/directory/src/serve/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn updates_to_entry_hosts_are_spread_by_their_number_and_control_hosts_hear_at_once() {
-    assert_eq!(push_span(true, 300), Duration::ZERO);
-    assert!(push_span(false, 10) < Duration::from_millis(5));
-    let span = push_span(false, 300);
+fn update_spacing_grows_with_subscribers_but_not_for_control_hosts() {
+    assert_eq!(min_update_spacing(true, 300), Duration::ZERO);
+    assert!(min_update_spacing(false, 10) < Duration::from_millis(5));
+    let spacing = min_update_spacing(false, 300);
     assert!(
-        span > Duration::from_millis(100) && span < UPDATE_PERIOD / 3,
-        "{span:?}"
+        spacing > Duration::from_millis(100) && spacing < UPDATE_INTERVAL / 3,
+        "{spacing:?}"
     );
 }
--- a/crates/directory/src/serve_call.rs
+++ b/crates/directory/src/serve_call.rs
@@ -10,7 +10,7 @@
 use crate::message::{DirectoryCall, DirectoryReply};
 
 /// How long a voter has been silent when a new control host takes its place.
-const LOST_SILENCE: Duration = Duration::from_millis(900);
+const VOTER_LOST_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long a call may take to come in.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -41,7 +41,7 @@
                 cluster: status.cluster,
                 members: status.members,
                 leader: status.leader,
-                unled: status.last.index == 1,
+                founding_only: status.last.index == 1,
                 last: status.last.index,
             }
         }
@@ -54,21 +54,25 @@
         DirectoryCall::Join(mut member) => {
             if member.replaces.is_none() {
                 // A new host comes because one was lost: it takes the place of one that is silent.
-                member.replaces = node.replica().silent_voters(LOST_SILENCE).first().copied();
+                member.replaces = node
+                    .replica()
+                    .silent_voters(VOTER_LOST_TIMEOUT)
+                    .first()
+                    .copied();
             }
             let change = MemberChange::Add(member);
-            reply_of(
+            to_reply(
                 node.replica()
                     .change_members(&change)
                     .await
                     .map(|()| Vec::new()),
             )
         }
-        DirectoryCall::Command(command) => reply_of(node.replica().propose(command).await),
+        DirectoryCall::Command(command) => to_reply(node.replica().propose(command).await),
     }
 }
 
-fn reply_of(outcome: Result<Vec<u8>, ProposeError>) -> DirectoryReply {
+fn to_reply(outcome: Result<Vec<u8>, ProposeError>) -> DirectoryReply {
     match outcome {
         Ok(answer) => DirectoryReply::Answer(answer),
         Err(ProposeError::NotLeader { leader }) => {
--- a/crates/directory/src/view.rs
+++ b/crates/directory/src/view.rs
@@ -8,17 +8,17 @@
 use linnet_rollout::{RolloutBook, VersionStanding};
 
 use crate::{
-    DirectoryUpdate, EvacuationBook, GatewayRecord, HeldDocument, TargetRecord, TargetState,
+    DirectoryUpdate, EntryHostRecord, EvacuationStore, StoredDocument, TargetRecord, TargetState,
 };
 
 /// What one control host told.
 #[derive(Default)]
-struct Source {
+struct ControlSource {
     targets: HashMap<String, TargetRecord>,
-    gateways: Vec<GatewayRecord>,
+    entry_hosts: Vec<EntryHostRecord>,
     connected: bool,
     /// Whether it told all that there is to tell.
-    whole: bool,
+    complete: bool,
 }
 
 /// The union of what the control hosts told.
@@ -30,18 +30,18 @@
 /// its next heartbeat.
 #[derive(Default)]
 pub struct DirectoryView {
-    document: Option<Arc<HeldDocument>>,
-    sources: BTreeMap<SocketAddr, Source>,
+    document: Option<Arc<StoredDocument>>,
+    sources: BTreeMap<SocketAddr, ControlSource>,
     /// The newest start of a target that was called withdrawn.
     withdrawn: BTreeMap<String, u64>,
-    evacuations: EvacuationBook,
+    evacuations: EvacuationStore,
     rollouts: RolloutBook,
     /// Until when targets are cold, by identity.
     cold: HashMap<String, Instant>,
     /// The targets that took work when [`DirectoryView::list_changes`] looked last.
     listed: HashMap<String, TargetRecord>,
     /// The targets of which something was told since then.
-    told: BTreeSet<String>,
+    changed: BTreeSet<String>,
     /// Whether something changed since then that may concern every target.
     all_changed: bool,
 }
@@ -50,9 +50,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetChanges {
     /// These are all.
-    Whole(Vec<TargetRecord>),
+    All(Vec<TargetRecord>),
     /// A few have changed: what this costs follows from them, not from the size of the fleet.
-    Some {
+    Partial {
         /// Those that take work since then, or are another start, or differ.
         listed: Vec<TargetRecord>,
         /// Those that do not any more.
@@ -72,12 +72,13 @@
     }
 
     /// Takes what an update tells of targets and entry hosts.
-    pub fn take(&mut self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
+    pub fn apply_update(&mut self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
         let source = self.sources.entry(from).or_default();
         if !source.connected {
             // A control host that comes back tells everything it knows anew.
-            self.told.extend(source.targets.drain().map(|(id, _)| id));
-            *source = Source::default();
+            self.changed
+                .extend(source.targets.drain().map(|(id, _)| id));
+            *source = ControlSource::default();
             source.connected = true;
         }
         for record in update.targets {
@@ -90,37 +91,37 @@
             }
             if record.cold_ms > 0 {
                 let until = now + Duration::from_millis(u64::from(record.cold_ms));
-                note_cold(&mut self.cold, &record.id, until);
+                extend_cold(&mut self.cold, &record.id, until);
             }
-            self.told.insert(record.id.clone());
+            self.changed.insert(record.id.clone());
             let known = source.targets.get(&record.id);
             if known.is_none_or(|known| known.born <= record.born) {
                 source.targets.insert(record.id.clone(), record);
             }
         }
-        if let Some(gateways) = update.gateways {
-            source.gateways = gateways;
+        if let Some(entry_hosts) = update.entry_hosts {
+            source.entry_hosts = entry_hosts;
         }
-        if update.lists_whole && !source.whole {
-            source.whole = true;
-            self.forget_lost();
+        if update.lists_complete && !source.complete {
+            source.complete = true;
+            self.remove_lost_sources();
         }
-        if let Some(told) = &update.rollouts {
-            self.all_changed |= self.rollouts.merge(told);
+        if let Some(received) = &update.rollouts {
+            self.all_changed |= self.rollouts.merge(received);
         }
-        if let Some(told) = &update.evacuations {
+        if let Some(received) = &update.evacuations {
             self.all_changed = true;
-            let taken_back = self.evacuations.merge(told);
-            self.note_taken_back(&taken_back, now);
+            let returned = self.evacuations.merge(received);
+            self.extend_cold_of_halls(&returned, now);
         }
     }
 
-    fn note_taken_back(&mut self, halls: &[String], now: Instant) {
+    fn extend_cold_of_halls(&mut self, halls: &[String], now: Instant) {
         let until = now + COLD_AFTER_EVACUATION;
         let sources = self.sources.values();
         let records = sources.flat_map(|source| source.targets.values());
         for record in records.filter(|record| halls.contains(&record.hall)) {
-            note_cold(&mut self.cold, &record.id, until);
+            extend_cold(&mut self.cold, &record.id, until);
         }
     }
 
@@ -130,14 +131,14 @@
     }
 
     /// Returns the evacuations of halls.
-    pub fn evacuations(&self) -> &EvacuationBook {
+    pub fn evacuations(&self) -> &EvacuationStore {
         &self.evacuations
     }
 
     /// Takes a configuration; says whether it is newer than the one before.
-    pub fn take_document(&mut self, offered: HeldDocument) -> bool {
+    pub fn set_newer_document(&mut self, offered: StoredDocument) -> bool {
         let newer = match &self.document {
-            Some(held) => offered.version() > held.version(),
+            Some(current) => offered.version() > current.version(),
             None => true,
         };
         if newer {
@@ -147,24 +148,24 @@
     }
 
     /// Notes that a control host was lost.
-    pub fn lose(&mut self, from: SocketAddr) {
+    pub fn mark_control_lost(&mut self, from: SocketAddr) {
         if let Some(source) = self.sources.get_mut(&from) {
             source.connected = false;
         }
-        self.forget_lost();
+        self.remove_lost_sources();
     }
 
-    fn forget_lost(&mut self) {
-        let is_whole = |source: &Source| source.connected && source.whole;
-        if self.sources.values().any(is_whole) {
+    fn remove_lost_sources(&mut self) {
+        let is_complete = |source: &ControlSource| source.connected && source.complete;
+        if self.sources.values().any(is_complete) {
             let lost = self.sources.extract_if(.., |_, source| !source.connected);
             let forgotten = lost.flat_map(|(_, source)| source.targets.into_keys());
-            self.told.extend(forgotten);
+            self.changed.extend(forgotten);
         }
     }
 
     /// Returns the newest configuration that was told.
-    pub fn document(&self) -> Option<&Arc<HeldDocument>> {
+    pub fn document(&self) -> Option<&Arc<StoredDocument>> {
         self.document.as_ref()
     }
 
@@ -173,44 +174,47 @@
         self.sources.values().any(|source| source.connected)
     }
 
-    fn takes_work(&self, id: &str, record: &TargetRecord) -> bool {
+    fn is_available(&self, id: &str, record: &TargetRecord) -> bool {
         let withdrawn = self.withdrawn.get(id);
-        let withdrew = withdrawn.is_some_and(|born| *born >= record.born);
+        let is_withdrawn = withdrawn.is_some_and(|born| *born >= record.born);
         let standing = self.rollouts.standing_of(&record.service, &record.version);
         let is_closed = standing == VersionStanding::Closed;
-        !record.silent && !withdrew && !is_closed && !self.evacuations.is_evacuated(&record.hall)
+        !record.silent
+            && !is_withdrawn
+            && !is_closed
+            && !self.evacuations.is_evacuated(&record.hall)
     }
 
     /// Returns how the targets that take new work have changed since this was last asked.
-    pub fn list_changes(&mut self, now: Instant) -> TargetChanges {
-        let told = std::mem::take(&mut self.told);
+    pub fn take_changes(&mut self, now: Instant) -> TargetChanges {
+        let changed = std::mem::take(&mut self.changed);
         if std::mem::take(&mut self.all_changed) {
-            let ready = self.ready_targets(now);
-            let by_id = ready.iter().map(|one| (one.id.clone(), one.clone()));
+            let available = self.available_targets(now);
+            let by_id = available.iter().map(|one| (one.id.clone(), one.clone()));
             self.listed = by_id.collect();
-            return TargetChanges::Whole(ready);
+            return TargetChanges::All(available);
         }
         let (mut listed, mut unlisted) = (Vec::new(), Vec::new());
-        for id in told {
-            let ready = self.ready_target(&id, now);
+        for id in changed {
+            let available = self.available_target(&id, now);
             let known = self.listed.get(&id);
-            match (ready, known) {
-                (Some(ready), Some(known)) if ready == *known => {}
-                (Some(ready), _) => {
-                    self.listed.insert(id, ready.clone());
-                    listed.push(ready);
+            match (available, known) {
+                (Some(record), Some(known)) if record == *known => {}
+                (Some(record), _) => {
+                    self.listed.insert(id, record.clone());
+                    listed.push(record);
                 }
                 (None, _) => unlisted.extend(self.listed.remove(&id)),
             }
         }
-        TargetChanges::Some { listed, unlisted }
+        TargetChanges::Partial { listed, unlisted }
     }
 
     /// Has a target listed anew with the next look, where it still takes work: whoever asked for the changes has taken
     /// it out by itself.
-    pub fn list_again(&mut self, id: &str) {
+    pub fn relist(&mut self, id: &str) {
         if self.listed.remove(id).is_some() {
-            self.told.insert(id.to_owned());
+            self.changed.insert(id.to_owned());
         }
     }
 
@@ -220,15 +224,15 @@
     }
 
     /// Returns one target, where it takes new work.
-    fn ready_target(&self, id: &str, now: Instant) -> Option<TargetRecord> {
-        let told = self
+    fn available_target(&self, id: &str, now: Instant) -> Option<TargetRecord> {
+        let records = self
             .sources
             .values()
             .filter_map(|source| source.targets.get(id));
-        let newest = told.clone().map(|record| record.born).max()?;
-        let ready = told.filter(|one| one.born == newest && self.takes_work(id, one));
+        let newest = records.clone().map(|record| record.born).max()?;
+        let available = records.filter(|one| one.born == newest && self.is_available(id, one));
         // Of records with one sequence the first counts, as for all targets.
-        let record = ready.reduce(|known, one| match one.sequence > known.sequence {
+        let record = available.reduce(|known, one| match one.sequence > known.sequence {
             true => one,
             false => known,
         })?;
@@ -244,7 +248,7 @@
     }
 
     /// Returns every target that takes new work as far as is known, and how much longer it is cold.
-    pub fn ready_targets(&self, now: Instant) -> Vec<TargetRecord> {
+    pub fn available_targets(&self, now: Instant) -> Vec<TargetRecord> {
         // The newest start of each target that was told of, and its record where it takes work. A start that is
         // over is not used, also where the next one is silent or told by one host alone.
         let mut starts: BTreeMap<&str, (u64, Option<&TargetRecord>)> = BTreeMap::new();
@@ -254,22 +258,24 @@
                 *start = (record.born, None);
             }
             let is_newer = start.1.is_none_or(|known| record.sequence > known.sequence);
-            if record.born == start.0 && is_newer && self.takes_work(id, record) {
+            if record.born == start.0 && is_newer && self.is_available(id, record) {
                 start.1 = Some(record);
             }
         }
-        let ready = starts.into_values().filter_map(|(_, record)| record);
-        ready.map(|record| self.with_cold(record, now)).collect()
+        let available = starts.into_values().filter_map(|(_, record)| record);
+        available
+            .map(|record| self.with_cold(record, now))
+            .collect()
     }
 
     /// Returns every entry host that any control host hears, by name.
-    pub fn gateways(&self) -> Vec<GatewayRecord> {
-        let all = self.sources.values().flat_map(|source| &source.gateways);
-        let mut by_name: BTreeMap<&str, &GatewayRecord> = BTreeMap::new();
-        for gateway in all {
-            let known = by_name.entry(&gateway.name).or_insert(gateway);
-            if gateway.stopping {
-                *known = gateway;
+    pub fn entry_hosts(&self) -> Vec<EntryHostRecord> {
+        let all = self.sources.values().flat_map(|source| &source.entry_hosts);
+        let mut by_name: BTreeMap<&str, &EntryHostRecord> = BTreeMap::new();
+        for entry_host in all {
+            let known = by_name.entry(&entry_host.name).or_insert(entry_host);
+            if entry_host.stopping {
+                *known = entry_host;
             }
         }
         by_name.into_values().cloned().collect()
@@ -277,7 +283,7 @@
 
     /// Forgets withdrawn targets that no control host names any more, and those that are not cold any
     /// more.
-    pub fn forget_past(&mut self, now: Instant) {
+    pub fn prune(&mut self, now: Instant) {
         self.cold.retain(|_, until| *until > now);
         let sources = &self.sources;
         let is_named = |id: &str| {
@@ -288,7 +294,7 @@
     }
 }
 
-fn note_cold(cold: &mut HashMap<String, Instant>, id: &str, until: Instant) {
+fn extend_cold(cold: &mut HashMap<String, Instant>, id: &str, until: Instant) {
     let known = cold.entry(id.to_owned()).or_insert(until);
     *known = until.max(*known);
 }
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -3,11 +3,11 @@
 use std::time::{Duration, Instant};
 
 use linnet_directory::{
-    DirectoryUpdate, DirectoryView, Document, GatewayRecord, HeldDocument, Registry,
-    RegistryChange, TargetChanges, TargetRecord, TargetState,
+    DirectoryUpdate, DirectoryView, Document, EntryHostRecord, Registry, RegistryChange,
+    StoredDocument, TargetChanges, TargetRecord, TargetState,
 };
 
-const SILENCE: Duration = Duration::from_secs(6);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
 
 fn record(id: &str, port: u16, state: TargetState, sequence: u64) -> TargetRecord {
     TargetRecord {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_target_that_withdrew_stays_so_whatever_comes_late() {
+fn withdrawn_target_stays_withdrawn_despite_late_heartbeats() {
     use TargetState::{Draining, Gone, Ready};
     let orders: [&[(TargetState, u64)]; 4] = [
         &[(Ready, 1), (Draining, 2), (Ready, 1), (Ready, 3)],
@@ -52,7 +52,7 @@
         let mut registry = Registry::new();
         let now = Instant::now();
         for (state, sequence) in order {
-            registry.take_heartbeat(record("i", 1, *state, *sequence), now);
+            registry.apply_heartbeat(record("i", 1, *state, *sequence), now);
         }
         let worst = order.iter().map(|(state, _)| *state).max();
         assert_eq!(state_of(&registry, "i"), worst, "{order:?}");
@@ -69,24 +69,24 @@
 /// Users saw a target that had left, crashed or drained and started again under its identity get no work: its
 /// counts begin anew, so its heartbeats were taken as late ones, and the state of the start before held.
 #[test]
-fn a_target_that_starts_anew_under_its_identity_takes_work_whatever_it_said_before() {
+fn restarted_target_with_the_same_identity_gets_work() {
     use TargetState::{Draining, Gone, Ready};
     for state in [Ready, Draining, Gone] {
         let mut registry = Registry::new();
         let now = Instant::now();
-        registry.take_heartbeat(reborn(5, state, 90), now);
-        registry.expire(now + SILENCE * 2, SILENCE);
-        let change = registry.take_heartbeat(reborn(6, Ready, 1), now + SILENCE * 2);
+        registry.apply_heartbeat(reborn(5, state, 90), now);
+        registry.expire(now + SILENCE_TIMEOUT * 2, SILENCE_TIMEOUT);
+        let change = registry.apply_heartbeat(reborn(6, Ready, 1), now + SILENCE_TIMEOUT * 2);
         assert_eq!(change, RegistryChange::Registered, "{state:?}");
         assert_eq!(serving(&registry), ["i"], "{state:?}");
         // It may leave in its turn.
-        registry.take_heartbeat(reborn(6, Draining, 2), now + SILENCE * 2);
+        registry.apply_heartbeat(reborn(6, Draining, 2), now + SILENCE_TIMEOUT * 2);
         assert!(serving(&registry).is_empty(), "{state:?}");
     }
 }
 
 #[test]
-fn a_late_word_of_the_start_before_changes_nothing() {
+fn late_message_of_a_former_incarnation_changes_nothing() {
     use TargetState::{Draining, Gone, Ready};
     let now = Instant::now();
     for late in [
@@ -95,13 +95,13 @@
         reborn(5, Ready, 93),
     ] {
         let mut registry = Registry::new();
-        registry.take_heartbeat(reborn(5, Ready, 90), now);
-        registry.take_heartbeat(reborn(6, Ready, 1), now);
-        let change = registry.take_heartbeat(late.clone(), now);
-        assert_eq!(change, RegistryChange::Nothing, "{late:?}");
+        registry.apply_heartbeat(reborn(5, Ready, 90), now);
+        registry.apply_heartbeat(reborn(6, Ready, 1), now);
+        let change = registry.apply_heartbeat(late.clone(), now);
+        assert_eq!(change, RegistryChange::Unchanged, "{late:?}");
         assert_eq!(
-            registry.take_record(late.clone(), now),
-            RegistryChange::Nothing
+            registry.merge_record(late.clone(), now),
+            RegistryChange::Unchanged
         );
         assert_eq!(serving(&registry), ["i"]);
         let sequence = registry
@@ -110,25 +110,25 @@
             .map(|one| (one.born, one.sequence));
         assert_eq!(sequence, Some((6, 1)), "{late:?}");
         // Nor does it keep a start alive that is silent.
-        registry.expire(now + SILENCE * 2, SILENCE);
-        registry.take_heartbeat(late, now + SILENCE * 2);
+        registry.expire(now + SILENCE_TIMEOUT * 2, SILENCE_TIMEOUT);
+        registry.apply_heartbeat(late, now + SILENCE_TIMEOUT * 2);
         assert!(serving(&registry).is_empty());
     }
 }
 
 #[test]
-fn control_hosts_tell_each_other_of_the_newest_start() {
+fn newest_incarnation_prevails_between_control_hosts() {
     use TargetState::{Gone, Ready};
     let now = Instant::now();
     let mut registry = Registry::new();
-    registry.take_heartbeat(reborn(5, Gone, 90), now);
+    registry.apply_heartbeat(reborn(5, Gone, 90), now);
     assert_eq!(
-        registry.take_record(reborn(6, Ready, 1), now),
+        registry.merge_record(reborn(6, Ready, 1), now),
         RegistryChange::Registered
     );
     assert_eq!(
-        registry.take_record(reborn(5, Gone, 90), now),
-        RegistryChange::Nothing
+        registry.merge_record(reborn(5, Gone, 90), now),
+        RegistryChange::Unchanged
     );
     assert_eq!(serving(&registry), ["i"]);
     // That another host called the start before silent is no news of this one.
@@ -136,63 +136,63 @@
         silent: true,
         ..reborn(5, Ready, 99)
     };
-    registry.take_record(silent, now);
+    registry.merge_record(silent, now);
     assert_eq!(serving(&registry), ["i"]);
 }
 
 #[test]
-fn an_entry_host_takes_the_newest_start_that_any_control_host_tells() {
+fn view_uses_the_newest_incarnation_from_any_control_host() {
     use TargetState::{Draining, Ready};
     let (a, b) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
     let now = Instant::now();
     let mut view = DirectoryView::new();
-    view.take(a, update(vec![reborn(5, Draining, 90)]), now);
-    view.take(b, update(vec![reborn(5, Ready, 89)]), now);
-    assert!(view.ready_targets(now).is_empty());
-    view.take(b, update(vec![reborn(6, Ready, 1)]), now);
+    view.apply_update(a, update(vec![reborn(5, Draining, 90)]), now);
+    view.apply_update(b, update(vec![reborn(5, Ready, 89)]), now);
+    assert!(view.available_targets(now).is_empty());
+    view.apply_update(b, update(vec![reborn(6, Ready, 1)]), now);
     // The other one has not heard of it yet.
-    let ready = view.ready_targets(now);
+    let ready = view.available_targets(now);
     assert_eq!(ready.len(), 1);
     assert_eq!((ready[0].born, ready[0].sequence), (6, 1));
-    view.take(a, update(vec![reborn(5, Draining, 91)]), now);
-    assert_eq!(view.ready_targets(now).len(), 1);
-    view.take(a, update(vec![reborn(6, Draining, 2)]), now);
-    assert!(view.ready_targets(now).is_empty());
+    view.apply_update(a, update(vec![reborn(5, Draining, 91)]), now);
+    assert_eq!(view.available_targets(now).len(), 1);
+    view.apply_update(a, update(vec![reborn(6, Draining, 2)]), now);
+    assert!(view.available_targets(now).is_empty());
 }
 
 #[test]
-fn changes_are_told_once() {
+fn changes_are_reported_once() {
     let mut registry = Registry::new();
     let now = Instant::now();
     let ready = |sequence| record("i", 1, TargetState::Ready, sequence);
     assert_eq!(
-        registry.take_heartbeat(ready(1), now),
+        registry.apply_heartbeat(ready(1), now),
         RegistryChange::Registered
     );
     assert_eq!(
-        registry.take_heartbeat(ready(2), now),
-        RegistryChange::Nothing
+        registry.apply_heartbeat(ready(2), now),
+        RegistryChange::Unchanged
     );
     assert_eq!(
-        registry.take_leave("i", None, now),
+        registry.deregister("i", None, now),
         Some(RegistryChange::Withdrawn)
     );
     assert_eq!(
-        registry.take_leave("i", None, now),
-        Some(RegistryChange::Nothing)
+        registry.deregister("i", None, now),
+        Some(RegistryChange::Unchanged)
     );
-    assert_eq!(registry.take_leave("unknown", None, now), None);
+    assert_eq!(registry.deregister("unknown", None, now), None);
 }
 
 #[test]
-fn a_new_start_at_an_address_ends_the_one_before() {
+fn new_incarnation_at_an_address_ends_the_former_one() {
     let mut registry = Registry::new();
     let now = Instant::now();
-    registry.take_heartbeat(record("old", 1, TargetState::Ready, 9), now);
-    registry.take_heartbeat(record("new", 1, TargetState::Ready, 1), now);
+    registry.apply_heartbeat(record("old", 1, TargetState::Ready, 9), now);
+    registry.apply_heartbeat(record("new", 1, TargetState::Ready, 1), now);
     assert_eq!(state_of(&registry, "old"), Some(TargetState::Gone));
     assert_eq!(state_of(&registry, "new"), Some(TargetState::Ready));
-    registry.take_heartbeat(record("old", 1, TargetState::Ready, 10), now);
+    registry.apply_heartbeat(record("old", 1, TargetState::Ready, 10), now);
     assert_eq!(state_of(&registry, "old"), Some(TargetState::Gone));
 }
 
@@ -201,78 +201,85 @@
 /// belongs to the newest start, so the late heartbeat was taken as a newer one and ended the true one,
 /// and a target that has ended never returns.
 #[test]
-fn a_late_heartbeat_of_a_former_start_does_not_end_the_one_at_its_address() {
+fn late_heartbeat_of_a_former_incarnation_does_not_end_the_current_one() {
     use TargetState::Ready;
     let now = Instant::now();
     for late in [57, 58, 400] {
         let mut registry = Registry::new();
-        registry.take_heartbeat(record("new", 1, Ready, 1), now);
-        registry.take_heartbeat(record("new", 1, Ready, 2), now);
-        registry.take_heartbeat(record("old", 1, Ready, late), now);
-        registry.take_heartbeat(record("old", 1, Ready, late + 1), now);
-        registry.take_heartbeat(record("new", 1, Ready, 3), now);
+        registry.apply_heartbeat(record("new", 1, Ready, 1), now);
+        registry.apply_heartbeat(record("new", 1, Ready, 2), now);
+        registry.apply_heartbeat(record("old", 1, Ready, late), now);
+        registry.apply_heartbeat(record("old", 1, Ready, late + 1), now);
+        registry.apply_heartbeat(record("new", 1, Ready, 3), now);
         assert_eq!(state_of(&registry, "new"), Some(Ready));
         assert_eq!(serving(&registry), ["new"]);
     }
 }
 
 #[test]
-fn the_news_that_a_former_start_has_ended_does_not_end_the_one_at_its_address() {
+fn report_of_a_former_incarnation_gone_does_not_end_the_current_one() {
     use TargetState::{Gone, Ready};
     let now = Instant::now();
     let mut registry = Registry::new();
-    registry.take_record(record("new", 1, Ready, 5), now);
-    registry.take_record(record("old", 1, Gone, 57), now);
+    registry.merge_record(record("new", 1, Ready, 5), now);
+    registry.merge_record(record("old", 1, Gone, 57), now);
     assert_eq!(state_of(&registry, "new"), Some(Ready));
     assert_eq!(serving(&registry), ["new"]);
 }
 
 #[test]
-fn a_start_whose_first_heartbeats_were_not_heard_takes_over_once_the_former_is_silent() {
+fn incarnation_with_lost_first_heartbeats_takes_over_once_the_former_is_silent() {
     use TargetState::{Gone, Ready};
     let now = Instant::now();
     let mut registry = Registry::new();
-    registry.take_heartbeat(record("old", 1, Ready, 57), now);
-    registry.take_heartbeat(record("new", 1, Ready, 7), now);
+    registry.apply_heartbeat(record("old", 1, Ready, 57), now);
+    registry.apply_heartbeat(record("new", 1, Ready, 7), now);
     assert_eq!(serving(&registry), ["old"]);
-    let later = now + SILENCE + Duration::from_millis(1);
-    registry.expire(later, SILENCE);
-    let change = registry.take_heartbeat(record("new", 1, Ready, 8), later);
+    let later = now + SILENCE_TIMEOUT + Duration::from_millis(1);
+    registry.expire(later, SILENCE_TIMEOUT);
+    let change = registry.apply_heartbeat(record("new", 1, Ready, 8), later);
     assert_eq!(change, RegistryChange::Registered);
     assert_eq!(serving(&registry), ["new"]);
     assert_eq!(state_of(&registry, "old"), Some(Gone));
 }
 
 #[test]
-fn a_silent_target_is_told_and_its_next_heartbeat_brings_it_back() {
+fn silent_target_is_reported_and_recovers_with_a_heartbeat() {
     let mut registry = Registry::new();
     let now = Instant::now();
-    registry.take_heartbeat(record("i", 1, TargetState::Ready, 1), now);
-    assert!(registry.expire(now + SILENCE, SILENCE).is_empty());
-    let late = now + SILENCE + Duration::from_millis(1);
-    assert_eq!(registry.expire(late, SILENCE), ["i"]);
-    assert!(registry.expire(late, SILENCE).is_empty());
+    registry.apply_heartbeat(record("i", 1, TargetState::Ready, 1), now);
+    assert!(
+        registry
+            .expire(now + SILENCE_TIMEOUT, SILENCE_TIMEOUT)
+            .is_empty()
+    );
+    let late = now + SILENCE_TIMEOUT + Duration::from_millis(1);
+    assert_eq!(registry.expire(late, SILENCE_TIMEOUT), ["i"]);
+    assert!(registry.expire(late, SILENCE_TIMEOUT).is_empty());
     // Another control host that calls it silent says nothing new, one that heard it does.
     let mut silent = record("i", 1, TargetState::Ready, 1);
     silent.silent = true;
-    assert_eq!(registry.take_record(silent, late), RegistryChange::Nothing);
-    let heard = record("i", 1, TargetState::Ready, 2);
     assert_eq!(
-        registry.take_heartbeat(heard, late),
+        registry.merge_record(silent, late),
+        RegistryChange::Unchanged
+    );
+    let heartbeat = record("i", 1, TargetState::Ready, 2);
+    assert_eq!(
+        registry.apply_heartbeat(heartbeat, late),
         RegistryChange::Registered
     );
 }
 
-fn document(version: u64) -> HeldDocument {
+fn document(version: u64) -> StoredDocument {
     let body = Vec::new();
-    HeldDocument::new(Document { version, body })
+    StoredDocument::new(Document { version, body })
 }
 
 /// An update after which nothing is left to tell.
 fn update(targets: Vec<TargetRecord>) -> DirectoryUpdate {
     DirectoryUpdate {
         targets,
-        lists_whole: true,
+        lists_complete: true,
         ..DirectoryUpdate::default()
     }
 }
@@ -281,116 +288,124 @@
 fn a_view_only_moves_to_a_higher_version() {
     let a = ([127, 0, 0, 1], 1).into();
     let mut view = DirectoryView::new();
-    assert!(view.take_document(document(5)));
-    assert!(!view.take_document(document(4)));
-    assert!(!view.take_document(document(5)));
-    view.take(a, update(Vec::new()), Instant::now());
-    view.lose(a);
-    assert!(!view.take_document(document(3)));
+    assert!(view.set_newer_document(document(5)));
+    assert!(!view.set_newer_document(document(4)));
+    assert!(!view.set_newer_document(document(5)));
+    view.apply_update(a, update(Vec::new()), Instant::now());
+    view.mark_control_lost(a);
+    assert!(!view.set_newer_document(document(3)));
     assert_eq!(view.document().unwrap().version(), 5);
-    assert!(view.take_document(document(6)));
+    assert!(view.set_newer_document(document(6)));
 }
 
 #[test]
-fn one_control_host_that_knows_of_a_withdrawal_is_enough() {
+fn withdrawal_from_one_control_host_is_sufficient() {
     let (a, b) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
     let mut view = DirectoryView::new();
     let ready = record("i", 1, TargetState::Ready, 1);
-    view.take(a, update(vec![ready.clone()]), Instant::now());
-    view.take(b, update(vec![ready.clone()]), Instant::now());
-    assert_eq!(view.ready_targets(Instant::now()).len(), 1);
-    view.take(
+    view.apply_update(a, update(vec![ready.clone()]), Instant::now());
+    view.apply_update(b, update(vec![ready.clone()]), Instant::now());
+    assert_eq!(view.available_targets(Instant::now()).len(), 1);
+    view.apply_update(
         b,
         update(vec![record("i", 1, TargetState::Draining, 2)]),
         Instant::now(),
     );
-    assert!(view.ready_targets(Instant::now()).is_empty());
-    view.lose(b);
-    view.take(a, update(vec![ready]), Instant::now());
-    assert!(view.ready_targets(Instant::now()).is_empty());
+    assert!(view.available_targets(Instant::now()).is_empty());
+    view.mark_control_lost(b);
+    view.apply_update(a, update(vec![ready]), Instant::now());
+    assert!(view.available_targets(Instant::now()).is_empty());
 }
 
 #[test]
-fn without_any_control_host_the_view_stays_and_the_first_that_returns_replaces_the_lost() {
+fn view_is_kept_without_control_hosts_until_one_returns() {
     let (a, b) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
     let mut view = DirectoryView::new();
-    view.take(
+    view.apply_update(
         a,
         update(vec![record("i-a", 1, TargetState::Ready, 1)]),
         Instant::now(),
     );
-    view.take(
+    view.apply_update(
         b,
         update(vec![record("i-b", 2, TargetState::Ready, 1)]),
         Instant::now(),
     );
-    view.lose(a);
-    assert_eq!(view.ready_targets(Instant::now()).len(), 1);
-    view.lose(b);
+    view.mark_control_lost(a);
+    assert_eq!(view.available_targets(Instant::now()).len(), 1);
+    view.mark_control_lost(b);
     assert!(!view.is_connected());
-    assert_eq!(view.ready_targets(Instant::now()).len(), 1);
+    assert_eq!(view.available_targets(Instant::now()).len(), 1);
     let returns = DirectoryUpdate {
-        lists_whole: false,
+        lists_complete: false,
         ..update(vec![record("i-c", 3, TargetState::Ready, 1)])
     };
-    view.take(a, returns, Instant::now());
+    view.apply_update(a, returns, Instant::now());
     assert_eq!(ready_ids(&view), ["i-b", "i-c"]);
     // All that it knows is told. What the other one told would stay for ever if that never returned.
-    view.take(a, update(Vec::new()), Instant::now());
+    view.apply_update(a, update(Vec::new()), Instant::now());
     assert_eq!(ready_ids(&view), ["i-c"]);
 }
 
 fn ready_ids(view: &DirectoryView) -> Vec<String> {
-    let ready = view.ready_targets(Instant::now()).into_iter();
+    let ready = view.available_targets(Instant::now()).into_iter();
     ready.map(|one| one.id).collect()
 }
 
 #[test]
-fn an_entry_host_that_any_control_host_calls_stopping_is_stopping() {
-    let gateway = |stopping| GatewayRecord {
+fn entry_host_reported_as_stopping_by_any_control_host_is_stopping() {
+    let entry_host = |stopping| EntryHostRecord {
         name: "e".to_owned(),
         hall: "h".to_owned(),
         peer: ([127, 0, 0, 9], 1).into(),
         stopping,
     };
-    let told = |stopping| DirectoryUpdate {
-        gateways: Some(vec![gateway(stopping)]),
+    let update_with = |stopping| DirectoryUpdate {
+        entry_hosts: Some(vec![entry_host(stopping)]),
         ..DirectoryUpdate::default()
     };
     let mut view = DirectoryView::new();
-    view.take(([127, 0, 0, 1], 1).into(), told(false), Instant::now());
-    view.take(([127, 0, 0, 2], 1).into(), told(true), Instant::now());
-    assert_eq!(view.gateways(), [gateway(true)]);
+    view.apply_update(
+        ([127, 0, 0, 1], 1).into(),
+        update_with(false),
+        Instant::now(),
+    );
+    view.apply_update(
+        ([127, 0, 0, 2], 1).into(),
+        update_with(true),
+        Instant::now(),
+    );
+    assert_eq!(view.entry_hosts(), [entry_host(true)]);
 }
 
 #[test]
-fn a_target_that_turns_cold_is_told_of_with_the_time_that_is_left() {
+fn cold_target_is_reported_with_the_remaining_time() {
     let mut registry = Registry::new();
     let now = Instant::now();
     let cold = |sequence, cold_ms| TargetRecord {
         cold_ms,
         ..record("i", 1, TargetState::Ready, sequence)
     };
-    registry.take_heartbeat(cold(1, 0), now);
-    let told = registry.number();
+    registry.apply_heartbeat(cold(1, 0), now);
+    let reported = registry.revision();
     assert_eq!(
-        registry.take_heartbeat(cold(2, 3_000), now),
+        registry.apply_heartbeat(cold(2, 3_000), now),
         RegistryChange::Registered
     );
     let later = now + Duration::from_millis(1_200);
     // The next heartbeat says the same, a little late.
-    let same = registry.take_heartbeat(cold(3, 1_850), later);
-    assert_eq!(same, RegistryChange::Nothing);
-    let records = registry.changed_after(told, 9, later).records;
+    let same = registry.apply_heartbeat(cold(3, 1_850), later);
+    assert_eq!(same, RegistryChange::Unchanged);
+    let records = registry.changed_after(reported, 9, later).records;
     assert_eq!(records[0].cold_ms, 1_850);
     // A late heartbeat of before, and one that makes no sense.
-    registry.take_heartbeat(cold(2, 0), later);
+    registry.apply_heartbeat(cold(2, 0), later);
     assert_eq!(
-        registry.changed_after(told, 9, later).records[0].cold_ms,
+        registry.changed_after(reported, 9, later).records[0].cold_ms,
         1_850
     );
-    registry.take_heartbeat(cold(4, u32::MAX), later);
-    assert!(registry.changed_after(told, 9, later).records[0].cold_ms > 0);
+    registry.apply_heartbeat(cold(4, u32::MAX), later);
+    assert!(registry.changed_after(reported, 9, later).records[0].cold_ms > 0);
     let warm = now + Duration::from_secs(4);
     assert_eq!(registry.changed_after(u64::MAX, 9, warm).records, []);
 }
@@ -398,91 +413,91 @@
 /// Targets of a hall that is taken back may have become cold a moment before and say so only with their
 /// next heartbeat.
 #[test]
-fn targets_of_a_hall_that_is_taken_back_count_as_cold_at_first() {
+fn targets_of_a_hall_returned_to_service_are_cold_at_first() {
     let now = Instant::now();
     let mut view = DirectoryView::new();
     let from = ([127, 0, 0, 2], 1).into();
-    let order = |evacuated, seen| linnet_directory::EvacuationOrder {
+    let order = |evacuated, seen_revision| linnet_directory::EvacuationOrder {
         hall: "h".to_owned(),
         evacuated,
-        seen,
+        seen_revision,
     };
-    let mut book = linnet_directory::EvacuationBook::default();
-    let mut tell = |view: &mut DirectoryView, order, now| {
-        book.apply(&order);
+    let mut store = linnet_directory::EvacuationStore::default();
+    let mut send = |view: &mut DirectoryView, order, now| {
+        store.apply(&order);
         let update = DirectoryUpdate {
             targets: vec![record("i", 1, TargetState::Ready, 1)],
-            evacuations: Some(book.clone()),
+            evacuations: Some(store.clone()),
             ..DirectoryUpdate::default()
         };
-        view.take(from, update, now);
+        view.apply_update(from, update, now);
     };
-    tell(&mut view, order(true, 0), now);
-    assert!(view.ready_targets(now).is_empty());
-    tell(&mut view, order(false, 1), now);
-    assert!(view.ready_targets(now)[0].cold_ms > 1_200);
+    send(&mut view, order(true, 0), now);
+    assert!(view.available_targets(now).is_empty());
+    send(&mut view, order(false, 1), now);
+    assert!(view.available_targets(now)[0].cold_ms > 1_200);
     let later = now + Duration::from_secs(5);
-    view.forget_past(later);
-    assert_eq!(view.ready_targets(later)[0].cold_ms, 0);
+    view.prune(later);
+    assert_eq!(view.available_targets(later)[0].cold_ms, 0);
 }
 
 /// All control hosts were started anew and hear of each target only with its next heartbeat. Entry hosts
 /// took the first words of the first of them for all there is, and had no targets for a second.
 #[test]
-fn what_lost_control_hosts_told_stays_until_another_one_has_told_all() {
+fn state_of_lost_control_hosts_stays_until_another_one_is_complete() {
     let (a, b) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
     let now = Instant::now();
     let ready = |id: &str, port| record(id, port, TargetState::Ready, 1);
     let mut view = DirectoryView::new();
-    view.take(a, update(vec![ready("i-1", 1), ready("i-2", 2)]), now);
-    view.lose(a);
+    view.apply_update(a, update(vec![ready("i-1", 1), ready("i-2", 2)]), now);
+    view.mark_control_lost(a);
     let part = DirectoryUpdate {
-        lists_whole: false,
+        lists_complete: false,
         ..update(vec![ready("i-1", 1)])
     };
-    view.take(b, part, now);
-    assert_eq!(view.ready_targets(now).len(), 2);
+    view.apply_update(b, part, now);
+    assert_eq!(view.available_targets(now).len(), 2);
     // One that leaves meanwhile is out at once all the same.
     let leaves = DirectoryUpdate {
-        lists_whole: false,
+        lists_complete: false,
         ..update(vec![record("i-2", 2, TargetState::Draining, 2)])
     };
-    view.take(b, leaves, now);
-    assert_eq!(view.ready_targets(now).len(), 1);
-    view.take(b, update(Vec::new()), now);
-    assert_eq!(view.ready_targets(now).len(), 1);
+    view.apply_update(b, leaves, now);
+    assert_eq!(view.available_targets(now).len(), 1);
+    view.apply_update(b, update(Vec::new()), now);
+    assert_eq!(view.available_targets(now).len(), 1);
 }
 
 /// A subscriber with a slow link, or one that has just come, is told in parts; what changes meanwhile
 /// reaches it in its newest state only.
 #[test]
-fn changes_are_told_in_parts_with_the_newest_state() {
+fn changes_are_sent_in_parts_with_the_newest_state() {
     let mut registry = Registry::new();
     let now = Instant::now();
     for number in 0..300_u16 {
         let id = format!("i-{number}");
-        registry.take_heartbeat(record(&id, 1_000 + number, TargetState::Ready, 1), now);
+        registry.apply_heartbeat(record(&id, 1_000 + number, TargetState::Ready, 1), now);
     }
     let first = registry.changed_after(0, 128, now);
     assert_eq!(first.records.len(), 128);
     // Of one that was told already and one that was not.
-    registry.take_heartbeat(record("i-0", 1_000, TargetState::Draining, 2), now);
-    registry.take_heartbeat(record("i-299", 1_299, TargetState::Draining, 2), now);
-    let second = registry.changed_after(first.number, 128, now);
-    let third = registry.changed_after(second.number, 128, now);
-    let told = [first, second, third.clone()];
-    let told: Vec<&TargetRecord> = told.iter().flat_map(|part| &part.records).collect();
-    assert_eq!(told.len(), 301);
+    registry.apply_heartbeat(record("i-0", 1_000, TargetState::Draining, 2), now);
+    registry.apply_heartbeat(record("i-299", 1_299, TargetState::Draining, 2), now);
+    let second = registry.changed_after(first.revision, 128, now);
+    let third = registry.changed_after(second.revision, 128, now);
+    let sent = [first, second, third.clone()];
+    let sent: Vec<&TargetRecord> = sent.iter().flat_map(|part| &part.records).collect();
+    assert_eq!(sent.len(), 301);
     let states = |id: &str| -> Vec<TargetState> {
-        let of = told.iter().filter(|record| record.id == id);
+        let of = sent.iter().filter(|record| record.id == id);
         of.map(|record| record.state).collect()
     };
     assert_eq!(states("i-0"), [TargetState::Ready, TargetState::Draining]);
     assert_eq!(states("i-299"), [TargetState::Draining]);
-    assert_eq!(third.number, registry.number());
+    assert_eq!(third.revision, registry.revision());
     assert!(
         registry
-            .changed_after(third.number, 128, now)
+            .changed_after(third.revision, 128, now)
             .records
             .is_empty()
     );
@@ -490,66 +505,66 @@
 
 /// What a control host tells those that take their lists from others, which may be cut off from it.
 #[test]
-fn withdrawals_are_told_also_to_those_that_take_no_lists() {
+fn withdrawals_are_sent_to_subscribers_without_lists() {
     let mut registry = Registry::new();
     let now = Instant::now();
     for number in 0..300_u16 {
         let id = format!("i-{number}");
-        registry.take_heartbeat(record(&id, 1_000 + number, TargetState::Ready, 1), now);
+        registry.apply_heartbeat(record(&id, 1_000 + number, TargetState::Ready, 1), now);
     }
     assert!(registry.withdrawn_after(0, now).is_empty());
-    let told = registry.number();
-    registry.take_heartbeat(record("i-299", 1_299, TargetState::Draining, 2), now);
-    registry.take_leave("i-7", None, now);
-    let withdrawn = registry.withdrawn_after(told, now);
+    let reported = registry.revision();
+    registry.apply_heartbeat(record("i-299", 1_299, TargetState::Draining, 2), now);
+    registry.deregister("i-7", None, now);
+    let withdrawn = registry.withdrawn_after(reported, now);
     let ids: Vec<&str> = withdrawn.iter().map(|one| one.id.as_str()).collect();
     assert_eq!(ids, ["i-299", "i-7"]);
     // Whoever takes lists elsewhere keeps that it withdrew.
-    let (teller, other) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
+    let (source, other) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
     let mut view = DirectoryView::new();
     let ready = vec![record("i-299", 1_299, TargetState::Ready, 1)];
-    view.take(teller, update(ready), now);
-    let told = DirectoryUpdate {
-        lists_whole: false,
+    view.apply_update(source, update(ready), now);
+    let sent = DirectoryUpdate {
+        lists_complete: false,
         ..update(withdrawn)
     };
-    view.take(other, told, now);
-    assert!(view.ready_targets(now).is_empty());
+    view.apply_update(other, sent, now);
+    assert!(view.available_targets(now).is_empty());
 }
 
 /// Takes changes into a list that is kept by them alone.
-fn take_changes(
-    kept: &mut std::collections::BTreeMap<String, TargetRecord>,
+fn apply_changes(
+    maintained: &mut std::collections::BTreeMap<String, TargetRecord>,
     changes: TargetChanges,
 ) {
     match changes {
-        TargetChanges::Whole(all) => {
-            *kept = all.into_iter().map(|one| (one.id.clone(), one)).collect();
+        TargetChanges::All(all) => {
+            *maintained = all.into_iter().map(|one| (one.id.clone(), one)).collect();
         }
-        TargetChanges::Some { listed, unlisted } => {
+        TargetChanges::Partial { listed, unlisted } => {
             for one in unlisted {
-                kept.remove(&one.id);
+                maintained.remove(&one.id);
             }
-            kept.extend(listed.into_iter().map(|one| (one.id.clone(), one)));
+            maintained.extend(listed.into_iter().map(|one| (one.id.clone(), one)));
         }
     }
 }
 
 /// Control hosts come, go and tell of targets in any order: starts, states, silence, evacuations.
 #[test]
-fn a_list_kept_by_changes_is_the_whole_list() {
+fn list_maintained_from_changes_equals_the_complete_list() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut view, now) = (DirectoryView::new(), Instant::now());
-        let mut kept = std::collections::BTreeMap::new();
+        let mut maintained = std::collections::BTreeMap::new();
         let control = |number: u16| std::net::SocketAddr::from(([10, 0, 0, 1], number));
         for step in 0..300 {
             let from = control(rng.u16(1..4));
             if rng.u8(0..20) == 0 {
-                view.lose(from);
+                view.mark_control_lost(from);
             } else {
                 let mut update = DirectoryUpdate {
-                    lists_whole: rng.bool(),
+                    lists_complete: rng.bool(),
                     ..DirectoryUpdate::default()
                 };
                 for _ in 0..rng.usize(0..4) {
@@ -567,23 +582,23 @@
                     update.targets.push(one);
                 }
                 if rng.u8(0..30) == 0 {
-                    let mut book = view.evacuations().clone();
-                    book.apply(&linnet_directory::EvacuationOrder {
+                    let mut store = view.evacuations().clone();
+                    store.apply(&linnet_directory::EvacuationOrder {
                         hall: "h-0".to_owned(),
                         evacuated: rng.bool(),
-                        seen: book.state_of("h-0").revision,
+                        seen_revision: store.state_of("h-0").revision,
                     });
-                    update.evacuations = Some(book);
+                    update.evacuations = Some(store);
                 }
-                view.take(from, update, now);
+                view.apply_update(from, update, now);
             }
             if rng.u8(0..3) == 0 {
-                take_changes(&mut kept, view.list_changes(now));
-                let whole = view.ready_targets(now).into_iter();
-                let whole: std::collections::BTreeMap<_, _> =
-                    whole.map(|one| (one.id.clone(), one)).collect();
-                assert_eq!(kept, whole, "seed {seed} step {step}");
-                assert_eq!(view.listed_count(), kept.len());
+                apply_changes(&mut maintained, view.take_changes(now));
+                let complete = view.available_targets(now).into_iter();
+                let complete: std::collections::BTreeMap<_, _> =
+                    complete.map(|one| (one.id.clone(), one)).collect();
+                assert_eq!(maintained, complete, "seed {seed} step {step}");
+                assert_eq!(view.listed_count(), maintained.len());
             }
         }
     }
@@ -591,26 +606,26 @@
 
 /// What a change of one target costs must not grow with the others.
 #[test]
-fn a_change_of_one_target_is_told_alone_however_many_there_are() {
+fn change_of_one_target_is_reported_alone() {
     let (mut view, now) = (DirectoryView::new(), Instant::now());
     let from = std::net::SocketAddr::from(([10, 0, 0, 1], 1));
     let ready =
         |number: usize, sequence| record(&format!("t-{number}"), 80, TargetState::Ready, sequence);
     let targets = (0..10_000).map(|number| ready(number, 1)).collect();
-    let tell = |targets| DirectoryUpdate {
+    let send = |targets| DirectoryUpdate {
         targets,
         ..DirectoryUpdate::default()
     };
-    view.take(from, tell(targets), now);
-    view.list_changes(now);
-    view.take(from, tell(vec![ready(7, 2)]), now);
-    let changes = TargetChanges::Some {
+    view.apply_update(from, send(targets), now);
+    view.take_changes(now);
+    view.apply_update(from, send(vec![ready(7, 2)]), now);
+    let changes = TargetChanges::Partial {
         listed: vec![ready(7, 2)],
         unlisted: Vec::new(),
     };
-    assert_eq!(view.list_changes(now), changes);
+    assert_eq!(view.take_changes(now), changes);
     assert_eq!(view.listed_count(), 10_000);
     // Taken out by whoever asked, it comes again.
-    view.list_again("t-7");
-    assert_eq!(view.list_changes(now), changes);
+    view.relist("t-7");
+    assert_eq!(view.take_changes(now), changes);
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -309,7 +309,7 @@
             .targets
             .borrow_mut()
             .remove(attempt.service, &attempt.chosen.id);
-        gateway.view.borrow_mut().list_again(&attempt.chosen.id);
+        gateway.view.borrow_mut().relist(&attempt.chosen.id);
         let cause = "another target has the address".to_owned();
         return Some(AttemptEnd::NotRun {
             cause,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -12,7 +12,9 @@
 use std::time::{Duration, Instant};
 
 use derive_more::Display;
-use linnet_directory::{DirectoryUpdate, DirectoryView, GatewayRecord, HeldDocument, TargetState};
+use linnet_directory::{
+    DirectoryUpdate, DirectoryView, EntryHostRecord, StoredDocument, TargetState,
+};
 use linnet_routing::{RouteTable, RoutingConfig};
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::PeerIdentity;
@@ -116,13 +118,13 @@
     started: Instant,
     /// Metrics of this host.
     pub metrics: GatewayMetrics,
-    gateway_record: watch::Sender<Option<GatewayRecord>>,
+    gateway_record: watch::Sender<Option<EntryHostRecord>>,
 }
 
 impl Gateway {
     /// Creates a gateway that knows nothing yet, and starts its tasks.
     pub fn new(config: GatewayConfig) -> Rc<Self> {
-        let record = GatewayRecord {
+        let record = EntryHostRecord {
             name: config.name.clone(),
             hall: config.hall.clone(),
             peer: config.peer,
@@ -197,7 +199,7 @@
     }
 
     /// Returns a receiver of this host's record, for the control hosts.
-    pub fn record(&self) -> watch::Receiver<Option<GatewayRecord>> {
+    pub fn record(&self) -> watch::Receiver<Option<EntryHostRecord>> {
         self.gateway_record.subscribe()
     }
 
@@ -270,14 +272,16 @@
     /// Takes an update of the directory.
     pub fn take_update(&self, from: SocketAddr, update: DirectoryUpdate) {
         self.take_suspects(&update.suspects);
-        self.notices.rates.take_told(&update.rates);
+        self.notices.rates.take_told(&update.rate_limits);
         let targets_changed = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
         // The control host is told right after this that the update was taken, and the target then that
         // it gets no more work.
         let withdraws = self.withdraws(&update);
-        let gateways_changed = update.gateways.is_some();
-        self.view.borrow_mut().take(from, update, Instant::now());
+        let gateways_changed = update.entry_hosts.is_some();
+        self.view
+            .borrow_mut()
+            .apply_update(from, update, Instant::now());
         let rolls = self.refresh_rollouts();
         if gateways_changed {
             self.refresh_gateways();
@@ -310,13 +314,13 @@
     }
 
     /// Returns the newest configuration that came here.
-    pub fn held_document(&self) -> Option<Arc<HeldDocument>> {
+    pub fn held_document(&self) -> Option<Arc<StoredDocument>> {
         self.view.borrow().document().cloned()
     }
 
     /// Takes a configuration; a newer one comes into force.
-    pub fn take_document(&self, document: HeldDocument) {
-        let newer = self.view.borrow_mut().take_document(document);
+    pub fn take_document(&self, document: StoredDocument) {
+        let newer = self.view.borrow_mut().set_newer_document(document);
         if newer {
             self.put_in_force();
         }
@@ -324,7 +328,7 @@
 
     /// Hears that a control host was lost.
     pub fn lose_control(&self, from: SocketAddr) {
-        self.view.borrow_mut().lose(from);
+        self.view.borrow_mut().mark_control_lost(from);
         self.refresh_rollouts();
         self.refresh_gateways();
         self.targets_due.notify_one();
@@ -356,7 +360,7 @@
     }
 
     fn refresh_gateways(&self) {
-        let gateways = self.view.borrow().gateways();
+        let gateways = self.view.borrow().entry_hosts();
         self.stages.set_gateways(gateways);
     }
 
@@ -395,7 +399,7 @@
         if gateway.stages.keeps_unnamed() {
             gateway.refresh_gateways();
         }
-        gateway.view.borrow_mut().forget_past(Instant::now());
+        gateway.view.borrow_mut().prune(Instant::now());
         gateway
             .metrics
             .connections_opened
--- a/crates/gateway/src/gateway/rates.rs
+++ b/crates/gateway/src/gateway/rates.rs
@@ -4,7 +4,7 @@
 
 use futures_util::FutureExt;
 use linnet_clock::BootInstant;
-use linnet_directory::RateSource;
+use linnet_directory::RateLimitSource;
 
 use super::Gateway;
 use crate::rate_turn::{RateAnswer, RateAsk, RateSubject};
@@ -27,9 +27,9 @@
     }
 
     /// Returns the rates that targets named to this host, for the control hosts.
-    pub fn rate_source(self: &Rc<Self>) -> RateSource {
+    pub fn rate_source(self: &Rc<Self>) -> RateLimitSource {
         let gateway = self.clone();
-        RateSource {
+        RateLimitSource {
             changes: self.notices.rates.changes(),
             changed_after: Box::new(move |ask| {
                 let changed = gateway.notices.rates.changed_after(ask);
--- a/crates/gateway/src/gateway/target_list.rs
+++ b/crates/gateway/src/gateway/target_list.rs
@@ -38,13 +38,13 @@
 impl Gateway {
     pub(super) fn refresh_targets(&self) {
         let now = Instant::now();
-        let changes = self.view.borrow_mut().list_changes(now);
+        let changes = self.view.borrow_mut().take_changes(now);
         self.metrics.target_lists.inc();
         let known = self.view.borrow().listed_count();
         self.metrics.targets_known.set(known as i64);
         let anew = match &changes {
-            TargetChanges::Whole(ready) => self.targets.borrow_mut().replace(ready, now),
-            TargetChanges::Some { listed, unlisted } => {
+            TargetChanges::All(ready) => self.targets.borrow_mut().replace(ready, now),
+            TargetChanges::Partial { listed, unlisted } => {
                 self.targets.borrow_mut().update(listed, unlisted, now)
             }
         };
@@ -54,8 +54,8 @@
         self.notices.take_list(BootInstant::now());
         self.note_starts();
         match &changes {
-            TargetChanges::Whole(ready) => self.spread_whole(ready),
-            TargetChanges::Some { listed, unlisted } => self.spread_changes(listed, unlisted),
+            TargetChanges::All(ready) => self.spread_whole(ready),
+            TargetChanges::Partial { listed, unlisted } => self.spread_changes(listed, unlisted),
         }
         self.target_lists.send_replace(());
     }
--- a/crates/gateway/src/rate_watch.rs
+++ b/crates/gateway/src/rate_watch.rs
@@ -9,7 +9,7 @@
 
 use futures_util::future::LocalBoxFuture;
 use linnet_clock::BootInstant;
-use linnet_directory::ChangeAsk;
+use linnet_directory::ChangeQuery;
 use linnet_rate::{
     ChangedRates, NamedRate, RateBook, RateChange, RatePacer, RateWord, StartChange,
 };
@@ -123,9 +123,9 @@
     }
 
     /// Returns what is to be told to a control host next.
-    pub(crate) fn changed_after(&self, ask: ChangeAsk) -> ChangedRates {
+    pub(crate) fn changed_after(&self, ask: ChangeQuery) -> ChangedRates {
         let (book, now) = (self.book.borrow(), BootInstant::now());
-        book.changed_after(ask.number, ask.most, ask.catches_up, now)
+        book.changed_after(ask.after, ask.limit, ask.catches_up, now)
     }
 
     fn tell_changes(&self) {
--- a/crates/gateway/src/serve_pieces/tests/role_cost.rs
+++ b/crates/gateway/src/serve_pieces/tests/role_cost.rs
@@ -182,7 +182,7 @@
         version: 1,
         body: Vec::new(),
     };
-    gateway.take_document(linnet_directory::HeldDocument::new(document));
+    gateway.take_document(linnet_directory::StoredDocument::new(document));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let serving = gateway.clone();
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use linnet_directory::GatewayRecord;
+use linnet_directory::EntryHostRecord;
 use linnet_wire::{MessageForm, PeerIdentity};
 use tokio::sync::{mpsc, oneshot};
 
@@ -92,8 +92,8 @@
     name: &str,
     hall: &str,
     stopping: bool,
-    hosts: impl Iterator<Item = &'a GatewayRecord>,
-) -> Vec<&'a GatewayRecord> {
+    hosts: impl Iterator<Item = &'a EntryHostRecord>,
+) -> Vec<&'a EntryHostRecord> {
     let label = pool.label();
     let own = rank_of(pool, &label, name, hall);
     let others = hosts.filter(|one| one.name != name && !one.stopping);
@@ -121,7 +121,7 @@
 
 #[derive(Default)]
 struct ClientState {
-    gateways: Vec<GatewayRecord>,
+    gateways: Vec<EntryHostRecord>,
     links: HashMap<SocketAddr, Link>,
     next_batch: u64,
     /// Whether this host is about to end.
@@ -138,7 +138,7 @@
     /// takes 36 microseconds, with the halls out of reach, and 0.1 where both are kept
     /// (`measure_ranks_of_hosts`, release build); a request asks for the host of each part of each pool
     /// on its way several times.
-    ranked: HashMap<PoolKey, Rc<[GatewayRecord]>>,
+    ranked: HashMap<PoolKey, Rc<[EntryHostRecord]>>,
     /// Halls that are out of reach, and when they were worked out; nothing where a connection has
     /// changed since.
     cut_halls: Option<(Rc<BTreeSet<String>>, Instant)>,
@@ -198,18 +198,18 @@
     /// Takes the entry hosts that the control hosts hear. One that they lost while this host still
     /// reaches it stays: otherwise hosts that lost the control hosts and those that did not would
     /// gather pieces at different places.
-    pub(crate) fn set_gateways(&self, gateways: Vec<GatewayRecord>) {
+    pub(crate) fn set_gateways(&self, gateways: Vec<EntryHostRecord>) {
         let mut state = self.state.borrow_mut();
         let named: HashSet<&str> = gateways.iter().map(|one| one.name.as_str()).collect();
         let former_all = std::mem::take(&mut state.gateways);
         let unnamed = former_all.iter();
         let unnamed = unnamed.filter(|record| !named.contains(record.name.as_str()));
-        let reached: Vec<GatewayRecord> = unnamed
+        let reached: Vec<EntryHostRecord> = unnamed
             .filter(|record| state.is_up(record.peer))
             .cloned()
             .collect();
         state.keeps_unnamed = !reached.is_empty();
-        let known: Vec<GatewayRecord> = gateways.into_iter().chain(reached).collect();
+        let known: Vec<EntryHostRecord> = gateways.into_iter().chain(reached).collect();
         if known != former_all {
             state.forget_ranks();
         }
@@ -344,14 +344,14 @@
     }
 
     /// Returns the hosts that should gather for a pool rather than this one, the best first.
-    fn ranked_hosts(&self, pool: &PoolKey) -> Rc<[GatewayRecord]> {
+    fn ranked_hosts(&self, pool: &PoolKey) -> Rc<[EntryHostRecord]> {
         let mut state = self.state.borrow_mut();
         if let Some(known) = state.ranked.get(pool) {
             return known.clone();
         }
         let others = state.gateways.iter();
         let before = hosts_before(pool, &self.name, &self.hall, state.stopping, others);
-        let ranked: Rc<[GatewayRecord]> = before.into_iter().cloned().collect();
+        let ranked: Rc<[EntryHostRecord]> = before.into_iter().cloned().collect();
         state.ranked.insert(pool.clone(), ranked.clone());
         ranked
     }
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn host(number: u16, stopping: bool) -> GatewayRecord {
-    GatewayRecord {
+fn host(number: u16, stopping: bool) -> EntryHostRecord {
+    EntryHostRecord {
         name: format!("host-{number}"),
         hall: format!("hall-{}", number % 2),
         peer: SocketAddr::from(([127, 0, 0, 1], 1_000 + number)),
@@ -10,8 +10,8 @@
 }
 
 /// Where each of the hosts has the pieces of a pool gathered.
-fn homes(pool: &PoolKey, hosts: &[GatewayRecord]) -> Vec<SocketAddr> {
-    let home = |me: &GatewayRecord| {
+fn homes(pool: &PoolKey, hosts: &[EntryHostRecord]) -> Vec<SocketAddr> {
+    let home = |me: &EntryHostRecord| {
         let before = hosts_before(pool, &me.name, &me.hall, me.stopping, hosts.iter());
         before.first().map_or(me.peer, |first| first.peer)
     };
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -167,7 +167,7 @@
         SuspectSource {
             changes: self.suspects.changes(),
             changed_after: Box::new(move |ask| {
-                let changed = gateway.suspects.changed_after(ask.number, ask.most);
+                let changed = gateway.suspects.changed_after(ask.after, ask.limit);
                 (changed.records, changed.number)
             }),
         }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -200,23 +200,23 @@
     let config = FollowConfig {
         // Control hosts tell each other in their updates.
         suspects: None,
-        rates: None,
+        rate_limits: None,
         counts: None,
         identity: node.identity().clone(),
         recorder: recorder.clone(),
-        gateway,
+        entry_host: gateway,
         // The configuration comes by agreement, not from the directory of another host.
         documents: None,
-        control: true,
-        me,
+        is_control: true,
+        own_address: me,
         seeds,
         on_update: Box::new(move |from, update: DirectoryUpdate| {
-            taking.take_from_control(from, update, Instant::now());
+            taking.merge_control_update(from, update, Instant::now());
         }),
-        on_lost: Box::new(move |from| losing.lose_control(from)),
-        spread: Some(Box::new(move || {
+        on_lost: Box::new(move |from| losing.mark_control_lost(from)),
+        propagation: Some(Box::new(move || {
             let node = spreading.clone();
-            Box::pin(async move { node.await_followers().await })
+            Box::pin(async move { node.wait_for_followers().await })
         })),
     };
     ntex::rt::spawn(follow_directory(config));
@@ -254,8 +254,8 @@
     match ask {
         ControlAsk::PutRouting => node.put_document(request.body.to_vec()).await.map(|_| ())?,
         ControlAsk::ReadRouting => return node.read_document().await.map(config_answer),
-        ControlAsk::Heartbeat(record) => node.take_heartbeat(record).await?,
-        ControlAsk::Leave(id, born) => node.take_leave(&id, born).await?,
+        ControlAsk::Heartbeat(record) => node.receive_heartbeat(record).await?,
+        ControlAsk::Leave(id, born) => node.deregister_target(&id, born).await?,
         ControlAsk::Evacuate(hall) => order_evacuation(node, halls, &hall, true).await?,
         ControlAsk::EndEvacuation(hall) => order_evacuation(node, halls, &hall, false).await?,
         ControlAsk::Rollout(order) => node.order_rollout(order).await.map(|_| ())?,
@@ -288,11 +288,11 @@
 pub(crate) fn error_answer(error: &DirectoryError) -> DoorAnswer {
     let status = match error {
         DirectoryError::UnknownHall(_) | DirectoryError::UnknownService(_) => StatusCode::NOT_FOUND,
-        DirectoryError::Invalid(_) | DirectoryError::BadOrder(_) => StatusCode::BAD_REQUEST,
-        DirectoryError::UnderWay(_) => StatusCode::CONFLICT,
-        DirectoryError::NoQuorum | DirectoryError::NotSpread | DirectoryError::EarlierBuild => {
-            StatusCode::SERVICE_UNAVAILABLE
-        }
+        DirectoryError::Invalid(_) | DirectoryError::InvalidOrder(_) => StatusCode::BAD_REQUEST,
+        DirectoryError::RolloutInProgress(_) => StatusCode::CONFLICT,
+        DirectoryError::NoQuorum
+        | DirectoryError::NotPropagated
+        | DirectoryError::OutdatedControlHost => StatusCode::SERVICE_UNAVAILABLE,
     };
     DoorAnswer::text(status, format!("{error}\n"))
 }
@@ -366,10 +366,10 @@
             status.term as i64,
             status.commit as i64,
             i64::from(status.lease_lasts),
-            node.held_document().map_or(0, |held| held.version()) as i64,
+            node.current_document().map_or(0, |held| held.version()) as i64,
             counts.targets as i64,
-            counts.gateways as i64,
-            counts.gateways_behind as i64,
+            counts.entry_hosts as i64,
+            counts.outdated_entry_hosts as i64,
             node.evacuations().evacuated_halls().count() as i64,
             node.rollouts().in_progress().count() as i64,
             node.held_count() as i64,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -114,20 +114,20 @@
     ntex::rt::spawn(follow_directory(FollowConfig {
         identity,
         recorder: recorder.clone(),
-        gateway: gateway.record(),
+        entry_host: gateway.record(),
         documents: Some(DocumentSink {
-            held: Box::new(move || holding.held_document()),
-            take: Box::new(move |document| taking.take_document(document)),
+            current: Box::new(move || holding.held_document()),
+            store: Box::new(move |document| taking.take_document(document)),
         }),
         suspects: Some(gateway.suspect_source()),
-        rates: Some(gateway.rate_source()),
+        rate_limits: Some(gateway.rate_source()),
         counts: Some(gateway.count_source()),
-        control: false,
-        me: peers,
+        is_control: false,
+        own_address: peers,
         seeds: seeds_read,
         on_update: Box::new(move |from, update| updated.take_update(from, update)),
         on_lost: Box::new(move |from| lost.lose_control(from)),
-        spread: None,
+        propagation: None,
     }));
 
     if let Some(metrics) = settings.listen.metrics {
