--- a/crates/directory/src/call.rs
+++ b/crates/directory/src/call.rs
@@ -1,4 +1,4 @@
-//! One question to a control host, on a connection of its own.
+//! A single request to a control host, on a connection of its own.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use crate::message::{DirectoryCall, DirectoryReply};
 
-/// Why a question to a control host has no answer.
+/// Why a call to a control host failed.
 #[derive(Debug, Display, derive_more::Error, derive_more::From)]
 pub enum CallError {
     /// The connection failed.
     #[display("{_0}")]
     Wire(WireError),
-    /// No answer came in time.
-    #[display("call to {_0}: no answer in time")]
+    /// The control host did not reply within the timeout.
+    #[display("call to {_0}: no reply in time")]
     #[from(ignore)]
     #[error(ignore)]
     TimedOut(SocketAddr),
--- a/crates/directory/src/change_reports.rs
+++ b/crates/directory/src/change_reports.rs
@@ -1,42 +1,43 @@
-//! Telling control hosts what changes of what a process holds.
+//! Reports to control hosts of records that changed in a process.
 
 use linnet_quarantine::SuspectRecord;
 use linnet_rate::RateWord;
 use tokio::sync::watch;
 
-/// Where a process that follows keeps something of which it tells the changes.
+/// A store of records in a following process whose changes are reported to control hosts.
 pub struct ChangeSource<R> {
-    /// Changes with each change of it.
+    /// Wakes with each change of the store.
     pub changes: watch::Receiver<u64>,
-    /// Returns what is to be told next.
+    /// Returns the records to report next, and the number of the last change that they cover.
     pub changed_after: Box<dyn Fn(ChangeQuery) -> (Vec<R>, u64)>,
 }
 
-/// Asks for the first records that changed after a change number, and the number of the last change that they bring
-/// their reader to.
+/// Requests the first records that changed after a change number, and the number of the last change
+/// that these records cover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChangeQuery {
-    /// The change number.
+    /// Change number up to which the reader is up to date.
     pub after: u64,
-    /// The most records.
+    /// Maximum number of records.
     pub limit: usize,
-    /// Whether the reader may know nothing yet, also not what it usually hears from others.
+    /// Whether the reader may hold no records yet, including those that it usually receives from
+    /// other processes.
     pub catches_up: bool,
 }
 
-/// Where a process keeps what it holds against requests.
+/// The suspected requests that a process knows of.
 pub type SuspectSource = ChangeSource<SuspectRecord>;
 
-/// Where a process keeps the rates that targets named.
+/// The rate limits that targets announced to a process.
 pub type RateLimitSource = ChangeSource<RateWord>;
 
-/// What one control host was told of the changes of a source.
+/// Which changes of a source were reported to one control host.
 pub(crate) struct ChangeReports<'a, R> {
     source: Option<(&'a ChangeSource<R>, watch::Receiver<u64>)>,
-    /// The most records in one report.
+    /// Maximum number of records in one report.
     limit: usize,
-    /// The number of the last change that was told. A control host that comes back is told everything, so
-    /// that it knows again what it lost.
+    /// Number of the last change that was reported. It starts at 0 for each connection, so a
+    /// control host that reconnects receives all records again and recovers what it lost.
     reported: u64,
     catches_up: bool,
 }
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Returns what the control host has to be told next.
+    /// Returns the records to report next.
     pub(crate) fn next(&mut self) -> Vec<R> {
         let Some((source, changes)) = &mut self.source else {
             return Vec::new();
@@ -67,7 +68,7 @@
         records
     }
 
-    /// Resolves when there is more to tell.
+    /// Resolves when there are more changes to report.
     pub(crate) async fn changed(&mut self) {
         if let Some((_, changes)) = &mut self.source
             && changes.changed().await.is_ok()
--- a/crates/directory/src/document.rs
+++ b/crates/directory/src/document.rs
@@ -1,17 +1,19 @@
-//! A configuration as it is agreed on: opaque bytes under an outside version.
+//! A configuration document as the cluster agrees on it: opaque bytes with a version that the
+//! operator assigns.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a hash that names a content. Nobody chooses contents against it: peers are proved.
+/// Bytes of a content hash. It need not resist deliberate collisions, since peers are
+/// authenticated.
 const HASH_BYTES: usize = 16;
 
-/// The hash of a content.
+/// The hash of a document or payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ContentHash([u8; HASH_BYTES]);
 
 impl ContentHash {
-    /// Hashes a content.
+    /// Hashes bytes.
     pub fn new(content: &[u8]) -> Self {
         let mut short = [0; HASH_BYTES];
         short.copy_from_slice(&blake3::hash(content).as_bytes()[..HASH_BYTES]);
@@ -19,23 +21,23 @@
     }
 }
 
-/// A configuration in the form in which the operator sent it.
+/// A configuration, byte for byte as the operator sent it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The version that the operator gave it; the highest holds.
+    /// Version that the operator assigned; the highest version is in force.
     pub version: u64,
-    /// The bytes, as they were sent.
+    /// Document body, byte for byte as the operator sent it.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// Names a configuration and its content.
+/// Identifies a configuration by version and content.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("version {version}")]
 pub struct DocumentKey {
-    /// The version that the operator gave it.
+    /// Version that the operator assigned.
     pub version: u64,
-    /// The hash of its bytes.
+    /// Hash of the document body.
     pub hash: ContentHash,
 }
 
@@ -47,7 +49,7 @@
 }
 
 impl StoredDocument {
-    /// Takes a configuration and hashes its bytes.
+    /// Computes the key of a configuration.
     pub fn new(document: Document) -> Self {
         let key = DocumentKey {
             version: document.version,
@@ -61,12 +63,12 @@
         self.key
     }
 
-    /// Returns the version that the operator gave it.
+    /// Returns the version that the operator assigned.
     pub fn version(&self) -> u64 {
         self.key.version
     }
 
-    /// Returns the bytes, as the operator sent them.
+    /// Returns the document body, byte for byte as the operator sent it.
     pub fn body(&self) -> &[u8] {
         &self.document.body
     }
--- a/crates/directory/src/document_follower.rs
+++ b/crates/directory/src/document_follower.rs
@@ -1,4 +1,4 @@
-//! The configuration as a subscriber takes it from the control hosts that it follows.
+//! Transfer of configurations from the followed control hosts to a subscriber.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 
 /// Where a subscriber keeps its configuration.
 pub struct DocumentSink {
-    /// Returns the one that it holds.
+    /// Returns the current configuration.
     pub current: Box<dyn Fn() -> Option<Arc<StoredDocument>>>,
-    /// Takes a newer one.
+    /// Stores a newer configuration.
     pub store: Box<dyn Fn(StoredDocument)>,
 }
 
-/// Takes offers and parts from all control hosts, and says what is wanted of each.
+/// Processes offers and parts from all control hosts, and decides what to request from each.
 pub(crate) struct DocumentFollower {
     sink: DocumentSink,
     recorder: Arc<EventRecorder>,
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Returns the version that is held; 0 for none.
+    /// Returns the version of the current configuration; 0 for none.
     pub(crate) fn current_version(&self) -> u64 {
         (self.sink.current)().map_or(0, |current| current.version())
     }
 
-    /// Returns a receiver that wakes when something else is wanted than before.
+    /// Returns a receiver that wakes when the requests to control hosts change.
     pub(crate) fn changes(&self) -> watch::Receiver<Option<FetchProgress>> {
         self.progress.subscribe()
     }
 
-    /// Returns what is wanted of a control host.
+    /// Returns what to request from a control host.
     pub(crate) fn request_for(&self, source: SocketAddr) -> Option<DocumentRequest> {
         self.fetch.borrow().request_for(source)
     }
@@ -78,13 +78,14 @@
             .fetch
             .borrow_mut()
             .mark_source_lost(source, Instant::now());
-        self.record_switch(switch, "the control host was lost");
+        self.record_switch(switch, "connection to the control host lost");
     }
 
-    /// Asks another control host where no part came for too long; to be called now and then.
+    /// Switches to another control host if no part arrived within the timeout. To be called
+    /// periodically.
     pub(crate) fn check_timeout(&self) {
         let switch = self.fetch.borrow_mut().check_timeout(Instant::now());
-        self.record_switch(switch, "no part came in time");
+        self.record_switch(switch, "no part received in time");
     }
 
     fn unpack_and_store(&self, source: SocketAddr, fetched: &FetchedPayload) {
--- a/crates/directory/src/document_sender.rs
+++ b/crates/directory/src/document_sender.rs
@@ -1,13 +1,15 @@
-//! What a control host sends of a configuration to one subscriber: parts, as far as it asked.
+//! Transfer of a configuration from a control host to one subscriber, in parts and as far as the
+//! subscriber requested.
 //!
-//! The subscriber asks for a few parts at a time. What waits in the connection then is small, and
-//! other news of the directory pass between the parts.
+//! The subscriber requests a few parts at a time. This keeps the connection's send queue short, and
+//! other updates pass between the parts.
 
 use std::sync::Arc;
 
 use crate::{DocumentPart, DocumentPayload, DocumentRequest};
 
-/// Bytes of one part: some 7 ms of a link of 10 Mbit/s, for which other news wait at most.
+/// Bytes of one part: some 7 ms on a link of 10 Mbit/s, which is the longest that other updates
+/// wait for it.
 pub(crate) const PART_BYTES: u32 = 8 * 1024;
 
 /// The transfer to one subscriber.
@@ -24,7 +26,7 @@
 }
 
 impl DocumentSender {
-    /// Takes what the subscriber wants now; `find` gives the payload for it.
+    /// Sets the current request of the subscriber; `find` returns the payload for it.
     pub(crate) fn set_request(
         &mut self,
         request: Option<&DocumentRequest>,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Returns the next part, where one is due, and counts it as sent.
+    /// Returns the next part if one is due, and counts it as sent.
     pub(crate) fn next_part(&mut self) -> Option<DocumentPart> {
         let current = self.current.as_mut()?;
         let (bytes, start) = (current.payload.bytes(), current.sent as usize);
@@ -60,7 +62,7 @@
 }
 
 impl CurrentTransfer {
-    // Where the subscriber has a beginning of other bytes than these it starts from nothing.
+    // If the subscriber has the first bytes of another payload, the transfer starts at 0.
     fn new(request: &DocumentRequest, payload: Arc<DocumentPayload>) -> Self {
         let resumes = request.partial == Some(payload.key());
         Self {
--- a/crates/directory/src/entry_host_push.rs
+++ b/crates/directory/src/entry_host_push.rs
@@ -1,19 +1,20 @@
-//! When a control host pushes the list of entry hosts to one subscriber.
+//! Decides when a control host pushes the list of entry hosts to a subscriber.
 //!
-//! The list is pushed whole. When many entry hosts come and go at once, as after a power cut, a push
-//! for each would fill the subscriber's link with lists that are out of date on arrival.
+//! The list is always pushed as a whole. When many entry hosts connect and disconnect at once, as
+//! after a power cut, one push per change would fill the subscriber's link with lists that are
+//! outdated on arrival.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::{EntryHostRecord, LocalEntryHosts};
 
-/// Time between two lists for each entry host in them.
+/// Minimum time between two lists, per entry host in the list.
 const PUSH_SPACING_PER_ENTRY_HOST: Duration = Duration::from_millis(1);
 
-/// A list of entry hosts that is pushed whole.
+/// A list of entry hosts that is pushed as a whole.
 pub(crate) trait PushedList: PartialEq {
-    /// Returns how many entry hosts it has.
+    /// Returns the number of entry hosts in the list.
     fn hosts(&self) -> usize;
 }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// What one subscriber was sent.
+/// The last list sent to one subscriber.
 #[derive(Debug)]
 pub(crate) struct EntryHostPush<L: ?Sized> {
     sent: Option<(Arc<L>, Instant)>,
@@ -41,19 +42,19 @@
     }
 }
 
-/// Whether the list is to be pushed.
+/// Whether a list has to be pushed.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PushDue<L: ?Sized> {
-    /// The subscriber has it.
+    /// The subscriber already has the list.
     UpToDate,
-    /// Now; this counts as done.
+    /// The list is due, and is recorded as sent.
     Now(Arc<L>),
-    /// After this span, if nothing changes until then.
+    /// The list is due after this time if nothing changes until then.
     After(Duration),
 }
 
 impl<L: PushedList + ?Sized> EntryHostPush<L> {
-    /// Says whether a list is due.
+    /// Returns whether a list is due.
     pub(crate) fn due(&mut self, list: Arc<L>, now: Instant) -> PushDue<L> {
         if let Some((sent, at)) = &self.sent {
             if Arc::ptr_eq(sent, &list) || *sent == list {
--- a/crates/directory/src/evacuation.rs
+++ b/crates/directory/src/evacuation.rs
@@ -1,14 +1,14 @@
 //! Evacuations: data halls whose targets get no new work, by an operator's order.
 //!
-//! An order goes through the replicated log beside the configuration and is independent of its
-//! versions. Each change of a hall raises the hall's revision, and of two beliefs about a hall the
-//! one with the higher revision holds, so that no process goes back to an older one.
+//! An order goes through the replicated log like the configuration, but is independent of its
+//! versions. Each change to a hall raises the hall's revision, and of two states of a hall the one
+//! with the higher revision is in force, so no process returns to an older state.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of the evacuation of one hall.
+/// The evacuation state of one hall.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallEvacuation {
     /// Rises with each change; 0 before any order.
@@ -17,51 +17,52 @@
     pub evacuated: bool,
 }
 
-/// An order of an operator, as a control host hands it to the log.
+/// An operator's order, as a control host proposes it to the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationOrder {
-    /// The data hall.
+    /// Name of the data hall.
     pub hall: String,
-    /// Whether it is to be evacuated, or taken back.
+    /// Whether to evacuate the hall, or to return it to service.
     pub evacuated: bool,
-    /// The revision of the hall that the control host had seen when the order came. A copy of the
-    /// order that is committed late, after other orders, names an older one and changes nothing.
+    /// Revision of the hall that the control host knew when the order arrived. A duplicate of the
+    /// order that is committed late, after other orders, carries an outdated revision and changes
+    /// nothing.
     pub seen_revision: u64,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EvacuationOutcome {
-    /// The hall is as the order wants it.
+    /// The hall is in the ordered state.
     InEffect(HallEvacuation),
-    /// The hall has changed since the revision that the order names; nothing was done.
+    /// The hall has changed since the revision that the order carries; the order was not applied.
     Outdated(HallEvacuation),
 }
 
-/// The evacuations of all halls for which there ever was an order.
+/// The evacuation state of every hall that was ever named in an order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationStore {
     halls: BTreeMap<String, HallEvacuation>,
 }
 
 impl EvacuationStore {
-    /// Returns what is known of a hall.
+    /// Returns the evacuation state of a hall.
     pub fn state_of(&self, hall: &str) -> HallEvacuation {
         self.halls.get(hall).copied().unwrap_or_default()
     }
 
-    /// Says whether targets of a hall get no new work.
+    /// Returns whether targets of a hall get no new work.
     pub fn is_evacuated(&self, hall: &str) -> bool {
         self.state_of(hall).evacuated
     }
 
-    /// Returns the halls that are evacuated.
+    /// Returns the evacuated halls.
     pub fn evacuated_halls(&self) -> impl Iterator<Item = &str> {
         let evacuated = self.halls.iter().filter(|(_, state)| state.evacuated);
         evacuated.map(|(hall, _)| hall.as_str())
     }
 
-    /// Takes a committed order.
+    /// Applies a committed order.
     pub fn apply(&mut self, order: &EvacuationOrder) -> EvacuationOutcome {
         let known = self.state_of(&order.hall);
         if known.evacuated == order.evacuated {
@@ -78,7 +79,8 @@
         EvacuationOutcome::InEffect(state)
     }
 
-    /// Takes what another process knows; returns the halls that were taken back by it.
+    /// Merges the state that another process holds; returns the halls that this returned to
+    /// service.
     pub fn merge(&mut self, other: &Self) -> Vec<String> {
         let mut returned = Vec::new();
         for (hall, state) in &other.halls {
--- a/crates/directory/src/fetch.rs
+++ b/crates/directory/src/fetch.rs
@@ -1,11 +1,12 @@
-//! How a subscriber gets a newer configuration: from one control host at a time, and from another
-//! one, going on where the first ended, when no part comes.
+//! How a subscriber fetches a newer configuration: from one control host at a time, and from
+//! another one, resuming at the same offset, when no part arrives.
 //!
-//! One source keeps the cost at one copy: all of six control hosts sending theirs at once took a
-//! link of 10 Mbit/s for seconds after a power cut, in which nothing else passed. A transfer that
-//! was begun is brought to its end though newer configurations are announced meanwhile; the next
-//! one then tells only what changed since. Otherwise a series of changes that is quicker than the
-//! transfer would keep a subscriber at its old configuration for as long as the series lasts.
+//! A single source limits the traffic to one copy. With all six control hosts sending theirs at
+//! once, a link of 10 Mbit/s was saturated for seconds after a power cut, and nothing else got
+//! through. A transfer that has begun runs to its end even if newer configurations are announced
+//! meanwhile; the next transfer then carries only the changes since. Otherwise a series of changes
+//! that is faster than the transfer would keep a subscriber on its old configuration for as long as
+//! the series lasts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,37 +16,38 @@
 use crate::document_sender::PART_BYTES;
 use crate::{DocumentKey, DocumentPart, DocumentPayload, DocumentRequest, PayloadKey};
 
-/// How long no part may come before another control host is asked. It is doubled with each such
-/// turn up to the last figure, so that a link on which a part takes longer is not filled with parts
-/// from all of them.
+/// How long no part may arrive before the subscriber switches to another control host. The timeout
+/// doubles with each such switch up to the maximum, so that a link on which one part takes longer
+/// is not filled with parts from all control hosts.
 const MIN_PART_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_PART_TIMEOUT: Duration = Duration::from_millis(3_200);
 
-/// Bytes that are asked for beyond those that came. A round trip between data halls of 4 ms at
-/// 10 Mbit/s takes 5 KB.
+/// Bytes requested beyond those received. The bandwidth-delay product between data halls, with a
+/// round trip of 4 ms at 10 Mbit/s, is 5 KB.
 const WINDOW_BYTES: u32 = 4 * PART_BYTES;
 
-/// The transfers of one subscriber.
+/// The configuration transfers of one subscriber.
 pub(crate) struct DocumentFetch {
     own_address: SocketAddr,
     stored: Option<DocumentKey>,
     offers: BTreeMap<SocketAddr, DocumentKey>,
     current: Option<CurrentFetch>,
-    /// Counts the turns to a source, over all transfers.
+    /// Counts the requests to a new source, over all transfers.
     attempt: u32,
     part_timeout: Duration,
-    /// Sources whose payload could not be used; the whole is asked for while there are any.
+    /// Sources whose payload could not be used. While there are any, whole configurations are
+    /// requested.
     faulty: BTreeSet<SocketAddr>,
-    /// Nothing is asked for before, since no source had a payload that could be used.
+    /// No request is made before this time, because no source had a usable payload.
     paused_until: Option<Instant>,
 }
 
 struct CurrentFetch {
     wanted: DocumentKey,
     base: Option<DocumentKey>,
-    /// The control host that is asked; nothing while there is none, and what came is kept.
+    /// The control host in use. While there is none, the received bytes are kept.
     source: Option<SocketAddr>,
-    /// Sources that were asked since all had their turn.
+    /// Sources tried since the last time all of them were tried.
     tried: BTreeSet<SocketAddr>,
     partial: Option<PayloadKey>,
     bytes: Vec<u8>,
@@ -54,39 +56,39 @@
     requests: u32,
 }
 
-/// A payload that is whole.
+/// A complete payload.
 #[derive(Debug)]
 pub(crate) struct FetchedPayload {
     pub(crate) payload: DocumentPayload,
-    /// From the first request for it.
+    /// Time since the first request for the payload.
     pub(crate) duration: Duration,
-    /// How many times a source was asked.
+    /// Number of requests to sources.
     pub(crate) requests: u32,
 }
 
-/// A turn to another source.
+/// A switch to another source.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct SourceSwitch {
-    /// The source that brought nothing for too long.
+    /// The source that sent nothing within the timeout.
     pub(crate) from: Option<SocketAddr>,
-    /// The one that is asked now.
+    /// The source in use now.
     pub(crate) to: Option<SocketAddr>,
-    /// Bytes that had come.
+    /// Bytes received so far.
     pub(crate) offset: usize,
 }
 
-/// What is asked of which source.
+/// The current request and its source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct FetchProgress {
     pub(crate) source: SocketAddr,
-    /// Number of the turn.
+    /// Number of the request; see [`DocumentRequest::attempt`].
     attempt: u32,
-    /// Up to which byte.
+    /// End of the requested bytes.
     limit: u32,
 }
 
 impl DocumentFetch {
-    /// Creates the transfers of the subscriber at `me`, which has `held`.
+    /// Creates the state of a subscriber at `own_address` that has `stored`.
     pub(crate) fn new(own_address: SocketAddr, stored: Option<DocumentKey>) -> Self {
         Self {
             own_address,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Hears what a control host holds.
+    /// Records which configuration a control host has.
     pub(crate) fn record_offer(&mut self, source: SocketAddr, key: DocumentKey, now: Instant) {
         self.offers.insert(source, key);
         match &self.current {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Hears that a control host was lost.
+    /// Removes a control host whose connection was lost.
     pub(crate) fn mark_source_lost(
         &mut self,
         source: SocketAddr,
@@ -126,7 +128,7 @@
         None
     }
 
-    /// Takes a part; the payload once it is whole.
+    /// Adds a part; returns the payload once it is complete.
     pub(crate) fn receive_part(
         &mut self,
         source: SocketAddr,
@@ -135,7 +137,7 @@
     ) -> Option<FetchedPayload> {
         let current = self.current.as_mut()?;
         if current.partial != Some(part.payload) {
-            // The one that is asked may have other bytes than the one before.
+            // A new source may have other bytes than the previous one.
             let may_restart = current.partial.is_none() || current.source == Some(source);
             if part.offset != 0 || !may_restart {
                 return None;
@@ -143,7 +145,7 @@
             current.partial = Some(part.payload);
             current.bytes.clear();
         }
-        // The same part may come from two sources.
+        // The same part may arrive from two sources.
         if part.offset as usize != current.bytes.len() {
             return None;
         }
@@ -160,7 +162,7 @@
         })
     }
 
-    /// Hears that a configuration is held from now on; the next newer one is asked for.
+    /// Records the configuration that the subscriber now has, and starts to fetch a newer one.
     pub(crate) fn set_stored(&mut self, stored: DocumentKey, now: Instant) {
         self.stored = Some(stored);
         self.part_timeout = MIN_PART_TIMEOUT;
@@ -171,9 +173,9 @@
         self.start_transfer(now);
     }
 
-    /// Hears that the payload from `source` brought nothing: what it offered is asked for whole, of
-    /// another source. When all were tried in vain they rest for a while, so that a fault that all
-    /// of them share does not fill the link.
+    /// Records that the payload from `source` could not be used, and requests the whole
+    /// configuration from another source. Once all sources have failed, requests pause for a while,
+    /// so that a fault common to all of them does not fill the link.
     pub(crate) fn reject_payload(&mut self, source: SocketAddr, now: Instant) {
         self.faulty.insert(source);
         if self.best_source(&self.faulty).is_none() {
@@ -184,7 +186,7 @@
         self.start_transfer(now);
     }
 
-    /// Asks another control host where no part came for too long.
+    /// Switches to another control host if no part arrived within the timeout.
     pub(crate) fn check_timeout(&mut self, now: Instant) -> Option<SourceSwitch> {
         self.start_transfer(now);
         let current = self.current.as_ref()?;
@@ -195,14 +197,14 @@
         self.switch_source(now)
     }
 
-    /// Returns what is wanted of a control host now.
+    /// Returns the current request to a control host.
     pub(crate) fn request_for(&self, source: SocketAddr) -> Option<DocumentRequest> {
         let current = self.current.as_ref()?;
         if current.source != Some(source) {
             return None;
         }
         let offset = current.bytes.len() as u32;
-        // In steps, so that not every part is answered by a report.
+        // The limit advances in steps, so that not every part triggers a report.
         let step = offset - offset % (2 * PART_BYTES);
         Some(DocumentRequest {
             key: current.wanted,
@@ -214,7 +216,7 @@
         })
     }
 
-    /// Returns what is asked now; it changes when there is something to tell.
+    /// Returns the current request; it changes when there is something to report.
     pub(crate) fn progress(&self) -> Option<FetchProgress> {
         let source = self.current.as_ref()?.source?;
         let request = self.request_for(source)?;
@@ -272,8 +274,8 @@
         })
     }
 
-    /// Returns the source with the newest offer that is newer than what is held. Among equal ones
-    /// each subscriber has another order, so that the work is spread.
+    /// Returns the source with the newest offer that is newer than the stored one. Among equal
+    /// offers each subscriber prefers another source, which spreads the load.
     fn best_source(&self, excluded: &BTreeSet<SocketAddr>) -> Option<SocketAddr> {
         let stored = self.stored.map_or(0, |stored| stored.version);
         let newer = self.offers.iter().filter(|(source, key)| {
--- a/crates/directory/src/fetch/tests.rs
+++ b/crates/directory/src/fetch/tests.rs
@@ -14,7 +14,7 @@
     StoredDocument::new(Document { version, body })
 }
 
-/// A control host that holds one configuration, and what it sent so far.
+/// A control host that has one configuration, and its transfer to the subscriber.
 struct Source {
     address: SocketAddr,
     payload: Arc<DocumentPayload>,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends at most `most` parts of what is wanted of it.
+    /// Sends at most `limit` parts of what the subscriber requests.
     fn send(
         &mut self,
         fetch: &mut DocumentFetch,
@@ -130,7 +130,7 @@
 fn slow_link_does_not_trigger_requests_to_all_sources() {
     let (mut fetch, now) = (DocumentFetch::new(address(100), None), Instant::now());
     (1..=6).for_each(|number| fetch.record_offer(address(number), key(5), now));
-    // A part takes three seconds to come.
+    // Each part takes three seconds to arrive.
     let requests = (0..30).filter(|step| fetch.check_timeout(after(now, step * 100)).is_some());
     assert!(requests.count() <= 3);
 }
@@ -152,7 +152,7 @@
     }
     let have = late.len() as u32 * PART_BYTES;
     assert_eq!(fetch.request_for(address(2)).unwrap().offset, have);
-    // Out of order: nothing is taken.
+    // A part with a wrong offset is ignored.
     let mut beyond = late[0].clone();
     beyond.offset = have + 1;
     fetch.receive_part(address(2), beyond, now);
@@ -222,7 +222,7 @@
         }
     }
     assert!((4..12).contains(&tried), "asked {tried} times in 5 s");
-    // One that is in order ends it.
+    // A usable payload ends the pauses.
     let later = after(now, 20_000);
     fetch.check_timeout(later);
     let source = (1..=2)
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -33,69 +33,72 @@
 use followed::{FollowedHost, choose_followed, choose_list_sources, rank_controls};
 use report::send_reports;
 
-/// How long opening a connection may take. A first packet that is lost is sent again by the system
-/// only after a second.
+/// Timeout for opening a connection. The system resends a lost first packet only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Waits before a control host that was lost is tried again: short at first, since a process that
-/// was started anew is there within moments, and doubled with each try that fails.
+/// Delays before reconnecting to a control host: short at first, since a process that was restarted is back
+/// within moments, and doubled with each failed attempt.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
 
-/// How often the set of control hosts is looked at.
+/// How often the set of control hosts to follow is recomputed.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a control host that is not wanted any more is followed on.
+/// Rounds after which a control host that is no longer needed is not followed any more.
 const MAX_ROUNDS_UNNEEDED: u32 = 50;
 
-/// Returns what a process counts for the roll-outs that are under way; nothing where none is.
+/// Returns what a process counts for the roll-outs in progress; empty if there are none.
 pub type CountSource = Box<dyn Fn() -> Vec<PhaseCounts>>;
 
-/// What a follower needs.
+/// Configuration of a follower.
 pub struct FollowConfig {
-    /// Name, keys and clock towards peers.
+    /// Name, keys and clock used towards peers.
     pub identity: PeerIdentity,
-    /// Where events go.
+    /// Receives events.
     pub recorder: Arc<EventRecorder>,
-    /// This process, where it takes callers' requests; told to every control host.
+    /// Record of this process if it serves callers; reported to every control host.
     pub entry_host: watch::Receiver<Option<EntryHostRecord>>,
-    /// Where configurations are kept; nothing for a control host, which gets them by agreement.
+    /// Where configurations are stored; `None` for a control host, which gets them through the replicated
+    /// log.
     pub documents: Option<DocumentSink>,
-    /// What this process holds against requests, where it sends them to targets; told to every control host.
+    /// Suspected requests that this process knows of, if it sends requests to targets; reported to every
+    /// control host.
     pub suspects: Option<SuspectSource>,
-    /// The rates that targets named to this process, where it sends requests to them; told to every control host.
+    /// Rate limits that targets announced to this process, if it sends requests to them; reported to every
+    /// control host.
     pub rate_limits: Option<RateLimitSource>,
-    /// What this process counts for roll-outs, where it sends requests to targets; told to every control host.
+    /// Counts for roll-outs, if this process sends requests to targets; reported to every control host.
     pub counts: Option<CountSource>,
     /// Whether this process is a control host.
     pub is_control: bool,
-    /// The address of this process, which is not followed.
+    /// Address of this process, which it does not follow.
     pub own_address: SocketAddr,
-    /// Where to start; read again whenever it changes.
+    /// Control hosts to start from; read again whenever they change.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Takes an update of a control host.
+    /// Called with each update from a control host.
     pub on_update: Box<dyn Fn(SocketAddr, DirectoryUpdate)>,
-    /// Hears that a control host was lost.
+    /// Called when the connection to a control host is lost.
     pub on_lost: Box<dyn Fn(SocketAddr)>,
-    /// Waits until those that follow this process know of a withdrawal that it took; nothing where nobody follows it.
+    /// Waits until the followers of this process have received a withdrawal; `None` for a process without
+    /// followers.
     pub propagation: Option<PropagationWait>,
 }
 
 struct FollowState {
     config: FollowConfig,
     documents: Option<DocumentFollower>,
-    /// The members that each connected control host named.
+    /// Members that each connected control host announced.
     announced_members: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
     followed: RefCell<BTreeMap<SocketAddr, FollowedHost>>,
-    /// Control hosts for which a task runs that follows them: also those that it is about to leave.
+    /// Control hosts for which a task is running, including those that the task is about to stop following.
     tasks: RefCell<BTreeSet<SocketAddr>>,
-    /// Wakes those that follow a control host when one is not followed any more.
+    /// Wakes the tasks when a control host is no longer followed.
     unfollowed: watch::Sender<()>,
-    /// Control hosts that this process is connected with.
+    /// Control hosts to which a connection is open.
     connected: RefCell<BTreeSet<SocketAddr>>,
-    /// Those of them that tell it of targets and entry hosts.
+    /// Connected control hosts from which this process receives the lists of targets and entry hosts.
     list_sources: watch::Sender<BTreeSet<SocketAddr>>,
-    /// Tells this start of the process apart from others.
+    /// Distinguishes this incarnation of the process from others.
     incarnation: u64,
 }
 
@@ -120,7 +123,7 @@
         self.followed.borrow().contains_key(&address)
     }
 
-    /// Resolves when a control host is not followed any more.
+    /// Resolves when a control host is no longer followed.
     async fn wait_until_unfollowed(&self, address: SocketAddr) {
         let mut unfollowed = self.unfollowed.subscribe();
         while self.is_followed(address) {
@@ -130,14 +133,14 @@
         }
     }
 
-    /// Notes the form that a control host has announced.
+    /// Records whether a control host runs an earlier build, by the message version that it announced.
     fn record_build(&self, address: SocketAddr, message_version: Option<MessageForm>) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
             host.runs_earlier_build = message_version < Some(MessageForm::Third);
         }
     }
 
-    /// Notes whether a control host hears a leader.
+    /// Records whether a control host is in contact with a leader.
     fn record_leadership(&self, address: SocketAddr, leaderless: bool) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
             host.leaderless_since = match (leaderless, host.leaderless_since) {
@@ -163,7 +166,7 @@
             false => choose_list_sources(self.config.own_address, &connected),
         };
         let former = self.list_sources.send_replace(list_sources.clone());
-        // What those told that tell no more would be out of date from now on.
+        // Hosts that are no longer list sources send no more changes, so their lists would become outdated.
         for removed in former
             .difference(&list_sources)
             .filter(|one| connected.contains(one))
@@ -182,8 +185,8 @@
     }
 }
 
-/// Follows control hosts that the seeds or the followed ones name, until the process ends: an entry host a few of
-/// them, a control host all.
+/// Follows control hosts that the seeds or the followed control hosts name, until the process ends: an entry
+/// host a few of them, a control host all.
 pub async fn follow_directory(config: FollowConfig) {
     let state = Rc::new(FollowState::new(config));
     loop {
@@ -199,8 +202,8 @@
     }
 }
 
-// Seeds may be out of date, so the members that connected control hosts name count beside them. A
-// host that neither names any more is given up after some rounds.
+// Seeds may be outdated, so the members that connected control hosts announce are used as well. A host that
+// neither names any more is dropped after some rounds.
 fn update_followed(state: &FollowState) -> Vec<SocketAddr> {
     let mut known: BTreeSet<SocketAddr> = state.config.seeds.borrow().iter().copied().collect();
     known.extend(state.announced_members.borrow().values().flatten().copied());
@@ -225,14 +228,15 @@
     fresh
 }
 
-/// Returns the control hosts that are to be followed, of those that are known.
+/// Chooses the control hosts to follow among the known ones.
 fn choose_hosts(
     state: &FollowState,
     known: BTreeSet<SocketAddr>,
     now: Instant,
 ) -> BTreeSet<SocketAddr> {
     let followed = state.followed.borrow();
-    // One of an earlier build tells the others nothing of whom it hears, so each has to hear this process itself.
+    // A control host of an earlier build does not tell the others which entry hosts are connected to it, so
+    // this process has to connect to each control host.
     if state.config.is_control || followed.values().any(|host| host.runs_earlier_build) {
         return known;
     }
@@ -251,7 +255,7 @@
     while state.is_followed(address) {
         let connected = match timeout(CONNECT_TIMEOUT, connect(config, address)).await {
             Ok(connected) => connected.map_err(|error| error.to_string()),
-            Err(_) => Err("no answer in time".to_owned()),
+            Err(_) => Err("connect timed out".to_owned()),
         };
         if let Ok((reader, writer)) = connected {
             failure_recorded = false;
@@ -339,7 +343,7 @@
             pass_documents(documents, address, &mut update);
         }
         if !state.is_list_source(address) {
-            // Its lists would not stay up to date; that a target withdrew stays true.
+            // Lists from this host would become outdated, but a withdrawal is final.
             let withdrew = |record: &TargetRecord| record.state > TargetState::Ready;
             update.targets.retain(withdrew);
             update.entry_hosts = None;
@@ -352,7 +356,7 @@
             .any(|one| one.state > TargetState::Ready);
         let revision = update.revision;
         (state.config.on_update)(address, update);
-        // Nobody takes it where the exchange is about to end.
+        // The receiver is gone only when the connection is about to end.
         let _ = applied_sender.send(AppliedUpdate {
             revision,
             withdraws,
@@ -360,7 +364,7 @@
     }
 }
 
-/// Receives an update. The first one of a control host that announced no form tells it.
+/// Receives an update. If the control host announced no message version, its first update reveals it.
 async fn receive_update(
     state: &FollowState,
     address: SocketAddr,
--- a/crates/directory/src/follow/acknowledge.rs
+++ b/crates/directory/src/follow/acknowledge.rs
@@ -1,21 +1,21 @@
-//! When updates are acknowledged to the control host that sent them.
+//! Acknowledgement of updates to the control host that sent them.
 
 use std::pin::Pin;
 
 use tokio::sync::{mpsc, watch};
 
-/// Begins to wait until followers know what this process knows now.
+/// Starts to wait until the followers of this process have received its current state.
 pub type PropagationWait = Box<dyn Fn() -> Pin<Box<dyn Future<Output = ()>>>>;
 
-/// An update that was taken.
+/// An update that was received and applied.
 pub(super) struct AppliedUpdate {
     pub(super) revision: u64,
-    /// Whether it takes a target out of work.
+    /// Whether the update withdraws a target.
     pub(super) withdraws: bool,
 }
 
-/// Acknowledges updates in their order: one that takes a target out of work once those that follow this process know
-/// of it.
+/// Acknowledges updates in order. An update that withdraws a target is acknowledged once the
+/// followers of this process have received the withdrawal.
 pub(super) async fn acknowledge(
     propagation: Option<&PropagationWait>,
     mut applied: mpsc::UnboundedReceiver<AppliedUpdate>,
--- a/crates/directory/src/follow/followed.rs
+++ b/crates/directory/src/follow/followed.rs
@@ -1,4 +1,4 @@
-//! Which control hosts a process follows, and which of them are of use.
+//! Selection of the control hosts that a process follows.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -6,30 +6,33 @@
 
 use crate::ContentHash;
 
-/// Control hosts that an entry host follows, and that tell it of targets and entry hosts. They tell each other at once,
-/// so that a few know what all know; one may be lost, and another cut off, before the next ones are found. What an
-/// entry host hears and says, and a control host for each of them, does not grow with the number of control hosts.
+/// Number of control hosts that an entry host follows and receives lists from. Control hosts
+/// forward changes to each other at once, so a few know what all know; one may be lost, and another
+/// cut off, before replacements are found. The traffic of an entry host, and of a control host per
+/// entry host, does not grow with the number of control hosts.
 pub(super) const FOLLOWED_HOSTS: usize = 3;
 
-/// How long a control host that is being connected counts as followed. After that another one is followed too.
+/// How long a control host counts as usable while the connection is being opened. After that,
+/// another one is followed as well.
 pub(super) const CONNECT_GRACE: Duration = Duration::from_millis(1_000);
 
-/// How long a control host that hears no leader counts: longer than an election takes. After that another one is
-/// followed too, which may be in the part of the fleet that has a leader.
+/// How long a control host without a leader counts as usable: longer than an election takes. After
+/// that, another one is followed as well, which may be in the part of the fleet that has a leader.
 pub(super) const LEADERLESS_GRACE: Duration = Duration::from_millis(2_500);
 
-/// A control host that is followed.
+/// The state of a control host that is followed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FollowedHost {
-    /// Rounds for which it was not wanted.
+    /// Consecutive rounds in which it was not needed.
     pub(super) rounds_unneeded: u32,
-    /// Whether this process is connected with it.
+    /// Whether a connection to it is open.
     pub(super) connected: bool,
-    /// Since when it is, or is not.
+    /// When `connected` last changed.
     pub(super) changed_at: Instant,
-    /// Since when it hears no leader.
+    /// Since when it is without a leader.
     pub(super) leaderless_since: Option<Instant>,
-    /// Whether it is of an earlier build, which does not tell the others whom it hears.
+    /// Whether it runs an earlier build, which does not tell the other control hosts which entry
+    /// hosts are connected to it.
     pub(super) runs_earlier_build: bool,
 }
 
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Says whether it is of use, or may be soon, so that no other one is needed in its place.
+    /// Returns whether it is usable or may be soon, so that no replacement is needed.
     pub(super) fn is_usable(&self, now: Instant) -> bool {
         let age = |since: Instant| now.saturating_duration_since(since);
         match self.connected {
@@ -56,7 +59,7 @@
     }
 }
 
-/// Ranks control hosts for a process, in another order than for the next process.
+/// Ranks control hosts for a process. The order differs from process to process.
 pub(super) fn rank_controls(
     own_address: SocketAddr,
     controls: &BTreeSet<SocketAddr>,
@@ -68,8 +71,8 @@
     ranked
 }
 
-/// Chooses the control hosts that tell a process of targets and entry hosts, the same ones while they are
-/// connected.
+/// Chooses the control hosts from which a process receives lists. The choice is stable while they
+/// are connected.
 pub(super) fn choose_list_sources(
     own_address: SocketAddr,
     connected: &BTreeSet<SocketAddr>,
@@ -80,7 +83,8 @@
         .collect()
 }
 
-/// Chooses the control hosts that an entry host follows: the first ones of its ranking until enough of them count.
+/// Chooses the control hosts that an entry host follows: the first ones of its ranking, until
+/// enough of them are usable.
 pub(super) fn choose_followed(
     ranked: &[SocketAddr],
     is_usable: impl Fn(SocketAddr) -> bool,
--- a/crates/directory/src/follow/report.rs
+++ b/crates/directory/src/follow/report.rs
@@ -1,4 +1,4 @@
-//! What a process tells a control host of itself, again and again.
+//! Periodic reports of a process to a control host.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,7 +16,8 @@
 use crate::serve::{MAX_RATE_LIMITS_PER_MESSAGE, MAX_SUSPECTS_PER_MESSAGE, UPDATE_INTERVAL};
 use crate::{EntryHostRecord, SubscriberReport};
 
-/// Between two reports while a roll-out is under way: how long a bad version goes on to get its share.
+/// Time between two reports during a roll-out. It bounds how long a bad version keeps its share of
+/// requests.
 const ROLLOUT_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) async fn send_reports(
@@ -35,7 +36,8 @@
         MAX_RATE_LIMITS_PER_MESSAGE,
     );
     loop {
-        // Read before the report is made: what changes while it is sent is told by the next one.
+        // Read before the report is built: a change while the report is being sent goes into the
+        // next one.
         let reported = requests.as_ref().and_then(|requests| *requests.borrow());
         let counts = state.config.counts.as_ref();
         let report = SubscriberReport {
@@ -67,7 +69,7 @@
     }
 }
 
-/// Sends a report, and behind it what was counted for roll-outs and what targets named.
+/// Sends a report, followed by counts for roll-outs and rate limits if there are any.
 async fn send_report(writer: &mut PeerWriter, report: &SubscriberReport) -> Result<(), WireError> {
     if report.phase_counts.is_empty() && report.rate_limits.is_empty() {
         return writer.send(report).await;
@@ -89,7 +91,7 @@
     }
 }
 
-// Only what concerns this control host is told to it.
+// Resolves when the request to this control host has changed.
 async fn request_changed(
     requests: &mut Option<watch::Receiver<Option<FetchProgress>>>,
     reported: Option<FetchProgress>,
@@ -119,7 +121,7 @@
     }
 }
 
-// Where nobody can change the record any more there is nothing to wait for.
+// Without a sender the record cannot change any more.
 async fn record_changed(entry_host: &mut watch::Receiver<Option<EntryHostRecord>>) {
     if entry_host.changed().await.is_err() {
         std::future::pending::<()>().await;
--- a/crates/directory/src/follow/tests.rs
+++ b/crates/directory/src/follow/tests.rs
@@ -11,13 +11,13 @@
     let mut connected: BTreeSet<SocketAddr> = (1..20).map(address).collect();
     let list_sources = choose_list_sources(me, &connected);
     assert_eq!(list_sources.len(), FOLLOWED_HOSTS);
-    // Others come and go, and the chosen ones stay.
+    // The chosen ones stay when others disconnect.
     let others: Vec<SocketAddr> = connected.difference(&list_sources).copied().collect();
     for other in &others {
         connected.remove(other);
         assert_eq!(choose_list_sources(me, &connected), list_sources);
     }
-    // With fewer than that all of them tell.
+    // With fewer control hosts than that, all of them are list sources.
     let lost = *list_sources.first().expect("tellers");
     connected.remove(&lost);
     assert_eq!(choose_list_sources(me, &connected), connected);
@@ -41,7 +41,7 @@
     rank_controls(address(200), &(1..=count).map(address).collect())
 }
 
-/// What an entry host follows does not grow with the control hosts.
+/// The number of followed control hosts does not grow with the number of control hosts.
 #[test]
 fn number_of_followed_control_hosts_is_bounded() {
     for count in [1, 2, 3, 5, 6, 8, 25, 100] {
@@ -50,7 +50,8 @@
     }
 }
 
-/// Each that is lost, or has heard no leader for long, has one more in its place; it is tried on.
+/// Each host that is lost, or has had no leader for too long, is followed on, and one more beside
+/// it.
 #[test]
 fn unusable_control_hosts_are_supplemented_by_others() {
     let ranked = ranked(25);
@@ -65,7 +66,7 @@
     assert_eq!(none.len(), 25);
 }
 
-/// When one control host is lost, only its own followers find another.
+/// When a control host is lost, only its own followers choose another one.
 #[test]
 fn lost_control_host_affects_only_its_followers() {
     let controls: BTreeSet<SocketAddr> = (1..=25).map(address).collect();
--- a/crates/directory/src/form.rs
+++ b/crates/directory/src/form.rs
@@ -1,4 +1,4 @@
-//! Forms the cluster from the seeds, or joins one, without an operator's hand.
+//! Forms the cluster from the seeds, or joins an existing one, without operator action.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,25 +13,25 @@
 use crate::call::call;
 use crate::message::{DirectoryCall, DirectoryReply};
 
-/// Wait between two tries.
+/// Time between two attempts to form or join a cluster.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Wait between two looks whether this host is still a member.
+/// Time between two checks whether this host is still a member.
 const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long a control host may take to answer.
+/// Timeout for the reply of a control host.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How a control host becomes a member.
 pub struct FormConfig {
-    /// Whether this is the first start of the whole system, on empty disks. Only then may a
-    /// cluster be formed.
+    /// Whether this is the first start of the whole system, on empty disks. Only then may a cluster
+    /// be formed.
     pub first_start: bool,
-    /// Peer addresses of control hosts to start from.
+    /// Peer addresses of control hosts to contact first.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
 }
 
-/// What a control host said of itself.
+/// What a control host replied to [`DirectoryCall::Identify`].
 struct Identity {
     member: Member,
     cluster: Option<u64>,
@@ -41,12 +41,12 @@
     last: u64,
 }
 
-/// Makes this control host a member of a cluster, and again whenever the others left it out while
-/// it was cut off; never ends.
+/// Makes this control host a member of a cluster, and again whenever the others removed it while it
+/// was cut off; never returns.
 ///
 /// Invariant: a cluster is formed only by all seeds together, only at the first start of the
-/// system, and its number follows from the founders' identities; so a try that was cut off half-way
-/// is taken up again as the same one.
+/// system, and its number follows from the founders' identities; so an attempt that was interrupted
+/// is resumed as the same one.
 pub async fn form_or_join(node: DirectoryNode, config: FormConfig) {
     let mut join_recorded = false;
     loop {
@@ -84,9 +84,8 @@
     }
 }
 
-/// Returns the control host that should be asked to take this one in: one that knows a leader, with the
-/// longest log. One that was left out as well knows neither, and two such hosts would ask each other for
-/// ever.
+/// Returns the control host to ask for membership: one that knows a leader, with the longest log. A
+/// host that was removed as well knows no leader, and two such hosts would ask each other for ever.
 fn choose_sponsor(identities: &[Identity]) -> Option<&Identity> {
     let members = identities
         .iter()
@@ -94,8 +93,8 @@
     members.max_by_key(|other| (other.leader.is_some(), other.last))
 }
 
-// A founder that was stopped half-way through the forming takes its part from one that finished.
-// Safe since nobody has led that cluster yet, so its members are still the founders.
+// A founder that stopped half-way through the forming adopts the membership from one that finished.
+// This is safe because the cluster has had no leader yet, so its members are still the founders.
 async fn adopt_founding(node: &DirectoryNode, founder: &Identity) {
     if let Some(cluster) = founder.cluster {
         let founders = founder.members.clone();
@@ -103,8 +102,8 @@
     }
 }
 
-// A member that was left out while it was cut off does not hear of it from the log; another
-// member that knows a leader tells it.
+// The log does not tell a member that it was removed while it was cut off; another member that
+// knows a leader does.
 async fn is_member(node: &DirectoryNode) -> bool {
     let status = node.replica().status();
     if status.members.find(status.id).is_none() {
@@ -199,7 +198,7 @@
 
 async fn request_membership(node: &DirectoryNode, other: &Identity) {
     let mut member = node.member();
-    // The same host with an empty disk takes the place of its former self.
+    // A host that restarted with an empty disk replaces its former member entry.
     let former = other.members.all().find(|known| {
         known.id != member.id && (known.name == member.name || known.peer == member.peer)
     });
--- a/crates/directory/src/held_requests.rs
+++ b/crates/directory/src/held_requests.rs
@@ -1,29 +1,32 @@
-//! Held requests as the replicated log keeps them, so that a fleet that lost all its power refuses them still.
+//! Held requests in the replicated log, so that they are still refused after the whole fleet lost
+//! power.
 //!
-//! What is held is told from process to process without the log, which is faster and goes on without a
-//! quorum. The leading control host puts what it knows into the log as well.
+//! Processes also send held requests to each other directly, which is faster and needs no quorum.
+//! In addition the leading control host writes those that it knows to the log.
 
 use std::collections::BTreeMap;
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
 use serde::{Deserialize, Serialize};
 
-/// Requests that are kept on disk. A record takes some 300 bytes, so a snapshot grows by 150 KB at most.
+/// Maximum number of requests kept on disk. A record takes some 300 bytes, so a snapshot grows by
+/// 150 KB at most.
 const MAX_HELD_REQUESTS: usize = 512;
 
-/// Records of held requests, by request. Each replica applies the same commands and so holds the same.
+/// Records of held requests, by request. Each replica applies the same commands and so has the same
+/// records.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HeldRequests {
     records: BTreeMap<RequestKey, SuspectRecord>,
 }
 
 impl HeldRequests {
-    /// Returns every record.
     pub(crate) fn records(&self) -> Vec<SuspectRecord> {
         self.records.values().cloned().collect()
     }
 
-    /// Takes a committed command. A request against which nothing stands any more goes.
+    /// Applies a committed command. A request whose record lists no target crashes any more is
+    /// removed.
     pub(crate) fn apply(&mut self, records: &[SuspectRecord]) {
         for record in records {
             let key = record.subject.key;
@@ -34,7 +37,8 @@
             }
         }
         while self.records.len() > MAX_HELD_REQUESTS {
-            // The weakest evidence goes first, the same at every replica.
+            // Removes the request with the fewest target crashes first. The order is the same on
+            // every replica.
             let weakest = self.records.iter();
             let weakest = weakest.min_by_key(|(key, one)| (one.ends.len(), **key));
             let Some(key) = weakest.map(|(key, _)| *key) else {
@@ -44,14 +48,14 @@
         }
     }
 
-    /// Returns those of some records that the log does not have as they are.
+    /// Returns the records that the log lacks or has in another state.
     pub(crate) fn missing(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
         let is_missing = |record: &SuspectRecord| match self.records.get(&record.subject.key) {
             Some(kept) => kept.clone().merge(record),
             None => record.held && self.records.len() < MAX_HELD_REQUESTS,
         };
         let missing = known.into_iter().filter(is_missing);
-        // How long ago it was is nothing that a log can tell.
+        // The age depends on the time of reading, so the log does not store it.
         missing
             .map(|record| SuspectRecord {
                 age_ms: 0,
--- a/crates/directory/src/history.rs
+++ b/crates/directory/src/history.rs
@@ -1,22 +1,22 @@
-//! The configurations that a control host can bring to subscribers.
+//! The configurations that a control host can send to subscribers.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use crate::{DocumentKey, DocumentPayload, StoredDocument};
 
-/// How many configurations are kept, the newest among them, as bases of changes and for subscribers
-/// that are in the middle of one.
+/// Maximum number of configurations kept, including the newest. The older ones serve as bases for
+/// changes, and for subscribers in the middle of a transfer.
 const MAX_DOCUMENTS: usize = 8;
 
-/// Bytes of configurations that are kept beside the newest: an eighth of the memory that a control
-/// host may take.
+/// Maximum bytes of configurations kept beside the newest: an eighth of the memory available to a
+/// control host.
 const MAX_OLDER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Payloads that are kept ready. Subscribers that follow well all have the same base.
+/// Maximum number of cached payloads. Up-to-date subscribers all have the same base.
 const MAX_CACHED_PAYLOADS: usize = 6;
 
-/// The newest configuration, some before it, and payloads that were asked for lately.
+/// The newest configuration, some before it, and recently requested payloads.
 #[derive(Default)]
 pub(crate) struct DocumentHistory {
     /// Oldest first.
@@ -26,7 +26,7 @@
 }
 
 impl DocumentHistory {
-    /// Takes the configuration that is held from now on.
+    /// Adds the configuration that is in force from now on.
     pub(crate) fn push(&mut self, newest: Arc<StoredDocument>) {
         self.documents.push_back(newest);
         while self.documents.len() > MAX_DOCUMENTS || self.older_bytes() > MAX_OLDER_BYTES {
@@ -34,13 +34,12 @@
         }
     }
 
-    /// Returns the newest configuration.
     pub(crate) fn newest(&self) -> Option<&Arc<StoredDocument>> {
         self.documents.back()
     }
 
-    /// Returns a payload that brings the configuration `wanted`, or the newest where that one is not
-    /// kept, to a subscriber that has `base`.
+    /// Returns the payload for a subscriber that has `base` and requests `wanted`. If `wanted` is
+    /// not kept, the payload carries the newest configuration.
     pub(crate) fn payload(
         &mut self,
         wanted: DocumentKey,
@@ -59,7 +58,7 @@
         let payload = match DocumentPayload::new(&document, base.as_deref()) {
             Ok(payload) => Arc::new(payload),
             Err(error) => {
-                log::error!(target: "linnetdale", "packing {}: {error}", document.key());
+                log::error!(target: "linnetdale", "cannot compress the configuration, {}: {error}", document.key());
                 return None;
             }
         };
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,15 +1,18 @@
 //! The directory: the routing configuration, the targets and the processes of the system.
 //!
-//! - [`DirectoryNode`] keeps it on a control host: the configuration by agreement, the rest as
-//!   state that every control host relearns from heartbeats and from the others.
-//! - [`follow_directory`] keeps a copy of it in an entry host, as a [`DirectoryView`].
-//! - Roll-outs of versions are orders of the log too; `node/rollouts` moves them on by what entry hosts count.
-//! - [`EvacuationBook`] holds the data halls that an operator took out of work, by agreement too.
-//! - [`form_or_join`] makes control hosts a cluster without an operator's hand.
+//! - [`DirectoryNode`] keeps the directory on a control host: the configuration in the replicated
+//!   log, and the rest as state that every control host relearns from heartbeats and from the other
+//!   control hosts.
+//! - [`follow_directory`] keeps a copy of the directory in an entry host, as a [`DirectoryView`].
+//! - Roll-outs of versions are commands of the log too; `node/rollouts` advances them by the counts
+//!   that entry hosts report.
+//! - [`EvacuationStore`] records the data halls that an operator evacuated; it is replicated by the
+//!   log too.
+//! - [`form_or_join`] makes control hosts a cluster without operator action.
 //!
-//! A configuration goes from `history`, which holds the newest ones and packs them (`payload`), in
-//! parts (`sending`) to `fetch`, which decides what is asked of which control host, and by
-//! `document_follower` into the entry host.
+//! A configuration passes from `history`, which keeps the newest ones and packs them (`payload`),
+//! in parts (`document_sender`) to `fetch`, which decides what to request from which control host,
+//! and through `document_follower` into the entry host.
 
 mod call;
 mod change_reports;
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state: the configuration with the highest version, the evacuations of halls, held requests and
-//! roll-outs.
+//! The replicated state machine: the configuration with the highest version, the evacuations of
+//! halls, held requests and roll-outs.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,40 +21,40 @@
 /// Names of services.
 pub type ServiceNames = BTreeSet<String>;
 
-/// Reads the version of a valid document, or says what is wrong with it.
+/// Returns the version of a valid document, or the reason why it is invalid.
 type VersionReader = Arc<dyn Fn(&[u8]) -> Result<u64, String> + Send + Sync>;
 
-/// Reads the services that a valid document names.
+/// Returns the services that a valid document names.
 type ServiceReader = Arc<dyn Fn(&[u8]) -> ServiceNames + Send + Sync>;
 
-/// How documents are read.
+/// How documents are parsed.
 #[derive(Clone)]
 pub struct DocumentParser {
-    /// Version, or what is wrong.
+    /// Returns the version, or the reason why the document is invalid.
     pub version: VersionReader,
-    /// Services that are named.
+    /// Returns the names of the services in the document.
     pub services: ServiceReader,
 }
 
 /// A command of the replicated log.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum DocumentCommand {
-    /// Hold this document unless one of the same or a higher version is held.
+    /// Stores a document unless one of the same or a higher version is stored.
     Put(Document),
-    /// Answer the document that is held.
+    /// Returns the current document.
     Read,
-    /// Take a hall out of work, or back.
+    /// Evacuates a hall, or returns it to service.
     Evacuate(EvacuationOrder),
-    /// Keep what is held against requests.
+    /// Stores records of held requests.
     Hold(Vec<SuspectRecord>),
-    /// Begin, move or end a roll-out, or look at one.
+    /// Begins, advances, ends or reads a roll-out.
     Rollout(RolloutCommand),
 }
 
 /// The answer to a [`DocumentCommand`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum DocumentAnswer {
-    /// To `Put`: the version that is held now.
+    /// To `Put`: the current version afterwards.
     CurrentVersion(u64),
     /// To `Read`.
     Document(Option<Document>),
@@ -78,12 +78,12 @@
 }
 
 impl DocumentMachine {
-    /// Creates a machine that holds nothing.
+    /// Creates a machine without any state.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the closures that the replicated log calls.
+    /// Returns the callbacks of the replicated log.
     pub fn hooks(&self) -> MachineHooks {
         let (apply, snapshot, restore) = (self.clone(), self.clone(), self.clone());
         MachineHooks::new(
@@ -93,22 +93,23 @@
         )
     }
 
-    /// Returns the committed document that this replica has reached.
+    /// Returns the newest configuration that this replica has applied.
     pub fn current_document(&self) -> Option<Arc<StoredDocument>> {
         self.lock().newest().cloned()
     }
 
-    /// Returns the committed evacuations that this replica has reached.
+    /// Returns the evacuations that this replica has applied.
     pub fn evacuations(&self) -> Arc<EvacuationStore> {
         self.lock_evacuations().clone()
     }
 
-    /// Returns the committed roll-outs that this replica has reached.
+    /// Returns the roll-outs that this replica has applied.
     pub fn rollouts(&self) -> Arc<RolloutBook> {
         self.lock_rollouts().clone()
     }
 
-    /// Returns what brings the configuration `wanted`, or the newest, to a subscriber with `base`.
+    /// Returns the payload that brings the configuration `wanted`, or the newest, to a subscriber
+    /// that has `base`.
     pub(crate) fn payload(
         &self,
         wanted: DocumentKey,
@@ -117,7 +118,8 @@
         self.lock().payload(wanted, base)
     }
 
-    /// Returns a receiver that wakes when a newer document is held or an evacuation has changed.
+    /// Returns a receiver that wakes when the configuration, the evacuations or the roll-outs have
+    /// changed.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -141,11 +143,9 @@
             Ok(DocumentCommand::Rollout(command)) => {
                 DocumentAnswer::Rollout(self.apply_rollout(&command))
             }
-            // A command of a later build changes nothing here, where that build should not have sent it.
+            // A command of a later build is ignored here; that build should not have sent it.
             Err(error) => {
-                log::error!(
-                    "a command of the log cannot be read and changes nothing here: {error}"
-                );
+                log::error!("ignoring a log command that cannot be decoded: {error}");
                 DocumentAnswer::CurrentVersion(
                     self.current_document()
                         .map_or(0, |current| current.version()),
@@ -181,12 +181,12 @@
         outcome
     }
 
-    /// Returns the held requests that the log keeps.
+    /// Returns the held requests that the log stores.
     pub(crate) fn held_requests(&self) -> Vec<SuspectRecord> {
         self.lock_held().records()
     }
 
-    /// Returns those of some records that the log does not have as they are.
+    /// Returns the records that the log lacks or has in another state.
     pub(crate) fn missing_from_log(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
         self.lock_held().missing(known)
     }
@@ -212,12 +212,12 @@
     }
 
     fn restore(&self, bytes: &[u8]) {
-        // A snapshot passed its checksum, so bytes that cannot be read come from a newer program.
-        // Going on with an empty state would lose what was accepted.
+        // The snapshot passed its checksum, so if it cannot be decoded, a newer program wrote it.
+        // Continuing with an empty state would lose committed data.
         let (document, evacuations, requests, rollouts) = match read_snapshot(bytes) {
             Ok(state) => state,
             Err(error) => {
-                log::error!(target: "linnetdale", "the snapshot cannot be read: {error}");
+                log::error!(target: "linnetdale", "cannot decode the snapshot, exiting: {error}");
                 std::process::exit(1);
             }
         };
@@ -255,7 +255,8 @@
 
 type Snapshot = (Option<Document>, EvacuationStore, HeldRequests, RolloutBook);
 
-/// Reads a snapshot. One of an older program ends after the document, or after a later part.
+/// Decodes a snapshot. One that an older program wrote ends after the document, or after one of the
+/// later parts.
 fn read_snapshot(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
     let (document, rest) = postcard::take_from_bytes(bytes)?;
     let (evacuations, rest) = read_part(rest)?;
--- a/crates/directory/src/machine/tests.rs
+++ b/crates/directory/src/machine/tests.rs
@@ -44,7 +44,7 @@
     assert_eq!(*machine.evacuations(), EvacuationStore::default());
 }
 
-/// A configuration with a higher version neither ends an evacuation nor begins one.
+/// A newer configuration neither ends an evacuation nor starts one.
 #[test]
 fn evacuations_do_not_depend_on_the_configuration() {
     let machine = DocumentMachine::new();
@@ -56,7 +56,8 @@
     assert!(!machine.evacuations().is_evacuated("north"));
 }
 
-/// The bytes of commands, answers and snapshots as they were shipped: other replicas and later starts read them.
+/// The encoding of commands, answers and snapshots must not change: other replicas and later starts
+/// read them.
 #[test]
 fn log_and_snapshot_encoding_is_unchanged() {
     use crate::message::tests::{hex, report};
@@ -96,7 +97,7 @@
     let rollouts = rollouts.into_iter().map(DocumentCommand::Rollout);
     let rollouts = rollouts.map(|one| format!("command {}", hex(&one)));
     let snapshot = machine.snapshot();
-    // The last part of one without a roll-out is an empty list.
+    // Without a roll-out, the last part of a snapshot is an empty list.
     let (last, shipped) = shipped.split_last().unwrap();
     assert_eq!(*last, 0);
     assert!(snapshot.starts_with(shipped));
@@ -145,7 +146,7 @@
     ]
 }
 
-/// Orders are kept by a later start, and by a replica that gets a snapshot.
+/// Roll-outs survive a restart, and reach a replica that is restored from a snapshot.
 #[test]
 fn snapshot_restores_roll_outs_and_is_decoded_without_them() {
     let machine = DocumentMachine::new();
@@ -168,7 +169,7 @@
     assert!(other.rollouts().newest("desk").is_none());
 }
 
-/// A replica passes over a command that it does not know, and answers so; nothing of its state changes.
+/// A replica ignores an unknown command, answers it, and keeps its state.
 #[test]
 fn unknown_command_changes_nothing() {
     let machine = DocumentMachine::new();
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -1,4 +1,4 @@
-//! What control hosts and the processes that follow them tell each other.
+//! Messages between control hosts and the processes that follow them.
 
 use std::net::SocketAddr;
 
@@ -10,169 +10,175 @@
 
 use crate::{DocumentKey, EvacuationStore, PayloadKey};
 
-/// What a target says of its readiness. A later state never gives way to an earlier one.
+/// The readiness that a target reports. One incarnation of a target never returns to an earlier
+/// state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TargetState {
-    /// It takes new work.
+    /// It accepts new work.
     Ready,
-    /// It finishes what it has and takes no new work.
+    /// It finishes its current work and accepts no new work.
     Draining,
-    /// It has left for good.
+    /// It has stopped for good.
     Gone,
 }
 
-/// A target, as its newest start registered itself.
+/// A target, as its newest incarnation registered itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
-    /// Its identity. Another start may have another, or the same with a later `born`.
+    /// Identity of the target. A new incarnation has another identity, or the same one with a later
+    /// `born`.
     pub id: String,
-    /// When it started, in Unix milliseconds by its own clock; 0 where each start has an identity of its own.
+    /// When the incarnation started, in Unix milliseconds by its own clock; 0 for targets with a
+    /// new identity at each start.
     pub born: u64,
-    /// The service that it belongs to.
+    /// Service that the target belongs to.
     pub service: String,
-    /// Where it is reached.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// Data hall of the target.
     pub hall: String,
-    /// Requests that it works on at one time.
+    /// Number of requests that the target processes at a time.
     pub slots: u32,
-    /// What it says of its readiness.
+    /// Readiness that the target reports.
     pub state: TargetState,
     /// Rises with each heartbeat.
     pub sequence: u64,
     /// Whether several heartbeats were missed.
     pub silent: bool,
-    /// How much longer it is cold, in milliseconds; 0 where it is not.
+    /// How much longer the target is cold, in milliseconds; 0 if it is not.
     pub cold_ms: u32,
-    /// The version of its software; empty where it is not known. It travels in an [`UpdateTail`].
+    /// Version of the target's software; empty if unknown. Sent in an [`UpdateTail`].
     #[serde(skip)]
     pub version: String,
 }
 
-/// A process that takes callers' requests.
+/// A process that serves callers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryHostRecord {
     /// Name of its host.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of its host.
     pub hall: String,
-    /// Where peers reach it.
+    /// Address at which peers connect to it.
     pub peer: SocketAddr,
-    /// Whether it is about to end.
+    /// Whether it is about to stop.
     pub stopping: bool,
 }
 
 /// The first message of a subscriber.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SubscriberHello {
-    /// Whether it is a control host, which wants to know of every heartbeat.
+    /// Whether the subscriber is a control host, which needs every heartbeat.
     pub is_control: bool,
 }
 
-/// What a subscriber sends now and then, and whenever it took an update.
+/// A report of a subscriber: sent periodically and after each applied update.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SubscriberReport {
-    /// The subscriber, where it takes callers' requests.
+    /// Record of the subscriber if it serves callers.
     pub entry_host: Option<EntryHostRecord>,
-    /// The number of the last update that it took.
+    /// Revision of the last update that was applied.
     pub acknowledged: u64,
-    /// The version of the configuration that it has; 0 for none.
+    /// Version of the configuration that it has; 0 for none.
     pub document_version: u64,
-    /// What this control host should send of a configuration.
+    /// Which part of a configuration this control host should send.
     pub document_request: Option<DocumentRequest>,
-    /// Whether this control host should tell of targets and entry hosts.
+    /// Whether this control host should send the lists of targets and entry hosts.
     pub wants_lists: bool,
-    /// What changed of what the subscriber holds against requests, a part of it at most.
+    /// Suspected requests whose records changed, up to a maximum per message.
     pub suspects: Vec<SuspectRecord>,
-    /// Tells the starts of the subscriber apart. It travels in a [`ReportTail`].
+    /// Distinguishes incarnations of the subscriber. Sent in a [`ReportTail`].
     #[serde(skip)]
     pub incarnation: u64,
-    /// What it counted for roll-outs. It travels in a [`ReportTail`].
+    /// Counts for roll-outs. Sent in a [`ReportTail`].
     #[serde(skip)]
     pub phase_counts: Vec<PhaseCounts>,
-    /// What changed of the rates that targets named to it, a part of it at most. It travels behind the
+    /// Rate limits announced by targets that changed, up to a maximum per message. Sent after the
     /// [`ReportTail`].
     #[serde(skip)]
     pub rate_limits: Vec<RateWord>,
 }
 
-/// What a subscriber wants of a configuration.
+/// A subscriber's request for a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentRequest {
-    /// The configuration.
+    /// The requested configuration.
     pub key: DocumentKey,
-    /// The one that it has; what changed since then is enough.
+    /// The configuration that the subscriber has; changes against it are sufficient.
     pub base: Option<DocumentKey>,
-    /// The payload of which it has a beginning.
+    /// The payload of which the subscriber has the first bytes.
     pub partial: Option<PayloadKey>,
-    /// Tells apart the turns in which sources are asked.
+    /// Number of the request. It changes when the subscriber switches to another source.
     pub attempt: u32,
-    /// Bytes of that payload that it has.
+    /// Bytes of that payload that the subscriber has.
     pub offset: u32,
-    /// Up to which byte more may be sent.
+    /// End of the range that may be sent, in bytes.
     pub limit: u32,
 }
 
-/// Some bytes of a payload.
+/// A part of a payload.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentPart {
     /// The payload.
     pub payload: PayloadKey,
-    /// Where in it the bytes stand.
+    /// Position of the bytes in the payload.
     pub offset: u32,
-    /// The bytes.
+    /// Bytes of the part.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// What a control host pushes to a subscriber. An empty one is a sign of life.
+/// What a control host pushes to a subscriber. An empty update is a keep-alive.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
-    /// Number of the change that the update brings the subscriber to.
+    /// Revision of the registry that the subscriber has after this update.
     pub revision: u64,
-    /// The configuration that this control host holds, where that changed.
+    /// The configuration that this control host has, if it changed.
     pub offer: Option<DocumentKey>,
-    /// The next part of the configuration that the subscriber wants.
+    /// The next part of the configuration that the subscriber requested.
     pub part: Option<DocumentPart>,
-    /// The evacuations of halls, where they changed; a few bytes a hall, so always all of them.
+    /// The evacuations of halls, if they changed. Always complete, since they take only a few bytes
+    /// per hall.
     pub evacuations: Option<EvacuationStore>,
-    /// Whether the subscriber has with this all targets and entry hosts that there are, as far as a control
-    /// host can know: nothing of it waits, and the control host has run for long enough to hear of all.
+    /// Whether the subscriber now has all targets and entry hosts, as far as a control host can
+    /// know: nothing is waiting to be sent, and the control host has run long enough to receive
+    /// heartbeats from all.
     pub lists_complete: bool,
     /// Targets that changed.
     pub targets: Vec<TargetRecord>,
-    /// All entry hosts that this control host hears, where that changed.
+    /// All known entry hosts, if they changed.
     pub entry_hosts: Option<Vec<EntryHostRecord>>,
-    /// Peer addresses of all members of the cluster, where that changed.
+    /// Peer addresses of all members of the cluster, if they changed.
     pub control_addresses: Option<Vec<SocketAddr>>,
-    /// Targets that were heard since the last update; for control hosts only.
+    /// Heartbeats received since the last update; sent to control hosts only.
     pub heartbeats: Vec<ForwardedHeartbeat>,
-    /// What changed of what is held against requests, a part of it at most.
+    /// Suspected requests whose records changed, up to a maximum per message.
     pub suspects: Vec<SuspectRecord>,
-    /// The roll-outs of services, where they changed. They travel in an [`UpdateTail`].
+    /// The roll-outs of services, if they changed. Sent in an [`UpdateTail`].
     #[serde(skip)]
     pub rollouts: Option<RolloutBook>,
-    /// What entry hosts counted for roll-outs since the last update; for control hosts only. It travels in an
-    /// [`UpdateTail`].
+    /// Counts for roll-outs that entry hosts reported since the last update; sent to control hosts
+    /// only, in an [`UpdateTail`].
     #[serde(skip)]
     pub reporter_counts: Vec<ReporterCounts>,
-    /// The entry hosts that this control host hears itself, where they changed; for control hosts only. They travel in
-    /// an [`UpdateTail`].
+    /// The entry hosts connected to this control host, if they changed; sent to control hosts only,
+    /// in an [`UpdateTail`].
     #[serde(skip)]
     pub local_entry_hosts: Option<LocalEntryHosts>,
-    /// Whether this control host hears no leader: what it tells of configurations and orders may be old. It travels in
-    /// an [`UpdateTail`].
+    /// Whether this control host is not in contact with a leader, so that the configuration and
+    /// orders that it sends may be outdated. Sent in an [`UpdateTail`].
     #[serde(skip)]
     pub leaderless: bool,
-    /// What changed of the rates that targets named, a part of it at most. It travels behind the [`UpdateTail`].
+    /// Rate limits announced by targets that changed, up to a maximum per message. Sent after the
+    /// [`UpdateTail`].
     #[serde(skip)]
     pub rate_limits: Vec<RateWord>,
 }
 
-/// What stands behind an update since the third form.
+/// The bytes that follow an update since message version 3.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct UpdateTail {
-    /// The version of each target of the update, in their order.
+    /// The version of each target of the update, in the same order.
     versions: Vec<String>,
     rollouts: Option<RolloutBook>,
     reporter_counts: Vec<ReporterCounts>,
@@ -180,25 +186,26 @@
     leaderless: bool,
 }
 
-/// The entry hosts that one control host hears itself.
+/// The entry hosts that are or were connected to one control host.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocalEntryHosts {
-    /// Those that it hears.
+    /// Entry hosts that are connected.
     pub connected: Vec<EntryHostRecord>,
-    /// Those that it lost without a word a while ago: they may be cut off from the control hosts only.
+    /// Entry hosts that disconnected recently without announcing a stop. They may be cut off from
+    /// the control hosts only.
     pub disconnected: Vec<EntryHostRecord>,
 }
 
-/// What stands behind a report since the third form.
+/// The bytes that follow a report since message version 3.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReportTail {
-    /// Tells the starts of a subscriber apart.
+    /// Distinguishes incarnations of a subscriber.
     pub(crate) incarnation: u64,
     pub(crate) phase_counts: Vec<PhaseCounts>,
 }
 
 impl DirectoryUpdate {
-    /// Returns what stands behind it on the wire; nothing where that says nothing.
+    /// Returns the tail to send after the update; `None` if it would be empty.
     pub(crate) fn tail(&self) -> Option<UpdateTail> {
         let tail = UpdateTail {
             versions: self.targets.iter().map(|one| one.version.clone()).collect(),
@@ -210,7 +217,7 @@
         (tail != UpdateTail::default()).then_some(tail)
     }
 
-    /// Takes what stood behind it.
+    /// Adds the content of the tails that followed the update.
     pub(crate) fn with_tails(mut self, tail: UpdateTail, rate_limits: Vec<RateWord>) -> Self {
         self.rate_limits = rate_limits;
         for (target, version) in self.targets.iter_mut().zip(tail.versions) {
@@ -224,33 +231,33 @@
     }
 }
 
-/// A heartbeat that a control host passes on.
+/// A heartbeat that a control host forwards.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ForwardedHeartbeat {
-    /// The target.
+    /// Identity of the target.
     pub id: String,
-    /// Its start; see [`TargetRecord::born`].
+    /// Incarnation of the target; see [`TargetRecord::born`].
     pub born: u64,
-    /// The sequence of the heartbeat.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// How long ago it came, in milliseconds.
+    /// Time since the heartbeat was received, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What one process asks of a control host.
+/// A request of one process to a control host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum DirectoryCall {
-    /// Who are you, and of which cluster?
+    /// Returns the identity and the cluster of the control host.
     Identify,
-    /// Become a founder of this cluster.
+    /// Makes the control host a founder of a cluster.
     Form { cluster: u64, founders: Members },
-    /// Take this replica in as a member.
+    /// Adds a replica to the members.
     Join(Member),
-    /// Commit this command and answer what the state machine answered.
+    /// Commits a command and returns the answer of the state machine.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
-/// What a control host answers.
+/// The reply of a control host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum DirectoryReply {
     /// To `Identify`.
@@ -259,18 +266,18 @@
         cluster: Option<u64>,
         members: Members,
         leader: Option<NodeId>,
-        /// Whether the log holds nothing but the founding entry.
+        /// Whether the log contains only the founding entry.
         founding_only: bool,
-        /// The end of the log.
+        /// Index of the last log entry.
         last: u64,
     },
-    /// It is done.
+    /// The call succeeded.
     Done,
     /// To `Command`.
     Answer(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// Ask the leader, where it is known.
+    /// This control host does not lead; carries the leader's address if it is known.
     NotLeader(Option<SocketAddr>),
-    /// It was refused.
+    /// The call was refused, for the given reason.
     Refused(String),
 }
 
--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -1,11 +1,12 @@
-//! The bytes of each message as they were shipped. They never change: a new form has lines of its own.
+//! The encoding of each message as it was shipped. It must never change: a new message version gets
+//! lines of its own.
 
 use linnet_quarantine::{EndKey, RequestSubject};
 
 use super::*;
 use crate::{ContentHash, EvacuationOrder};
 
-/// Returns the bytes of a message as text.
+/// Returns the encoding of a message in hexadecimal.
 pub(crate) fn hex<M: Serialize>(message: &M) -> String {
     let bytes = postcard::to_stdvec(message).unwrap();
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -64,7 +65,7 @@
     record
 }
 
-/// An update in which nothing is left out.
+/// An update with all fields of message version 2 set.
 pub(crate) fn update() -> DirectoryUpdate {
     let mut evacuations = EvacuationStore::default();
     evacuations.apply(&EvacuationOrder {
@@ -100,7 +101,7 @@
     }
 }
 
-/// A report in which nothing is left out.
+/// A report with all fields of message version 2 set.
 pub(crate) fn report() -> SubscriberReport {
     SubscriberReport {
         entry_host: Some(entry_host()),
@@ -144,7 +145,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// What stands behind messages since the third form.
+/// The tails that follow messages since version 3.
 #[test]
 fn tail_encoding_is_unchanged_and_tails_are_optional() {
     use linnet_rollout::{RolloutCommand, RolloutOrder, RouteCounts};
@@ -199,7 +200,7 @@
         format!("rates behind either {}", hex(&rate_limits)),
     ];
     insta::assert_snapshot!(lines.join("\n"));
-    // Builds of the third form pass over what stands behind the first tail.
+    // Builds of message version 3 skip the bytes after the first tail.
     let encoded = postcard::to_stdvec(&(&full, &tail, &rate_limits)).unwrap();
     let (_, rest): (DirectoryUpdate, _) = postcard::take_from_bytes(&encoded).unwrap();
     assert_eq!(postcard::from_bytes::<UpdateTail>(rest).unwrap(), tail);
--- a/crates/directory/src/message_v1.rs
+++ b/crates/directory/src/message_v1.rs
@@ -1,5 +1,4 @@
-//! Messages as the first form has them: without the births of targets, and without a word of requests that
-//! end targets.
+//! Message version 1: without the start times of targets, and without suspected requests.
 
 use std::net::SocketAddr;
 
@@ -11,7 +10,8 @@
     SubscriberReport, TargetRecord, TargetState,
 };
 
-/// A [`TargetRecord`]; what it lacks is read as 0, a target with another identity at each start.
+/// A [`TargetRecord`]. The missing start time is read as 0, as for a target with a new identity at
+/// each start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TargetRecordV1 {
     id: String,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A [`HeardTarget`].
+/// A [`ForwardedHeartbeat`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ForwardedHeartbeatV1 {
     id: String,
@@ -156,8 +156,8 @@
     }
 }
 
-/// A [`SubscriberReport`]. It is written in the second form to everybody: readers of the first form pass over
-/// what stands behind it.
+/// A [`SubscriberReport`]. Reports are always written in version 2: readers of version 1 skip the
+/// bytes that follow.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SubscriberReportV1 {
     entry_host: Option<EntryHostRecord>,
--- a/crates/directory/src/message_v1/tests.rs
+++ b/crates/directory/src/message_v1/tests.rs
@@ -23,7 +23,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// An update with some of its parts, and targets with names of any length.
+/// An update without some of its parts, and with targets whose names have random lengths.
 fn any_update(rng: &mut Rng) -> DirectoryUpdate {
     let mut drawn = update();
     let bits = rng.u32(0..40);
@@ -71,7 +71,7 @@
     }
 }
 
-/// What either build writes is read for what it is, with all that the form has.
+/// Messages of both versions are recognised, and are read with all fields that the version has.
 #[test]
 fn update_encoding_reveals_the_message_version() {
     let decode = MessageForm::tell::<DirectoryUpdate, DirectoryUpdateV1>;
@@ -101,7 +101,7 @@
             (hex(&read), version),
             (hex(&message), Some(MessageForm::Second))
         );
-        // As a build that knows the first form reads it.
+        // A build that knows only version 1 reads it like this.
         let first = report_v1(message.clone());
         assert_eq!(
             postcard::from_bytes::<SubscriberReportV1>(&second).unwrap(),
@@ -121,7 +121,7 @@
     let decode = MessageForm::tell::<DirectoryUpdate, DirectoryUpdateV1>;
     let complete = postcard::to_stdvec(&update()).unwrap();
     for length in 0..complete.len() {
-        // Cut anywhere, it is not taken for a message of the second form.
+        // Truncated at any length, it is not taken for a message of version 2.
         if let Ok((_, version)) = decode(&complete[..length]) {
             assert_eq!(version, Some(MessageForm::First), "{length} bytes");
         }
--- a/crates/directory/src/node.rs
+++ b/crates/directory/src/node.rs
@@ -1,4 +1,4 @@
-//! A control host's part of the directory.
+//! The directory of a control host.
 
 mod commands;
 mod rate_limits;
@@ -27,28 +27,28 @@
 
 pub(crate) use state::{NodeState, SubscriberState};
 
-/// How long after its start a control host waits for a leader before it tells entry hosts what its disk holds. After
-/// the start of a whole fleet one is elected within 0.1 to 0.35 s; without the wait hosts served for 60 ms by an
-/// older configuration than was acknowledged, the one of the last snapshot. Where no quorum comes back, what
-/// the disk holds is better than nothing.
+/// How long after its start a control host waits for a leader before it sends entry hosts the state
+/// on its disk. After the start of a whole fleet a leader is elected within 0.1 to 0.35 s; without
+/// the wait, hosts served for 60 ms with the configuration of the last snapshot, which was older
+/// than the acknowledged one. If no quorum returns, the state on disk is better than none.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Spans of time of the directory.
+/// Timeouts and periods of the directory.
 #[derive(Debug, Clone, Copy)]
 pub struct DirectoryTiming {
-    /// How long a target may be silent before it is marked so.
+    /// How long no heartbeat may arrive before a target is marked as silent.
     pub silence_timeout: Duration,
-    /// How long a command may take until it is given up, beside the time that its bytes take.
+    /// Timeout for committing a command, in addition to the transfer time for its bytes.
     pub commit_timeout: Duration,
-    /// How long the followers' word is waited for before a withdrawal is acknowledged.
+    /// How long to wait for acknowledgements of followers before a withdrawal is acknowledged.
     pub propagation_timeout: Duration,
-    /// How long after its start a control host has heard of every target: two heartbeats, since one may be
-    /// lost.
+    /// How long after its start a control host has received a heartbeat of every target: two
+    /// heartbeat periods, since one heartbeat may be lost.
     pub discovery_time: Duration,
 }
 
 impl DirectoryTiming {
-    /// Creates the spans for targets that send a heartbeat each `heartbeat`.
+    /// Creates the timing for targets that send a heartbeat each `heartbeat`.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             silence_timeout: heartbeat * 5,
@@ -59,48 +59,48 @@
     }
 }
 
-/// Why the directory did not do what was asked.
+/// Why an operation of the directory failed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, derive_more::Error)]
 pub enum DirectoryError {
-    /// The document is invalid.
+    /// The configuration is invalid, for the given reason.
     #[display("invalid: {_0}")]
     #[error(ignore)]
     Invalid(String),
-    /// No quorum committed it in time; whether it is in force later is not known.
-    #[display("no quorum in time")]
+    /// No quorum committed the command in time; whether it comes into force later is not known.
+    #[display("not committed by a quorum in time")]
     NoQuorum,
     /// There is no such data hall.
-    #[display("no data hall has the name {_0}")]
+    #[display("unknown data hall {_0}")]
     #[error(ignore)]
     UnknownHall(String),
-    /// The order makes no sense.
+    /// The roll-out order is invalid.
     #[display("{_0}")]
     #[error(ignore)]
     InvalidOrder(OrderFault),
     /// The configuration has no such service.
-    #[display("no service has the name {_0}")]
+    #[display("unknown service {_0}")]
     #[error(ignore)]
     UnknownService(String),
-    /// Another roll-out of the service is under way.
-    #[display("version {_0} is being rolled out")]
+    /// Another roll-out of the service is in progress.
+    #[display("roll-out of version {_0} in progress")]
     #[error(ignore)]
     RolloutInProgress(String),
-    /// A control host of an earlier build is left, which could not keep the order.
-    #[display("a control host of an earlier build is left")]
+    /// A connected control host runs an earlier build, which could not apply the order.
+    #[display("a connected control host runs an earlier build")]
     OutdatedControlHost,
-    /// No other control host has taken the word of the target.
-    #[display("no other control host has taken it")]
+    /// No other control host has acknowledged the withdrawal of the target.
+    #[display("not acknowledged by any other control host")]
     NotPropagated,
 }
 
-/// How much a control host knows.
+/// Numbers of known targets and entry hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectoryCounts {
-    /// Targets that are known.
+    /// Known targets.
     pub targets: usize,
-    /// Entry hosts that are heard.
+    /// Connected entry hosts.
     pub entry_hosts: usize,
-    /// Those of them that told last that they have an older configuration than is held here.
+    /// Connected entry hosts that last reported an older configuration than this host has.
     pub outdated_entry_hosts: usize,
 }
 
@@ -117,10 +117,11 @@
     hall: String,
     state: Mutex<NodeState>,
     changed: watch::Sender<u64>,
-    /// Rises when a subscriber acknowledges. Apart from `changed`, which wakes the pushes to every
-    /// subscriber: with n of them an update that each acknowledges would take n times n wakes.
+    /// Wakes when a subscriber acknowledges an update. Separate from `changed`, which wakes the
+    /// push to every subscriber: with n subscribers, an update that each of them acknowledges would
+    /// cause n times n wakes.
     acknowledged: watch::Sender<u64>,
-    /// Whether [`DirectoryNode::tells_state`] held once.
+    /// Whether [`DirectoryNode::may_announce_state`] has returned true.
     may_announce_state: AtomicBool,
 }
 
@@ -131,8 +132,8 @@
 }
 
 impl DirectoryNode {
-    /// Creates the node and starts its tasks. `me` is where peers reach it, `ops` where operators
-    /// do.
+    /// Creates the node and starts its tasks. `peer_address` is where peers connect to it,
+    /// `ops_address` where operators do.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         replica: Replica,
@@ -171,28 +172,29 @@
         node
     }
 
-    /// Returns the committed evacuations that this host has reached.
+    /// Returns the evacuations that this host has applied.
     pub fn evacuations(&self) -> Arc<EvacuationStore> {
         self.shared.machine.evacuations()
     }
 
-    /// Returns the committed roll-outs that this host has reached.
+    /// Returns the roll-outs that this host has applied.
     pub fn rollouts(&self) -> Arc<RolloutBook> {
         self.shared.machine.rollouts()
     }
 
-    /// Sets what a version that is rolled out may be exposed to.
+    /// Sets the limit on what a version may be exposed to during a roll-out.
     pub fn set_exposure(&self, rule: ExposureRule) {
         self.lock().exposure = rule;
     }
 
-    /// Takes a heartbeat of a target. Returns once it may be acknowledged: a withdrawal only when
-    /// another control host has it too and the entry hosts that are heard took it, or had time to.
+    /// Applies a heartbeat of a target. Returns once it may be acknowledged: a withdrawal only
+    /// after another control host has it too and the connected entry hosts have acknowledged it, or
+    /// had time to.
     ///
     /// # Errors
     ///
-    /// [`DirectoryError::NotSpread`]: no other control host has it yet; the target should ask
-    /// another one.
+    /// [`DirectoryError::NotPropagated`]: no other control host has it yet; the target should send
+    /// it to another one.
     pub async fn receive_heartbeat(&self, record: TargetRecord) -> Result<(), DirectoryError> {
         let (id, detail) = (record.id.clone(), describe_target(&record));
         self.refresh_services(&record);
@@ -200,8 +202,9 @@
         self.publish_change(&id, &detail, change).await
     }
 
-    /// Tells the registry which services there are, where that decides on a target that has come. Reading the
-    /// whole configuration for each heartbeat, or each version, would cost more than it is needed for.
+    /// Sets the services of the configuration in the registry if they decide whether to accept a
+    /// new target. Parsing the whole configuration for each heartbeat, or for each version, would
+    /// be too expensive.
     fn refresh_services(&self, record: &TargetRecord) {
         if !self.lock().registry.is_new_at_used_address(record) {
             return;
@@ -211,12 +214,12 @@
         self.lock().registry.set_services(services);
     }
 
-    /// Takes the word of a target that it leaves, of the start that it names or the newest. A target that is
-    /// not known is left already.
+    /// Withdraws a target that announced its stop: the incarnation that started at `born`, or the
+    /// newest one. Does nothing if the target is not known.
     ///
     /// # Errors
     ///
-    /// As [`DirectoryNode::take_heartbeat`].
+    /// As [`DirectoryNode::receive_heartbeat`].
     pub async fn deregister_target(
         &self,
         id: &str,
@@ -242,7 +245,7 @@
         Ok(())
     }
 
-    /// Logs a change of a target and wakes the tasks that push it on.
+    /// Records an event for a change of a target and wakes the tasks that push it to subscribers.
     pub(crate) fn record_change(&self, id: &str, detail: &str, change: RegistryChange) {
         let code = match change {
             RegistryChange::Unchanged => return,
@@ -269,14 +272,15 @@
         is_safe.then_some(()).ok_or(DirectoryError::NotPropagated)
     }
 
-    /// Notes that another control host was lost.
+    /// Handles the loss of the connection to another control host.
     pub fn mark_control_lost(&self, from: SocketAddr) {
         self.lock().mark_control_lost(from, Instant::now());
         self.notify_subscribers();
     }
 
-    /// Resolves when the entry hosts that follow this control host took what it knows now, or had time to: another
-    /// control host acknowledges a withdrawal for those that follow this one as well.
+    /// Resolves when the entry hosts that follow this control host have acknowledged its current
+    /// state, or had time to: another control host that acknowledges a withdrawal relies on this
+    /// for the followers of this host.
     pub async fn wait_for_followers(&self) {
         let revision = self.lock().registry.revision();
         let mut changes = self.shared.acknowledged.subscribe();
@@ -287,7 +291,7 @@
                 }
             }
         };
-        // Whoever waits for this host's word has to get it within its own bound.
+        // The host that waits for this acknowledgement has to get it within its own timeout.
         let bound = self.shared.timing.propagation_timeout / 2;
         let _ = timeout(bound, all_acknowledged).await;
     }
@@ -321,28 +325,29 @@
         &self.shared.replica
     }
 
-    /// Returns the name, keys and clock towards peers.
+    /// Returns the name, keys and clock used towards peers.
     pub fn identity(&self) -> &PeerIdentity {
         &self.shared.identity
     }
 
-    /// Returns the committed configuration that this host has reached.
+    /// Returns the newest configuration that this host has applied.
     pub fn current_document(&self) -> Option<Arc<StoredDocument>> {
         self.shared.machine.current_document()
     }
 
-    /// Returns what brings a subscriber the configuration that it wants, or the newest.
+    /// Returns the payload that brings a subscriber the requested configuration, or the newest.
     pub(crate) fn payload(&self, request: &DocumentRequest) -> Option<Arc<DocumentPayload>> {
         self.shared.machine.payload(request.key, request.base)
     }
 
-    /// Says whether this host has run for so long that it has heard of every target that is there.
+    /// Returns whether this host has run long enough to have received a heartbeat of every target.
     pub(crate) fn is_discovery_complete(&self) -> bool {
         self.shared.started.elapsed() >= self.shared.timing.discovery_time
     }
 
-    /// Says whether what this host holds by agreement may be told: it has reached what was committed before
-    /// its start, or has run for so long without a leader that none is to be awaited.
+    /// Returns whether replicated state may be sent to subscribers: this host has applied what was
+    /// committed before its start, or has run without a leader for longer than
+    /// [`LEADER_WAIT_TIMEOUT`].
     pub(crate) fn may_announce_state(&self) -> bool {
         let may_announce = &self.shared.may_announce_state;
         if !may_announce.load(Ordering::Relaxed) {
@@ -359,7 +364,7 @@
         members.all().map(|member| member.peer).collect()
     }
 
-    /// Counts what this host knows.
+    /// Counts known targets and entry hosts.
     pub fn counts(&self) -> DirectoryCounts {
         let current = self
             .current_document()
@@ -381,7 +386,7 @@
         self.shared.recorder.record(code, "", detail);
     }
 
-    /// Takes what another control host knows of targets and entry hosts.
+    /// Merges an update from another control host.
     pub fn merge_control_update(&self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
         if let Some(records) = update.local_entry_hosts {
             self.lock().set_remote_entry_hosts(from, records);
@@ -401,12 +406,16 @@
                 .lock()
                 .registry
                 .apply_forwarded_heartbeat(heartbeat, now);
-            self.record_change(&heartbeat.id, "heard by another control host", change);
+            self.record_change(
+                &heartbeat.id,
+                "heartbeat received by another control host",
+                change,
+            );
         }
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, NodeState> {
-        // Every change of the state is whole before anything can fail.
+        // No change of the state can panic half-way, so a poisoned state is still consistent.
         self.shared
             .state
             .lock()
--- a/crates/directory/src/node/commands.rs
+++ b/crates/directory/src/node/commands.rs
@@ -1,4 +1,5 @@
-//! Commands of the replicated log that a control host gives for others: configurations and evacuations.
+//! Commands that a control host proposes to the replicated log: configurations, evacuations and
+//! held requests.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,28 +14,29 @@
 use crate::message::{DirectoryCall, DirectoryReply};
 use crate::{Document, EvacuationOrder, EvacuationOutcome};
 
-/// Wait before a command is tried again where no leader is known.
+/// Delay before a command is retried while no leader is known.
 const LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// How long one try of a small command is waited for. A leader that is frozen answers nothing; the next
-/// one is elected within half a second, and a command is handed to it by the next try in place of being
-/// refused when the time for all tries is over.
+/// Timeout for one attempt to commit a small command. A frozen leader answers nothing; the next one
+/// is elected within half a second, so the next attempt reaches it before the time for all attempts
+/// is over.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes up to which a command is small. Larger ones pass several links before they are committed, and a
-/// try that is broken off sends them anew: one of 4 MB was not acknowledged over links of 24 Mbit/s.
+/// Size up to which a command counts as small. Larger commands cross several links before they are
+/// committed, and an attempt that is aborted sends them again: one of 4 MB was never acknowledged
+/// over links of 24 Mbit/s.
 const MAX_SMALL_COMMAND_BYTES: usize = 64 * 1024;
 
-/// How often an order for a hall is given anew since others changed the hall meanwhile.
+/// Maximum number of attempts to order a change of a hall while others change it as well.
 const MAX_ORDER_ATTEMPTS: usize = 3;
 
-/// Bytes a second at which a command and its answer are taken to pass between control hosts, at least.
-/// With one limit for every size a configuration of 4 MB was committed and never acknowledged over
-/// links of 24 Mbit/s, and each try sent it anew.
+/// Assumed minimum transfer rate of a command and its answer between control hosts, in bytes per
+/// second. With one timeout for every size, a configuration of 4 MB was committed but never
+/// acknowledged over links of 24 Mbit/s, and each attempt sent it again.
 const MIN_BYTES_PER_S: f64 = 2_000_000.0;
 
 impl DirectoryNode {
-    /// Takes a configuration; the version that is held then.
+    /// Commits a configuration; returns the version that is current afterwards.
     ///
     /// # Errors
     ///
@@ -50,7 +52,8 @@
             .current_document()
             .filter(|current| current.version() >= version)
         {
-            // What is held is committed, so the operator's second try needs no other commit.
+            // The current configuration is committed, so a retry by the operator needs no other
+            // commit.
             let detail = format!("version={version} bytes={bytes} held={}", current.version());
             self.record(EventCode::RoutingAccepted, &detail);
             return Ok(current.version());
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Returns the newest configuration, after a round of the quorum that began with this call.
+    /// Returns the newest configuration, after a quorum round that began with this call.
     ///
     /// # Errors
     ///
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Takes a hall out of work, or back; returns once a majority of control hosts has that on disk.
+    /// Evacuates a hall, or returns it to service; returns once a majority of control hosts has the
+    /// order on disk.
     ///
     /// # Errors
     ///
@@ -111,7 +115,7 @@
                     self.record(EventCode::EvacuationAccepted, &detail);
                     return Ok(());
                 }
-                // This host had not reached the newest order for the hall yet.
+                // This host had not applied the newest order for the hall yet.
                 Ok(DocumentAnswer::Evacuation(EvacuationOutcome::Outdated(state))) => {
                     seen_revision = state.revision;
                 }
@@ -123,14 +127,15 @@
         Err(DirectoryError::NoQuorum)
     }
 
-    /// Puts what is held against requests into the log, where this host leads and the log lacks it.
+    /// Writes held requests that the log lacks to the log, if this host leads.
     pub(crate) async fn persist_held_requests(&self) {
         let status = self.shared.replica.status();
         if status.leader != Some(status.id) {
             return;
         }
-        // A control host that cannot read this command would pass it over. What is held is told by messages all
-        // the same, and comes into the log once that host is replaced.
+        // A control host that speaks only message version 1 cannot decode this command and would
+        // skip it. Held requests still reach all hosts by messages, and are written to the log once
+        // that host is replaced.
         if self.lock().has_v1_control() {
             return;
         }
@@ -140,14 +145,15 @@
             return;
         }
         let count = missing.len();
-        // What could not be committed is tried again with the next look, unless it was all the same.
+        // If the commit failed, the next check retries it, unless the command was committed
+        // nevertheless.
         if let Err(error) = self.commit(&DocumentCommand::Hold(missing)).await {
             let detail = format!("requests={count} cause={error}");
             self.record(EventCode::HoldFailed, &detail);
         }
     }
 
-    /// Commits a command, here or at the leader, within the time that a command of its size may take.
+    /// Commits a command, here or through the leader, within a timeout that depends on its size.
     pub(super) async fn commit(
         &self,
         command: &DocumentCommand,
@@ -184,8 +190,8 @@
         Err(DirectoryError::NoQuorum)
     }
 
-    // Every command may be given twice: a put of the same version changes nothing the second time, and
-    // an order for a hall that is as it wants it neither.
+    // Every command may be committed twice: a second put of the same version changes nothing, and
+    // neither does an order for a hall that is already in the ordered state.
     async fn commit_once(&self, bytes: &[u8], call_timeout: Duration) -> Option<Vec<u8>> {
         match self.shared.replica.propose(bytes.to_vec()).await {
             Ok(answer) => return Some(answer),
--- a/crates/directory/src/node/rate_limits.rs
+++ b/crates/directory/src/node/rate_limits.rs
@@ -1,4 +1,4 @@
-//! The rates that targets named to entry hosts, which a control host passes on.
+//! Rate limits announced by targets, which entry hosts report and control hosts forward.
 
 use std::time::SystemTime;
 
@@ -32,7 +32,7 @@
 }
 
 impl DirectoryNode {
-    /// Takes what targets said of their rates, and tells the others what is news to them.
+    /// Merges rate limits announced by targets, and wakes the pushes if others need them.
     pub(crate) fn merge_rate_limits(&self, words: &[RateWord]) {
         if words.is_empty() {
             return;
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Forgets rates of which nothing was heard for long, and those that a former start of a target named. What a
-    /// present start named is told again: others forgot it with the former one.
+    /// Removes rate limits that were not confirmed for a long time, and those of former
+    /// incarnations of targets. Rate limits of current incarnations are sent again, since others
+    /// removed them together with the former ones.
     pub(crate) fn expire_rate_limits(&self) {
         let mut state = self.lock();
         if state.rate_limits.is_empty() {
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs on a control host: orders of operators, and the next step of each by what entry hosts count.
+//! Roll-outs on a control host: orders of operators, and the next step of each by the counts that
+//! entry hosts report.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -14,15 +15,17 @@
 use crate::SubscriberReport;
 use crate::machine::{DocumentAnswer, DocumentCommand};
 
-/// How often the control host that leads looks whether a roll-out is to move on.
+/// How often the leading control host checks whether a roll-out has to advance.
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Since when a control host knows of roll-outs, by service and revision, and how old each was then.
+/// When this control host first saw each roll-out, by service and revision, and how old the
+/// roll-out was then.
 #[derive(Default)]
 struct RolloutAges(HashMap<(String, u64), (Instant, Duration)>);
 
 impl RolloutAges {
-    /// Returns the time since the order of a roll-out. A clock that is set meanwhile does not change it.
+    /// Returns the time since a roll-out was ordered. Adjustments of the system clock do not change
+    /// it.
     fn of(&mut self, service: &str, record: &RolloutRecord) -> Duration {
         let key = (service.to_owned(), record.revision);
         let (seen, age) = self.0.entry(key).or_insert_with(|| {
@@ -33,7 +36,7 @@
         *age + seen.elapsed()
     }
 
-    /// Forgets all but some roll-outs.
+    /// Removes the roll-outs that are not in progress.
     fn retain(&mut self, is_in_progress: impl Fn(&str, u64) -> bool) {
         self.0
             .retain(|(service, revision), _| is_in_progress(service, *revision));
@@ -46,14 +49,14 @@
 }
 
 impl DirectoryNode {
-    /// Begins a roll-out; returns once a majority of control hosts has the order on disk. An order that was taken is
-    /// answered again.
+    /// Begins a roll-out; returns once a majority of control hosts has the order on disk. A
+    /// repeated order returns the same record.
     ///
     /// # Errors
     ///
-    /// [`DirectoryError::BadOrder`], [`DirectoryError::UnknownService`], [`DirectoryError::UnderWay`] and
-    /// [`DirectoryError::EarlierBuild`] change nothing; [`DirectoryError::NoQuorum`] leaves open whether the order
-    /// comes into force.
+    /// [`DirectoryError::InvalidOrder`], [`DirectoryError::UnknownService`],
+    /// [`DirectoryError::RolloutInProgress`] and [`DirectoryError::OutdatedControlHost`] change
+    /// nothing; [`DirectoryError::NoQuorum`] leaves open whether the order comes into force.
     pub async fn order_rollout(
         &self,
         order: RolloutOrder,
@@ -100,11 +103,11 @@
         }
     }
 
-    /// Returns the newest roll-out of a service, after a round of the quorum that began with this call.
+    /// Returns the newest roll-out of a service, after a quorum round that began with this call.
     ///
     /// # Errors
     ///
-    /// [`DirectoryError::NoQuorum`], [`DirectoryError::EarlierBuild`].
+    /// [`DirectoryError::NoQuorum`], [`DirectoryError::OutdatedControlHost`].
     pub async fn read_rollout(
         &self,
         service: &str,
@@ -122,7 +125,8 @@
         }
     }
 
-    /// Ends a roll-out at an operator's word, with no request at its version; says whether one was under way.
+    /// Ends a roll-out on an operator's order, so that its version gets no requests; returns
+    /// whether one was in progress.
     ///
     /// # Errors
     ///
@@ -137,7 +141,7 @@
         Ok(true)
     }
 
-    /// Returns all roll-outs that are remembered, for operators.
+    /// Returns all recorded roll-outs, for operators.
     pub fn rollout_lines(&self) -> Vec<RolloutLine> {
         let book = self.rollouts();
         let state = self.lock();
@@ -152,7 +156,7 @@
         lines.collect()
     }
 
-    /// Takes what a subscriber counted for roll-outs.
+    /// Adds the counts for roll-outs that a subscriber reported.
     pub(crate) fn record_counts(&self, report: &SubscriberReport) {
         let Some(entry_host) = report
             .entry_host
@@ -241,7 +245,7 @@
     }
 }
 
-/// Moves the roll-outs on that are under way, while this control host leads.
+/// Advances the roll-outs that are in progress while this control host leads.
 pub(super) async fn advance_rollouts(node: DirectoryNode) {
     let mut ages = RolloutAges::default();
     loop {
@@ -253,13 +257,13 @@
         });
         node.lock().evidence.set_book(&book);
         for (service, record) in book.in_progress() {
-            // Every control host notes when it heard of the order: it may lead later.
+            // Every control host records when it first saw the order, since it may lead later.
             let elapsed = ages.of(service, record);
             if !node.replica().status().lease_lasts {
                 continue;
             }
             let step = node.decide_step(service, record, elapsed);
-            // What could not be committed is decided anew with the next look.
+            // A step that could not be committed is decided again in the next round.
             if let Err(error) = node.apply_step(service, record, step).await {
                 let detail = format!("service={service} cause={error}");
                 node.record(EventCode::RolloutStepFailed, &detail);
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a control host keeps of targets and subscribers.
+//! The state that a control host keeps of targets and subscribers.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -13,68 +13,70 @@
 use super::suspects::LivenessProbes;
 use crate::{DocumentRequest, EntryHostRecord, LocalEntryHosts, Registry};
 
-/// What a subscriber told.
+/// The state that a subscriber reported.
 #[derive(Debug, Clone)]
 pub(crate) struct SubscriberState {
     pub(crate) is_control: bool,
     pub(crate) acknowledged: u64,
     pub(crate) entry_host: Option<EntryHostRecord>,
-    /// The version of the configuration that it told last.
+    /// Version of the configuration in its last report.
     pub(crate) document_version: u64,
-    /// What it wants of a configuration.
+    /// Its current request for a configuration.
     pub(crate) document_request: Option<DocumentRequest>,
-    /// Whether it wants to be told of targets and entry hosts by this control host.
+    /// Whether this control host sends it the lists of targets and entry hosts.
     pub(crate) wants_lists: bool,
-    /// The form of its messages; nothing until its first report has told that.
+    /// Its message version; `None` until its first report reveals it.
     pub(crate) message_version: Option<MessageForm>,
 }
 
 #[derive(Default)]
 pub(crate) struct NodeState {
     pub(crate) registry: Registry,
-    /// What is held against requests that may end targets.
+    /// Requests suspected of crashing targets.
     pub(crate) suspects: SuspectBook,
     pub(crate) liveness_probes: LivenessProbes,
-    /// The rates that targets named to entry hosts.
+    /// Rate limits that targets announced to entry hosts.
     pub(crate) rate_limits: RateBook,
-    /// What entry hosts counted for roll-outs.
+    /// Counts for roll-outs, reported by entry hosts.
     pub(crate) evidence: EvidenceBook,
-    /// What a version may be exposed to before it is known to be good.
+    /// Limit on what a version may be exposed to before it has proved itself.
     pub(crate) exposure: ExposureRule,
     pub(crate) subscribers: BTreeMap<u64, SubscriberState>,
     pub(crate) last_subscriber_id: u64,
-    /// Entry hosts that were lost without a word, and until when they are told on.
+    /// Entry hosts that disconnected without announcing a stop, and until when they stay in the
+    /// list.
     pub(crate) disconnected_entry_hosts: BTreeMap<String, (EntryHostRecord, Instant)>,
-    /// What other control hosts told of the entry hosts that they hear.
+    /// The entry hosts that other control hosts reported.
     remote_entry_hosts: BTreeMap<SocketAddr, RemoteEntryHosts>,
     cached_list: Option<CachedList>,
 }
 
-/// The entry hosts that another control host hears.
+/// The entry hosts connected to another control host.
 struct RemoteEntryHosts {
     entry_hosts: LocalEntryHosts,
-    /// Until when they count although that control host was lost.
+    /// Until when they stay in the list after the connection to that control host was lost.
     lost_until: Option<Instant>,
 }
 
-/// The entry hosts as they are told, kept until one of them changes. Working the list of 295 out for each
-/// of as many subscribers took 23 ms a change, 76 ms of a control host with 0.3 of a core, and takes
-/// 0.08 ms (`measure_lists_of_entry_hosts`, release build). After a loss of power 580 hosts and targets
-/// come in a second.
+/// The list of entry hosts, cached until one of them changes. Building the list of 295 hosts for
+/// each of as many subscribers took 23 ms per change, or 76 ms on a control host with 0.3 of a
+/// core; with the cache it takes 0.08 ms (`measure_lists_of_entry_hosts`, release build). After a
+/// power loss, 580 hosts and targets register within a second.
 struct CachedList {
     list: Arc<[EntryHostRecord]>,
-    /// Those of them that this control host hears itself, or lost.
+    /// The entry hosts of the list that are or were connected to this control host.
     local: Arc<LocalEntryHosts>,
-    /// When the first host that was lost is not told any more.
+    /// When the first disconnected host leaves the list.
     until: Instant,
 }
 
-/// How long an entry host that was lost without a word is told on. It may be cut off from the control
-/// hosts only, and the others should meet it at the same places then.
+/// How long an entry host that disconnected without announcing a stop stays in the list. It may be
+/// cut off from the control hosts only, and then the others should still reach it at the same
+/// address.
 const LOST_ENTRY_HOST_RETENTION: Duration = Duration::from_secs(15);
 
 impl NodeState {
-    /// Returns the entry hosts that are heard, or were until a moment ago, by name.
+    /// Returns the entry hosts that are connected, or were until recently, by name.
     pub(crate) fn entry_hosts(&mut self, now: Instant) -> Arc<[EntryHostRecord]> {
         if let Some(cached) = self
             .cached_list
@@ -104,7 +106,8 @@
         list
     }
 
-    /// Returns the entry hosts that this control host hears itself, and those that it lost a moment ago.
+    /// Returns the entry hosts that are connected to this control host, and those that disconnected
+    /// recently.
     pub(crate) fn local_entry_hosts(&mut self, now: Instant) -> Arc<LocalEntryHosts> {
         if self
             .cached_list
@@ -136,8 +139,8 @@
         }
     }
 
-    /// Takes the entry hosts that another control host hears. One of them that was lost here has gone there: how it
-    /// ends there is what counts.
+    /// Stores the entry hosts connected to another control host. One that disconnected here is
+    /// removed from the local list: from now on the other control host decides how it ends.
     pub(crate) fn set_remote_entry_hosts(
         &mut self,
         from: SocketAddr,
@@ -154,8 +157,8 @@
         self.cached_list = None;
     }
 
-    /// Notes that another control host was lost: those that it heard are told on for a while, in which they find
-    /// another one.
+    /// Handles the loss of the connection to another control host: the entry hosts that it reported
+    /// stay in the list for a while, in which they connect to another one.
     pub(crate) fn mark_control_lost(&mut self, from: SocketAddr, now: Instant) {
         if let Some(remote) = self.remote_entry_hosts.get_mut(&from) {
             remote.lost_until = Some(now + LOST_ENTRY_HOST_RETENTION);
@@ -163,7 +166,8 @@
         self.cached_list = None;
     }
 
-    /// Returns the entry hosts that any control host hears, or lost a moment ago, by name.
+    /// Returns the entry hosts that are connected to any control host, or were until recently, by
+    /// name.
     fn collect_all(&mut self, now: Instant, local: &LocalEntryHosts) -> Vec<EntryHostRecord> {
         self.remote_entry_hosts
             .retain(|_, told| told.lost_until.is_none_or(|until| until > now));
@@ -175,7 +179,7 @@
         let mut by_name: BTreeMap<&str, &EntryHostRecord> = BTreeMap::new();
         for record in all.clone().flat_map(|one| &one.connected) {
             let known = by_name.entry(&record.name).or_insert(record);
-            // Whoever heard that it stops is right.
+            // A control host that received the announcement of a stop overrides the others.
             if record.stopping {
                 *known = record;
             }
@@ -186,14 +190,14 @@
         by_name.into_values().cloned().collect()
     }
 
-    /// Says whether a subscriber wants targets and entry hosts from here.
+    /// Returns whether a subscriber receives the lists of targets and entry hosts from this host.
     pub(crate) fn sends_lists_to(&self, subscriber_id: u64) -> bool {
         let subscriber = self.subscribers.get(&subscriber_id);
         subscriber.is_some_and(|subscriber| subscriber.wants_lists)
     }
 
-    /// Takes what a subscriber tells of itself; says whether that changes the entry hosts. Nothing where
-    /// the subscriber is not known.
+    /// Stores the entry host record that a subscriber reported; returns whether it changed, or
+    /// `None` if the subscriber is not known.
     pub(crate) fn set_entry_host(
         &mut self,
         subscriber_id: u64,
@@ -208,7 +212,7 @@
         Some(changed)
     }
 
-    /// Forgets a subscriber. One that did not say that it stops may come back.
+    /// Removes a subscriber. One that did not announce a stop may reconnect.
     pub(crate) fn mark_subscriber_lost(&mut self, subscriber_id: u64, now: Instant) {
         let lost = self.subscribers.remove(&subscriber_id);
         let record = lost.and_then(|subscriber| subscriber.entry_host);
--- a/crates/directory/src/node/state/tests.rs
+++ b/crates/directory/src/node/state/tests.rs
@@ -36,7 +36,7 @@
     list.iter().map(|one| one.name.as_str()).collect()
 }
 
-/// The list was worked out anew for each subscriber at each change.
+/// Guards against building the list again for each subscriber at each change.
 #[test]
 fn entry_host_list_is_built_once_per_change() {
     let (mut state, now) = (state(3), Instant::now());
@@ -70,7 +70,7 @@
     );
 }
 
-/// Prints what the list of 295 entry hosts costs each of as many subscribers at a change, in
+/// Prints the cost of the list of 295 entry hosts for as many subscribers at one change, in
 /// milliseconds.
 #[test]
 #[ignore = "measures"]
@@ -105,7 +105,7 @@
     }
 }
 
-/// An entry host follows a few control hosts, so that none hears all of them.
+/// An entry host follows a few control hosts only, so no control host is connected to all of them.
 #[test]
 fn entry_hosts_of_other_control_hosts_are_listed() {
     let (mut state, now) = (state(2), Instant::now());
@@ -143,8 +143,8 @@
     assert_eq!(names(&state.entry_hosts(later)), ["host-0"]);
 }
 
-/// Two control hosts lose an entry host in turn, each while the other still tells that it hears it: neither may take
-/// the other's word for more than that.
+/// Two control hosts lose an entry host one after the other, each while the other still reports it
+/// as connected. Neither may drop its own record because of that report.
 #[test]
 fn entry_host_lost_by_all_control_hosts_stays_listed_by_each() {
     let (mut first, now) = (state(2), Instant::now());
@@ -162,13 +162,14 @@
     for state in [&mut first, &mut second] {
         assert_eq!(names(&state.entry_hosts(now)), ["host-0", "host-1"]);
     }
-    // A third one, which never heard it, tells it too.
+    // A third control host, to which the entry host was never connected, lists it too.
     let mut third = state(1);
     send(&mut second, &mut third, 1);
     assert_eq!(names(&third.entry_hosts(now)), ["host-0", "host-1"]);
 }
 
-/// It has left this control host for another one, and ends there: nothing here brings it back.
+/// The entry host moved to another control host and stops there; the local record of its
+/// disconnection must not keep it in the list.
 #[test]
 fn entry_host_that_moved_is_not_listed_as_disconnected() {
     let (mut state, now) = (state(2), Instant::now());
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -1,5 +1,5 @@
-//! What a control host holds against requests that may end targets, and how it finds that a target which was
-//! taken as ended runs on.
+//! Requests suspected of crashing targets, on a control host; and the check whether a target whose
+//! crash was reported is still running.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,23 +11,24 @@
 
 use super::{DirectoryNode, NodeState};
 
-/// Heartbeats after which a target that was taken as ended is known to run on. One or two may have been on
-/// their way since before.
+/// Number of heartbeats after which a target whose crash was reported is known to be running. One
+/// or two may have been sent before the reported crash.
 const MIN_PROOF_HEARTBEATS: u64 = 3;
 
-/// How often it is looked whether the log lacks a held request. A request that came to be held less than that
-/// before all power was lost is found out anew.
+/// How often the held requests are compared with the log. A request that became held within this
+/// time before a complete loss of power has to be detected again.
 const PERSIST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The last heartbeat of each start of a target when its end was first heard of here.
+/// For each incarnation of a target whose crash was reported, the sequence of its last heartbeat
+/// when the report arrived.
 #[derive(Default)]
 pub(crate) struct LivenessProbes {
     sequences: HashMap<EndKey, u64>,
 }
 
 impl LivenessProbes {
-    /// Takes a heartbeat that is known of a start whose end is held against requests; says whether it
-    /// proves that there was no end.
+    /// Compares a heartbeat of an incarnation whose crash was reported with the first known one;
+    /// returns whether it proves that the incarnation is still running.
     fn proves_running(&mut self, end: EndKey, sequence: u64) -> bool {
         let first = *self.sequences.entry(end).or_insert(sequence);
         sequence >= first + MIN_PROOF_HEARTBEATS
@@ -35,7 +36,8 @@
 }
 
 impl NodeState {
-    /// Takes back the ends of targets that run on; returns the requests that they were held against.
+    /// Retracts reported crashes of targets that are still running; returns the requests that were
+    /// suspected because of them.
     fn retract_refuted_crashes(&mut self) -> Vec<RequestKey> {
         let targets = self.registry.records();
         let ends = targets.map(|one| (EndKey::new(&one.id, one.born), one.sequence));
@@ -54,13 +56,13 @@
 }
 
 impl NodeState {
-    /// Says whether a control host is known that speaks the first form only.
+    /// Returns whether a connected control host speaks only message version 1.
     pub(super) fn has_v1_control(&self) -> bool {
         let mut subscribers = self.subscribers.values();
         subscribers.any(|one| one.is_control && one.message_version == Some(MessageForm::First))
     }
 
-    /// Says whether all control hosts that are connected know of roll-outs.
+    /// Returns whether all connected control hosts support roll-outs.
     pub(super) fn all_controls_support_rollouts(&self) -> bool {
         let mut controls = self.subscribers.values().filter(|one| one.is_control);
         controls.all(|one| one.message_version >= Some(MessageForm::Third))
@@ -68,7 +70,7 @@
 }
 
 impl DirectoryNode {
-    /// Notes the form that a subscriber speaks, which it did not announce.
+    /// Records the message version of a subscriber that did not announce it.
     pub(crate) fn record_message_version(
         &self,
         subscriber: u64,
@@ -82,7 +84,8 @@
         self.record(EventCode::PeerEarlier, &detail);
     }
 
-    /// Takes what another process holds against requests, and tells the others what is news to them.
+    /// Merges records of suspected requests from another process, and wakes the pushes if others
+    /// need them.
     pub(crate) fn merge_suspects(&self, records: &[SuspectRecord]) {
         if records.is_empty() {
             return;
@@ -101,28 +104,29 @@
         }
     }
 
-    /// Returns what is held against requests, for operators.
+    /// Returns the records of suspected requests, for operators.
     pub fn suspects(&self) -> Vec<SuspectRecord> {
         self.lock().suspects.records(Instant::now())
     }
 
-    /// Returns how many requests are held.
+    /// Returns the number of held requests.
     pub fn held_count(&self) -> usize {
         self.lock().suspects.counts().0
     }
 
-    /// Frees a request at an operator's word; says whether anything was held against it.
+    /// Releases a held request on an operator's order; returns whether there was a record of it.
     pub fn release_suspect(&self, key: RequestKey) -> bool {
         let known = self.lock().suspects.acquit(key);
         if known {
-            let detail = format!("key={key} cause=an operator");
+            let detail = format!("key={key} cause=released by an operator");
             self.record(EventCode::RequestReleased, &detail);
             self.notify_subscribers();
         }
         known
     }
 
-    /// Decides on requests, takes back what did not hold, and forgets what is old.
+    /// Decides which suspected requests to hold, retracts crashes that were refuted, and removes
+    /// old records.
     pub(crate) fn update_suspects(&self, now: Instant) {
         let mut state = self.lock();
         if state.suspects.is_empty() {
@@ -135,7 +139,7 @@
         let changed = state.suspects.number() != before;
         drop(state);
         for key in cleared {
-            let detail = format!("key={key} cause=its target runs on");
+            let detail = format!("key={key} cause=target still running");
             self.record(EventCode::RequestAcquitted, &detail);
         }
         if changed {
@@ -144,7 +148,7 @@
     }
 }
 
-/// Takes the held requests that the log keeps, as after a start.
+/// Loads the held requests from the log, at the start and after each change.
 pub(super) async fn load_held_requests(node: DirectoryNode) {
     let mut changes = node.shared.machine.held_request_changes();
     changes.mark_changed();
@@ -158,7 +162,7 @@
     }
 }
 
-/// Has the log keep the requests that are held.
+/// Periodically writes the held requests to the log.
 pub(super) async fn persist_held_requests(node: DirectoryNode) {
     loop {
         sleep(PERSIST_INTERVAL).await;
--- a/crates/directory/src/node/suspects/tests.rs
+++ b/crates/directory/src/node/suspects/tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A cut that refuses connections looks like the end of a target until it heals.
+/// A network cut that refuses connections looks like the crash of a target until it heals.
 #[test]
 fn crash_is_retracted_when_the_same_incarnation_sends_heartbeats() {
     let now = Instant::now();
--- a/crates/directory/src/node/tasks.rs
+++ b/crates/directory/src/node/tasks.rs
@@ -1,4 +1,4 @@
-//! What a control host does for its directory without being asked.
+//! Background tasks of the directory on a control host.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 use super::DirectoryNode;
 
-/// How often targets are checked for silence.
+/// How often targets are checked for missed heartbeats.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(super) async fn expire_targets(node: DirectoryNode) {
@@ -29,11 +29,11 @@
     }
 }
 
-/// Wakes the pushes once what this host holds by agreement may be told.
+/// Wakes the pushes once replicated state may be sent.
 pub(super) async fn announce_state(node: DirectoryNode) {
     let mut changes = node.shared.replica.changes();
     while !node.may_announce_state() {
-        // Also looks by itself, since the wait for a leader ends without a change.
+        // Also polls, since the end of the wait for a leader is no change of the replica.
         let _ = timeout(EXPIRY_INTERVAL, changes.changed()).await;
     }
     node.notify_subscribers();
--- a/crates/directory/src/payload.rs
+++ b/crates/directory/src/payload.rs
@@ -1,4 +1,4 @@
-//! How a configuration travels: whole, or as what changed since another one, compressed.
+//! Payloads of configurations: the whole document, or its changes against another one, compressed.
 
 use std::io::{self, Read, Write};
 
@@ -8,53 +8,53 @@
 
 use crate::{ContentHash, Document, DocumentKey, StoredDocument};
 
-/// Level of compression: the library's usual one. A configuration of 0.8 MB is packed to 120 KB.
+/// Compression level: the default of the library. It packs a configuration of 0.8 MB to 120 KB.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// Bounds of the window of the compression, as powers of two: it has to reach back over the whole
-/// base, and a window of more than 128 MB would be refused on reading.
+/// Bounds of the compression window, as powers of two: the window has to cover the whole base, and
+/// the decoder refuses a window of more than 128 MB.
 const MIN_WINDOW_LOG: u32 = 10;
 const MAX_WINDOW_LOG: u32 = 27;
 
-/// The largest configuration that is unpacked, in bytes; operators cannot send one as large.
+/// Maximum size of an unpacked configuration. Operators cannot send one as large.
 const MAX_DOCUMENT_BYTES: u64 = 32 * 1024 * 1024;
 
-/// Names the bytes of a payload: two sources with the same key send the same bytes, so that one can
-/// go on where the other ended.
+/// Identifies the bytes of a payload. Two sources with the same key send the same bytes, so a
+/// transfer can resume at another source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PayloadKey {
-    /// The configuration that it brings.
+    /// The configuration that the payload carries.
     pub document: DocumentKey,
-    /// The configuration against which it tells changes; nothing where it is whole.
+    /// The configuration against which the payload encodes changes; `None` if it is whole.
     pub base: Option<DocumentKey>,
-    /// How many bytes it has.
+    /// Number of bytes of the payload.
     pub length: u32,
-    /// The hash of its bytes.
+    /// Hash of the payload bytes.
     pub hash: ContentHash,
 }
 
-/// The bytes that bring a configuration to a subscriber.
+/// The bytes that carry a configuration to a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DocumentPayload {
     key: PayloadKey,
     bytes: Vec<u8>,
 }
 
-/// Why a payload brought no configuration.
+/// Why a payload could not be unpacked.
 #[derive(Debug, Display, derive_more::Error)]
 pub enum PayloadError {
-    /// The bytes are not those that the key names.
-    #[display("the bytes differ from their hash")]
+    /// The bytes do not match the hash in the key.
+    #[display("payload bytes do not match their hash")]
     HashMismatch,
-    /// It tells changes against a configuration that is not here.
-    #[display("it is based on {_0}, which is not held")]
+    /// The payload encodes changes against a configuration that this process does not have.
+    #[display("payload is based on {_0}, which is not stored here")]
     #[error(ignore)]
     MissingBase(DocumentKey),
-    /// The bytes cannot be unpacked.
-    #[display("unpacking: {_0}")]
+    /// Decompression failed.
+    #[display("decompression failed: {_0}")]
     Decompression(io::Error),
-    /// What was unpacked is not the configuration that the key names.
-    #[display("it brought other content than {_0}")]
+    /// The unpacked document is not the configuration that the key names.
+    #[display("unpacked content is not that of {_0}")]
     #[error(ignore)]
     ContentMismatch(DocumentKey),
 }
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// The error of the compression.
+    /// Returns the error of the compression.
     pub fn new(document: &StoredDocument, base: Option<&StoredDocument>) -> io::Result<Self> {
         let bytes = pack(document.body(), base.map_or(&[], |base| base.body()))?;
         let key = PayloadKey {
@@ -76,7 +76,7 @@
         Ok(Self { key, bytes })
     }
 
-    /// Takes bytes that came under a key.
+    /// Creates a payload from received bytes and their key.
     pub fn from_parts(key: PayloadKey, bytes: Vec<u8>) -> Self {
         Self { key, bytes }
     }
@@ -86,16 +86,16 @@
         self.key
     }
 
-    /// Returns the bytes.
+    /// Returns the payload bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Unpacks the configuration. `base` is what is held here.
+    /// Unpacks the configuration. `base` is the current configuration here.
     ///
     /// # Errors
     ///
-    /// [`PayloadFault`]; nothing of it may be used then.
+    /// Returns a [`PayloadError`]; no part of the payload may be used then.
     pub fn unpack(&self, base: Option<&StoredDocument>) -> Result<StoredDocument, PayloadError> {
         if ContentHash::new(&self.bytes) != self.key.hash {
             return Err(PayloadError::HashMismatch);
@@ -123,7 +123,7 @@
     let mut encoder = Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
     let window_log = (body.len() + base.len()).max(1).ilog2() + 1;
     encoder.window_log(window_log.clamp(MIN_WINDOW_LOG, MAX_WINDOW_LOG))?;
-    // Finds what both have in common also where it lies far apart.
+    // Finds matches that lie far apart as well.
     encoder.long_distance_matching(!base.is_empty())?;
     encoder.set_pledged_src_size(Some(body.len() as u64))?;
     encoder.write_all(body)?;
--- a/crates/directory/src/payload/tests.rs
+++ b/crates/directory/src/payload/tests.rs
@@ -59,7 +59,7 @@
 fn damaged_or_mismatched_payloads_are_rejected() {
     let (base, newer) = (document(7, 300, 0), document(8, 300, 9));
     let payload = DocumentPayload::new(&newer, Some(&base)).unwrap();
-    // The same version with other content.
+    // Same version, other content.
     let lookalike = document(7, 300, 5);
     for wrong in [None, Some(&lookalike), Some(&newer)] {
         let error = payload.unpack(wrong).unwrap_err();
@@ -72,7 +72,7 @@
         damaged.unpack(Some(&base)),
         Err(PayloadError::HashMismatch)
     ));
-    // Bytes that hash well but bring something else than they say.
+    // The hash matches the bytes, but the content is not the one that the key names.
     let other = DocumentPayload::new(&lookalike, None).unwrap();
     let mut key = other.key();
     key.document = newer.key();
--- a/crates/directory/src/registry.rs
+++ b/crates/directory/src/registry.rs
@@ -1,4 +1,4 @@
-//! The targets that registered themselves, as one control host knows them.
+//! The registered targets, as one control host knows them.
 
 mod address;
 
@@ -9,53 +9,54 @@
 use crate::message::ForwardedHeartbeat;
 use crate::{ServiceNames, TargetRecord, TargetState};
 
-/// How long a target that left is remembered, so that a late heartbeat does not bring it back.
+/// How long a withdrawn target is remembered, so that a late heartbeat does not register it again.
 const GONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// How long a heartbeat is passed on to other control hosts.
+/// How long after its arrival a heartbeat is forwarded to other control hosts.
 pub(crate) const FORWARD_WINDOW: Duration = Duration::from_millis(1_000);
 
-/// A target that is cold for longer than was known is told of anew where that is more than what
-/// heartbeats are late by.
+/// A target whose cold period is extended is sent to followers again only if the extension exceeds
+/// the usual delay of heartbeats.
 const MIN_COLD_EXTENSION: Duration = Duration::from_millis(250);
 
-/// A target that is first heard at one of so many heartbeats has just started. The first one may get
-/// lost on its way; later ones may as well be late ones of a start that is over.
+/// A target whose first received heartbeat has at most this sequence number has just started. The
+/// first heartbeat may be lost; later ones may be delayed ones of a former incarnation.
 const MAX_FIRST_SEQUENCE: u64 = 2;
 
-/// How a start of a target stands to the one that is held.
+/// How an incarnation of a target relates to the recorded one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum IncarnationAge {
-    /// It is over; what it says comes late.
+    /// It has ended; its messages are late.
     Former,
-    /// It is the one that is held, or the first.
+    /// It is the recorded one, or the target is not recorded.
     Current,
-    /// It has followed.
+    /// It started after the recorded one.
     Newer,
 }
 
-/// What a heartbeat or a word of another control host changed.
+/// What a heartbeat, or a message of another control host, changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// Nothing that followers need to know.
+    /// Nothing that followers need.
     Unchanged,
-    /// The target is new, or serves again.
+    /// The target is new, or is available again.
     Registered,
-    /// The target takes no new work from now on.
+    /// The target accepts no new work from now on.
     Withdrawn,
 }
 
 struct TargetEntry {
     record: TargetRecord,
     last_heartbeat: Instant,
-    /// Number of the change that last altered the record.
+    /// Revision at which the record last changed.
     revision: u64,
-    /// Until when the target is cold. It only moves later: a late heartbeat may tell of a time before.
+    /// End of the cold period. It only moves later, since a late heartbeat may describe an earlier
+    /// state.
     cold_until: Option<Instant>,
 }
 
 impl TargetEntry {
-    /// Takes how much longer the target is cold; says whether others have to be told.
+    /// Extends the cold period; returns whether followers need the new end.
     fn extend_cold(&mut self, cold_ms: u32, now: Instant) -> bool {
         if cold_ms == 0 {
             return false;
@@ -69,7 +70,7 @@
         until.saturating_duration_since(known) > MIN_COLD_EXTENSION
     }
 
-    /// Returns the record as it is told at a moment.
+    /// Returns the record as of `now`.
     fn record_at(&self, now: Instant) -> TargetRecord {
         let mut record = self.record.clone();
         record.cold_ms = self.cold_until.map_or(0, |until| {
@@ -81,30 +82,31 @@
 
 /// Targets by identity.
 ///
-/// Invariant: the state of one start of a target only goes from ready to draining to gone, whatever order its
-/// words arrive in and through whichever control host; a later start begins anew, and an earlier one is
-/// not heard any more.
+/// Invariant: the state of one incarnation of a target only goes from ready to draining to gone, in
+/// whatever order and through whichever control host its messages arrive; a later incarnation
+/// starts afresh, and messages of an earlier one are ignored.
 #[derive(Default)]
 pub struct Registry {
     targets: HashMap<String, TargetEntry>,
     revision: u64,
-    /// The services that the configuration names, as far as was needed.
+    /// The services that the configuration names, as of the last new target for which they
+    /// mattered.
     services: Option<ServiceNames>,
-    /// Services whose targets tell their birth. A heartbeat for one of these without it comes from another
-    /// writer.
+    /// Services whose targets report a start time. A heartbeat for one of these without a start
+    /// time comes from another sender.
     services_with_start_time: HashSet<String>,
-    /// The heartbeats that came to this host lately, in their order.
+    /// Heartbeats that this host received recently, in order of arrival.
     heartbeat_log: VecDeque<(Instant, String)>,
-    /// The targets by the number of the change that last altered them.
+    /// Targets by the revision at which they last changed.
     by_revision: BTreeMap<u64, String>,
 }
 
-/// Records that changed, in the order of their changes.
+/// Records that changed, in order of their revisions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChangedTargets {
-    /// The records.
+    /// Records as of the time of the query.
     pub records: Vec<TargetRecord>,
-    /// The number of the last change that they bring their reader to.
+    /// Revision that the reader has after these records.
     pub revision: u64,
 }
 
@@ -114,12 +116,12 @@
         Self::default()
     }
 
-    /// Returns the number of the newest change.
+    /// Returns the revision of the newest change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes a heartbeat that came to this host.
+    /// Applies a heartbeat that this host received.
     pub fn apply_heartbeat(&mut self, record: TargetRecord, now: Instant) -> RegistryChange {
         if self.compare_incarnation(&record.id, record.born) == IncarnationAge::Former {
             return RegistryChange::Unchanged;
@@ -132,8 +134,8 @@
         change
     }
 
-    /// Takes the word of a target that it leaves, of the start that it names or the newest; `None` where the
-    /// target is not known.
+    /// Withdraws a target that announced its stop: the incarnation that started at `born`, or the
+    /// newest one. Returns `None` if the target is not known.
     pub fn deregister(
         &mut self,
         id: &str,
@@ -148,11 +150,12 @@
         Some(self.merge(record, now, now))
     }
 
-    /// Takes a record from another control host.
+    /// Merges a record from another control host.
     pub fn merge_record(&mut self, record: TargetRecord, now: Instant) -> RegistryChange {
         if !record.silent {
-            // How lately the target was heard comes apart from its record. Until then it is taken
-            // as heard now, so that it is not called silent before its next heartbeat.
+            // The time of the last heartbeat is sent separately from the record. Until it arrives,
+            // the heartbeat is dated now, so that the target is not marked silent before its next
+            // heartbeat.
             return self.merge(record, now, now);
         }
         match self.compare_incarnation(&record.id, record.born) {
@@ -161,7 +164,8 @@
             IncarnationAge::Current => {}
         }
         match self.targets.get(&record.id) {
-            // Silence there is no news here: this host may have heard the target itself.
+            // Silence at the other host is no reason to change the record: this host may have
+            // received heartbeats itself.
             Some(entry) if entry.record.state >= record.state => RegistryChange::Unchanged,
             Some(entry) => {
                 let mut known = entry.record.clone();
@@ -173,7 +177,7 @@
         }
     }
 
-    /// Takes the news that another control host heard a target.
+    /// Applies a heartbeat that another control host received and forwarded.
     pub fn apply_forwarded_heartbeat(
         &mut self,
         heartbeat: &ForwardedHeartbeat,
@@ -199,8 +203,8 @@
         RegistryChange::Registered
     }
 
-    /// Marks targets that were not heard for `span` as silent and forgets those long gone; returns
-    /// the identities that became silent.
+    /// Marks targets without a heartbeat for `span` as silent and removes those that were withdrawn
+    /// long ago; returns the identities of the targets that became silent.
     pub fn expire(&mut self, now: Instant, span: Duration) -> Vec<String> {
         let by_revision = &mut self.by_revision;
         self.targets.retain(|_, entry| {
@@ -223,7 +227,7 @@
         silent
     }
 
-    /// Returns the first records that changed after a change number, so many at most.
+    /// Returns the first `limit` records that changed after a revision.
     pub fn changed_after(&self, revision: u64, limit: usize, now: Instant) -> ChangedTargets {
         let after = self
             .by_revision
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Returns the records that changed after a change number and get no new work.
+    /// Returns the records that changed after a revision and get no new work.
     pub fn withdrawn_after(&self, revision: u64, now: Instant) -> Vec<TargetRecord> {
         let after = self.by_revision.range(revision.saturating_add(1)..);
         let entry = after.filter_map(|(_, id)| self.targets.get(id));
@@ -254,7 +258,7 @@
         withdrawn.map(|entry| entry.record_at(now)).collect()
     }
 
-    /// Gives a target the number of a new change.
+    /// Assigns a new revision to a target.
     fn mark_changed(&mut self, id: &str) {
         let Some(entry) = self.targets.get_mut(id) else {
             return;
@@ -265,7 +269,8 @@
         self.by_revision.insert(self.revision, id.to_owned());
     }
 
-    /// Returns when the newest start of a target began; nothing where the target is not known.
+    /// Returns the start time of the newest incarnation of a target; `None` if the target is not
+    /// known.
     pub fn born_of(&self, id: &str) -> Option<u64> {
         Some(self.targets.get(id)?.record.born)
     }
@@ -275,7 +280,7 @@
         self.targets.values().map(|entry| &entry.record)
     }
 
-    /// Returns the slots of the targets of a service that take work, by their version.
+    /// Returns the total slots of the available targets of a service, by version.
     pub fn slots_by_version(&self, service: &str) -> BTreeMap<String, u32> {
         let mut slots = BTreeMap::new();
         let ready = |record: &&TargetRecord| {
@@ -287,8 +292,8 @@
         slots
     }
 
-    /// Returns the targets of which a heartbeat came to this host after a moment, or within the last
-    /// [`HEARD_WINDOW`] where none is named.
+    /// Returns the targets that sent a heartbeat to this host after `since`, or within
+    /// [`FORWARD_WINDOW`] if `since` is `None`.
     pub fn heartbeats_since(
         &self,
         since: Option<Instant>,
@@ -312,7 +317,7 @@
         heartbeats.collect()
     }
 
-    /// Notes that a heartbeat of a target came to this host.
+    /// Records that this host received a heartbeat of a target.
     fn log_heartbeat(&mut self, id: String, now: Instant) {
         let is_old = |at: &Instant| now.saturating_duration_since(*at) > FORWARD_WINDOW;
         while self.heartbeat_log.front().is_some_and(|(at, _)| is_old(at)) {
@@ -321,7 +326,7 @@
         self.heartbeat_log.push_back((now, id));
     }
 
-    /// Says how a start of a target stands to the one that is held under its identity.
+    /// Compares an incarnation of a target with the recorded one.
     fn compare_incarnation(&self, id: &str, born: u64) -> IncarnationAge {
         match self
             .targets
@@ -334,7 +339,7 @@
         }
     }
 
-    /// Takes a newer start, of which nothing holds that was known of the one before.
+    /// Replaces a record by that of a newer incarnation, which inherits nothing.
     fn replace(
         &mut self,
         record: TargetRecord,
@@ -368,7 +373,7 @@
         let before = entry.record.clone();
         if newer {
             entry.record = record;
-            // A control host of an earlier build tells none.
+            // A control host of an earlier build does not send the version.
             if entry.record.version.is_empty() {
                 entry.record.version.clone_from(&before.version);
             }
@@ -415,8 +420,9 @@
         if !(just_started && self.is_configured(&record.service))
             && self.shares_live_address(&record)
         {
-            // Perhaps a late heartbeat of a start that is over, or one of another writer. Taking its word ended
-            // the target that is there, for good; it waits until that one is silent.
+            // This may be a late heartbeat of a former incarnation, or one of another sender. To
+            // accept it would end the target at that address for good; the new target waits until
+            // that one is silent.
             record.silent = true;
         }
         if record.state == TargetState::Ready && !record.silent {
--- a/crates/directory/src/registry/address.rs
+++ b/crates/directory/src/registry/address.rs
@@ -1,4 +1,4 @@
-//! Which of several targets an address belongs to.
+//! Decides which of several targets an address belongs to.
 
 use std::time::Instant;
 
@@ -6,13 +6,13 @@
 use crate::{ServiceNames, TargetRecord, TargetState};
 
 impl Registry {
-    /// Takes the services that the configuration names; nothing before there is one.
+    /// Sets the services that the configuration names; `None` before there is a configuration.
     pub(crate) fn set_services(&mut self, services: Option<ServiceNames>) {
         self.services = services;
     }
 
-    /// Says whether a target is new and would take the address of another one, which depends on the services
-    /// that are named.
+    /// Returns whether a target is new and claims the address of a live one. Only then do the
+    /// configured services decide whether it is accepted.
     pub(crate) fn is_new_at_used_address(&self, record: &TargetRecord) -> bool {
         !self.targets.contains_key(&record.id) && self.shares_live_address(record)
     }
@@ -22,7 +22,7 @@
         services.is_none_or(|services| services.contains(service))
     }
 
-    /// Says whether a target is called silent while another one serves at its address.
+    /// Returns whether a target is silent while another one is live at its address.
     pub(super) fn is_address_taken(&self, id: &str) -> bool {
         let entry = self.targets.get(id);
         entry.is_some_and(|entry| entry.record.silent && self.shares_live_address(&entry.record))
@@ -38,7 +38,7 @@
         })
     }
 
-    // An address belongs to one start at a time, so one that serves there ends the others.
+    // An address belongs to one incarnation at a time, so one that is live there ends the others.
     pub(super) fn retire_others_at_address(&mut self, record: &TargetRecord, now: Instant) {
         let others = self.targets.values_mut().filter(|entry| {
             entry.record.address == record.address
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -26,63 +26,64 @@
     add_document, add_entry_hosts, add_evacuations, add_heartbeats, add_rollouts, add_withdrawn,
 };
 
-/// Between two signs of life to a subscriber.
+/// Maximum time between two updates to a subscriber; an update without changes is a keep-alive.
 pub(crate) const UPDATE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A side from which no byte came for so long is taken as lost.
+/// A connection on which no byte arrived for this time is closed.
 pub(crate) const PEER_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Time between two updates to one entry host for each subscriber, so that the work for updates does not
-/// grow with what changes: 2,900 updates a second at most, whatever the fleet. When 285 targets
-/// registered one by one after a loss of power, each sent an update to each of 295 entry hosts, and a
-/// leader was elected 1.9 s after the start. With this and the list that is kept a control host of that
-/// fleet used 0.048 cores in place of 0.157 on the mean of a day, and the first election came 0.35 s
-/// after the start.
+/// Minimum time between two updates to one entry host, per subscriber, so that the work for updates
+/// does not grow with the number of changes: at most 2,900 updates per second, whatever the size of
+/// the fleet. When 285 targets registered one by one after a power loss, each caused an update to
+/// each of 295 entry hosts, and a leader was elected only 1.9 s after the start. With this limit
+/// and the cached list of entry hosts, a control host of that fleet used 0.048 instead of 0.157
+/// cores averaged over a day, and the first election ended 0.35 s after the start.
 const UPDATE_SPACING_PER_SUBSCRIBER: Duration = Duration::from_micros(350);
 
-/// Targets in one update, at most. A subscriber whose link is slow or that has just come gets the rest when
-/// this part has passed, so a control host keeps one part for each of them and not all that they lack: with
-/// 300 machines and 3,000 targets that was up to 222 of its 256 MB after all were killed.
+/// Maximum number of targets in one update. A subscriber that is new or has a slow link gets the
+/// rest after this part was sent, so a control host buffers one part per subscriber and not
+/// everything that they lack: with 300 machines and 3,000 targets that was up to 222 of its 256 MB
+/// after all processes had been killed.
 const MAX_TARGETS_PER_UPDATE: usize = 128;
 
-/// Records of requests that may end targets in one message, at most: some 20 KB.
+/// Maximum number of records of suspected requests in one message: some 20 KB.
 pub(crate) const MAX_SUSPECTS_PER_MESSAGE: usize = 64;
 
-/// Rates of targets in one message, at most: some 8 KB.
+/// Maximum number of rate limits of targets in one message: some 8 KB.
 pub(crate) const MAX_RATE_LIMITS_PER_MESSAGE: usize = 256;
 
-/// What was pushed to one subscriber so far.
+/// What has been pushed to one subscriber.
 struct Pushed {
     subscriber: u64,
     is_control: bool,
     offer: Option<DocumentKey>,
     evacuations: Option<Arc<EvacuationStore>>,
     rollouts: Option<Arc<RolloutBook>>,
-    /// The number of the last change up to which it was told of counts for roll-outs.
+    /// Number of the last change of counts for roll-outs that was sent.
     counts_sent: u64,
     sender: DocumentSender,
     revision: u64,
-    /// The number of the last change up to which it was told of targets that withdrew.
+    /// Registry revision up to which withdrawn targets were sent.
     withdrawn_sent: u64,
     entry_hosts: EntryHostPush<[EntryHostRecord]>,
-    /// The same for another control host, which is told of those that this one hears itself.
+    /// The list for another control host: the entry hosts connected to this one.
     local_entry_hosts: EntryHostPush<LocalEntryHosts>,
-    /// When the next list of entry hosts is due, where one is held back.
+    /// Time until the next list of entry hosts is due, if one is delayed.
     next_list: Option<Duration>,
     control_addresses: Vec<std::net::SocketAddr>,
-    /// When it was last told of heartbeats.
+    /// When heartbeats were last sent.
     heartbeats_sent: Option<Instant>,
-    /// The number of the last change of what is held against requests that it was told.
+    /// Number of the last change of suspected requests that was sent.
     suspects_sent: u64,
-    /// The number of the last change of a target's rate that it was told.
+    /// Number of the last change of a target's rate limit that was sent.
     rate_limits_sent: u64,
 }
 
-/// Pushes the directory to one subscriber until it is lost.
+/// Pushes the directory to one subscriber until the connection is lost.
 ///
 /// # Errors
 ///
-/// [`WireError`] of the connection.
+/// Returns the [`WireError`] of the connection.
 pub async fn serve_subscriber(
     node: &DirectoryNode,
     reader: PeerReader,
@@ -103,7 +104,7 @@
         message_version,
         writer,
     );
-    // Either half ending means that the subscriber is lost.
+    // The connection is lost when either half ends.
     let outcome = tokio::select! {
         outcome = receiving => outcome,
         outcome = sending => outcome,
@@ -126,7 +127,7 @@
         entry_host: None,
         document_version: 0,
         document_request: None,
-        // A control host wants every target.
+        // A control host needs every target.
         wants_lists: hello.is_control,
         message_version,
     };
@@ -139,7 +140,7 @@
     state.mark_subscriber_lost(subscriber, Instant::now());
     drop(state);
     node.notify_subscribers();
-    // Nobody waits for what it would have acknowledged.
+    // A withdrawal no longer waits for its acknowledgement.
     node.notify_acknowledged();
 }
 
@@ -182,7 +183,7 @@
     }
 }
 
-/// Receives a report. The first one of a subscriber that announced no form tells it.
+/// Receives a report. If the subscriber announced no message version, its first report reveals it.
 async fn receive_report(
     node: &DirectoryNode,
     subscriber: u64,
@@ -211,7 +212,7 @@
     mut message_version: watch::Receiver<Option<MessageForm>>,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
-    // Whoever takes the reports is gone, and with it the subscriber, where none came.
+    // The task that receives reports ended before the first report, and removes the subscriber.
     let Ok(message_version) = message_version
         .wait_for(Option::is_some)
         .await
@@ -252,7 +253,7 @@
             || update.suspects.len() == MAX_SUSPECTS_PER_MESSAGE
             || update.rate_limits.len() == MAX_RATE_LIMITS_PER_MESSAGE;
         if is_partial {
-            // What else changed meanwhile goes out with the next part.
+            // Other changes of the meantime go out with the next part.
             continue;
         }
         let max_wait = pushed
@@ -290,8 +291,9 @@
     }
 }
 
-/// Returns the least time between two updates to one subscriber, of so many, beside parts of a
-/// configuration. Other control hosts are told at once: a target that leaves waits for them.
+/// Returns the minimum time between two updates to one of `subscribers` subscribers; parts of a
+/// configuration are not subject to it. Other control hosts get updates at once, since the
+/// withdrawal of a target waits for them.
 fn min_update_spacing(is_control: bool, subscribers: usize) -> Duration {
     if is_control {
         return Duration::ZERO;
@@ -332,7 +334,7 @@
     let mut state = node.lock();
     pushed.next_list = None;
     let now = Instant::now();
-    // Two entry hosts may have no control host in common, so control hosts tell each other all.
+    // Two entry hosts may share no control host, so control hosts send each other all records.
     let suspects = match pushed.is_control {
         true => state
             .suspects
@@ -352,7 +354,7 @@
     pushed.rate_limits_sent = rate_limits.number;
     update.rate_limits = rate_limits.words;
     if !state.sends_lists_to(pushed.subscriber) {
-        // All of it is told once it wants lists from here.
+        // Everything is sent again once the subscriber requests lists from this host.
         pushed.revision = 0;
         pushed.entry_hosts = EntryHostPush::default();
         add_withdrawn(&state.registry, pushed, &mut update, now);
--- a/crates/directory/src/serve/additions.rs
+++ b/crates/directory/src/serve/additions.rs
@@ -1,4 +1,4 @@
-//! What is added to an update where it changed.
+//! Adds what has changed to an update.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::node::NodeState;
 use crate::{DirectoryNode, DirectoryUpdate, Registry};
 
-/// Tells an entry host of all entry hosts, and another control host of those that this one hears.
+/// Adds all entry hosts for an entry host, and the locally connected ones for another control host.
 pub(super) fn add_entry_hosts(
     state: &mut NodeState,
     pushed: &mut Pushed,
@@ -32,8 +32,9 @@
     }
 }
 
-/// Tells another control host of the heartbeats that came since it was told last, a few times a second: told
-/// with each change of a target, the work for one heartbeat would grow with the changes of the fleet.
+/// Adds the heartbeats received since the last update with heartbeats, for another control host, a
+/// few times a second: with heartbeats in each update, the work per heartbeat would grow with the
+/// number of changes in the fleet.
 pub(super) fn add_heartbeats(
     registry: &Registry,
     pushed: &mut Pushed,
@@ -48,8 +49,8 @@
     pushed.heartbeats_sent = Some(now);
 }
 
-/// Tells a subscriber that takes lists from others of the targets that get no new work, all the same: those
-/// others may be cut off from this host.
+/// Adds withdrawn targets for a subscriber that receives its lists from other control hosts, since
+/// those may be cut off from this host.
 pub(super) fn add_withdrawn(
     registry: &Registry,
     pushed: &mut Pushed,
--- a/crates/directory/src/serve_call.rs
+++ b/crates/directory/src/serve_call.rs
@@ -9,17 +9,17 @@
 use crate::DirectoryNode;
 use crate::message::{DirectoryCall, DirectoryReply};
 
-/// How long a voter has been silent when a new control host takes its place.
+/// How long a voter must be silent before a new control host replaces it.
 const VOTER_LOST_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a call may take to come in.
+/// Timeout for receiving the request of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Answers one call.
 ///
 /// # Errors
 ///
-/// [`WireError`] of the connection.
+/// Returns the [`WireError`] of the connection.
 pub async fn serve_call(
     node: &DirectoryNode,
     mut reader: PeerReader,
@@ -53,7 +53,7 @@
         }
         DirectoryCall::Join(mut member) => {
             if member.replaces.is_none() {
-                // A new host comes because one was lost: it takes the place of one that is silent.
+                // A new host joins because one was lost, so it replaces a silent voter.
                 member.replaces = node
                     .replica()
                     .silent_voters(VOTER_LOST_TIMEOUT)
--- a/crates/directory/src/view.rs
+++ b/crates/directory/src/view.rs
@@ -1,4 +1,4 @@
-//! The directory as an entry host sees it through all control hosts that it follows.
+//! The directory as an entry host sees it through the control hosts that it follows.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -11,58 +11,57 @@
     DirectoryUpdate, EntryHostRecord, EvacuationStore, StoredDocument, TargetRecord, TargetState,
 };
 
-/// What one control host told.
+/// What one control host sent.
 #[derive(Default)]
 struct ControlSource {
     targets: HashMap<String, TargetRecord>,
     entry_hosts: Vec<EntryHostRecord>,
     connected: bool,
-    /// Whether it told all that there is to tell.
+    /// Whether it has sent all targets and entry hosts.
     complete: bool,
 }
 
-/// The union of what the control hosts told.
+/// The union of what the control hosts sent.
 ///
-/// Invariants: the configuration only moves to a higher version, and the evacuation of a hall to a higher
-/// revision; a start of a target that any control host called withdrawn stays withdrawn. What a lost control host
-/// told stays until another one has told all there is, so a data hall that is cut off goes on with what it
-/// knows, and so does a fleet whose control hosts were all started anew and hear of each target only with
-/// its next heartbeat.
+/// Invariants: the configuration only moves to a higher version, and the evacuation of a hall to a
+/// higher revision; an incarnation of a target that any control host reported as withdrawn stays
+/// withdrawn. What a lost control host sent stays until another one has sent complete lists. So a
+/// data hall that is cut off continues with the last known state, and so does a fleet whose control
+/// hosts were all restarted and learn of each target only with its next heartbeat.
 #[derive(Default)]
 pub struct DirectoryView {
     document: Option<Arc<StoredDocument>>,
     sources: BTreeMap<SocketAddr, ControlSource>,
-    /// The newest start of a target that was called withdrawn.
+    /// The newest withdrawn incarnation of each target.
     withdrawn: BTreeMap<String, u64>,
     evacuations: EvacuationStore,
     rollouts: RolloutBook,
-    /// Until when targets are cold, by identity.
+    /// When the cold period of a target ends, by identity.
     cold: HashMap<String, Instant>,
-    /// The targets that took work when [`DirectoryView::list_changes`] looked last.
+    /// Available targets as of the last call of [`DirectoryView::take_changes`].
     listed: HashMap<String, TargetRecord>,
-    /// The targets of which something was told since then.
+    /// Targets that may have changed since then.
     changed: BTreeSet<String>,
-    /// Whether something changed since then that may concern every target.
+    /// Whether something changed since then that may affect every target.
     all_changed: bool,
 }
 
-/// How the targets that take work have changed.
+/// The changes of the available targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetChanges {
-    /// These are all.
+    /// The complete list.
     All(Vec<TargetRecord>),
-    /// A few have changed: what this costs follows from them, not from the size of the fleet.
+    /// Only the changed targets: the cost depends on their number and not on the size of the fleet.
     Partial {
-        /// Those that take work since then, or are another start, or differ.
+        /// Targets that became available, are a new incarnation, or have another record.
         listed: Vec<TargetRecord>,
-        /// Those that do not any more.
+        /// Targets that are no longer available.
         unlisted: Vec<TargetRecord>,
     },
 }
 
-/// How long the targets of a hall count as cold after it was taken back, unless they say that it is
-/// longer. They may have become cold a moment before, and say so with their next heartbeat: two
-/// periods of 1.2 s.
+/// Minimum cold period of the targets of a hall that is returned to service. They may have become
+/// cold shortly before, and report that with their next heartbeat: two heartbeat periods of 1.2 s.
 const COLD_AFTER_EVACUATION: Duration = Duration::from_millis(2_400);
 
 impl DirectoryView {
@@ -71,11 +70,11 @@
         Self::default()
     }
 
-    /// Takes what an update tells of targets and entry hosts.
+    /// Applies an update on targets and entry hosts.
     pub fn apply_update(&mut self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
         let source = self.sources.entry(from).or_default();
         if !source.connected {
-            // A control host that comes back tells everything it knows anew.
+            // A control host sends everything again after a reconnect.
             self.changed
                 .extend(source.targets.drain().map(|(id, _)| id));
             *source = ControlSource::default();
@@ -135,7 +134,7 @@
         &self.evacuations
     }
 
-    /// Takes a configuration; says whether it is newer than the one before.
+    /// Stores a configuration if it is newer than the current one; returns whether it is.
     pub fn set_newer_document(&mut self, offered: StoredDocument) -> bool {
         let newer = match &self.document {
             Some(current) => offered.version() > current.version(),
@@ -147,7 +146,7 @@
         newer
     }
 
-    /// Notes that a control host was lost.
+    /// Handles the loss of the connection to a control host.
     pub fn mark_control_lost(&mut self, from: SocketAddr) {
         if let Some(source) = self.sources.get_mut(&from) {
             source.connected = false;
@@ -164,12 +163,12 @@
         }
     }
 
-    /// Returns the newest configuration that was told.
+    /// Returns the newest configuration.
     pub fn document(&self) -> Option<&Arc<StoredDocument>> {
         self.document.as_ref()
     }
 
-    /// Says whether any control host is heard.
+    /// Returns whether any control host is connected.
     pub fn is_connected(&self) -> bool {
         self.sources.values().any(|source| source.connected)
     }
@@ -185,7 +184,7 @@
             && !self.evacuations.is_evacuated(&record.hall)
     }
 
-    /// Returns how the targets that take new work have changed since this was last asked.
+    /// Returns the changes of the available targets since the last call.
     pub fn take_changes(&mut self, now: Instant) -> TargetChanges {
         let changed = std::mem::take(&mut self.changed);
         if std::mem::take(&mut self.all_changed) {
@@ -210,20 +209,21 @@
         TargetChanges::Partial { listed, unlisted }
     }
 
-    /// Has a target listed anew with the next look, where it still takes work: whoever asked for the changes has taken
-    /// it out by itself.
+    /// Makes the next call of [`DirectoryView::take_changes`] list an available target again, for a
+    /// caller that has removed it on its own.
     pub fn relist(&mut self, id: &str) {
         if self.listed.remove(id).is_some() {
             self.changed.insert(id.to_owned());
         }
     }
 
-    /// Returns how many targets took work when [`DirectoryView::list_changes`] looked last.
+    /// Returns the number of available targets as of the last call of
+    /// [`DirectoryView::take_changes`].
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Returns one target, where it takes new work.
+    /// Returns the record of a target if it is available.
     fn available_target(&self, id: &str, now: Instant) -> Option<TargetRecord> {
         let records = self
             .sources
@@ -231,7 +231,7 @@
             .filter_map(|source| source.targets.get(id));
         let newest = records.clone().map(|record| record.born).max()?;
         let available = records.filter(|one| one.born == newest && self.is_available(id, one));
-        // Of records with one sequence the first counts, as for all targets.
+        // Of records with the same sequence number the first is used, as in `ready_targets`.
         let record = available.reduce(|known, one| match one.sequence > known.sequence {
             true => one,
             false => known,
@@ -247,10 +247,11 @@
         record
     }
 
-    /// Returns every target that takes new work as far as is known, and how much longer it is cold.
+    /// Returns every available target, with the rest of its cold period.
     pub fn available_targets(&self, now: Instant) -> Vec<TargetRecord> {
-        // The newest start of each target that was told of, and its record where it takes work. A start that is
-        // over is not used, also where the next one is silent or told by one host alone.
+        // The newest incarnation of each target, and its record if that is available. A former
+        // incarnation is not used, even if the newest one is silent or was sent by one control host
+        // only.
         let mut starts: BTreeMap<&str, (u64, Option<&TargetRecord>)> = BTreeMap::new();
         for (id, record) in self.sources.values().flat_map(|source| &source.targets) {
             let start = starts.entry(id).or_insert((record.born, None));
@@ -268,7 +269,7 @@
             .collect()
     }
 
-    /// Returns every entry host that any control host hears, by name.
+    /// Returns every entry host that any control host reported, by name.
     pub fn entry_hosts(&self) -> Vec<EntryHostRecord> {
         let all = self.sources.values().flat_map(|source| &source.entry_hosts);
         let mut by_name: BTreeMap<&str, &EntryHostRecord> = BTreeMap::new();
@@ -281,8 +282,8 @@
         by_name.into_values().cloned().collect()
     }
 
-    /// Forgets withdrawn targets that no control host names any more, and those that are not cold any
-    /// more.
+    /// Removes withdrawn targets that no control host reports any more, and cold periods that have
+    /// ended.
     pub fn prune(&mut self, now: Instant) {
         self.cold.retain(|_, until| *until > now);
         let sources = &self.sources;
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The registry of a control host and the view of an entry host, over orders of words.
+//! The registry of a control host and the view of an entry host, with messages in various orders.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
         .map(|record| record.state)
 }
 
-/// Identities of the targets that take work.
+/// Identities of the available targets.
 fn serving(registry: &Registry) -> Vec<&str> {
     let ready = |record: &&TargetRecord| record.state == TargetState::Ready && !record.silent;
     let serving = registry.records().filter(ready);
@@ -66,8 +66,9 @@
     }
 }
 
-/// Users saw a target that had left, crashed or drained and started again under its identity get no work: its
-/// counts begin anew, so its heartbeats were taken as late ones, and the state of the start before held.
+/// Guards against a target that gets no work after a restart under its identity. Its sequence
+/// numbers start again, so its heartbeats were taken for late ones, and the state of the former
+/// incarnation (left, crashed or drained) stayed in force.
 #[test]
 fn restarted_target_with_the_same_identity_gets_work() {
     use TargetState::{Draining, Gone, Ready};
@@ -79,7 +80,7 @@
         let change = registry.apply_heartbeat(reborn(6, Ready, 1), now + SILENCE_TIMEOUT * 2);
         assert_eq!(change, RegistryChange::Registered, "{state:?}");
         assert_eq!(serving(&registry), ["i"], "{state:?}");
-        // It may leave in its turn.
+        // The new incarnation can be withdrawn as well.
         registry.apply_heartbeat(reborn(6, Draining, 2), now + SILENCE_TIMEOUT * 2);
         assert!(serving(&registry).is_empty(), "{state:?}");
     }
@@ -109,7 +110,7 @@
             .next()
             .map(|one| (one.born, one.sequence));
         assert_eq!(sequence, Some((6, 1)), "{late:?}");
-        // Nor does it keep a start alive that is silent.
+        // Nor does a late message keep a silent incarnation alive.
         registry.expire(now + SILENCE_TIMEOUT * 2, SILENCE_TIMEOUT);
         registry.apply_heartbeat(late, now + SILENCE_TIMEOUT * 2);
         assert!(serving(&registry).is_empty());
@@ -131,7 +132,7 @@
         RegistryChange::Unchanged
     );
     assert_eq!(serving(&registry), ["i"]);
-    // That another host called the start before silent is no news of this one.
+    // Silence of the former incarnation at another host does not affect the current one.
     let silent = TargetRecord {
         silent: true,
         ..reborn(5, Ready, 99)
@@ -150,7 +151,7 @@
     view.apply_update(b, update(vec![reborn(5, Ready, 89)]), now);
     assert!(view.available_targets(now).is_empty());
     view.apply_update(b, update(vec![reborn(6, Ready, 1)]), now);
-    // The other one has not heard of it yet.
+    // The other control host does not know of the new incarnation yet.
     let ready = view.available_targets(now);
     assert_eq!(ready.len(), 1);
     assert_eq!((ready[0].born, ready[0].sequence), (6, 1));
@@ -196,10 +197,10 @@
     assert_eq!(state_of(&registry, "old"), Some(TargetState::Gone));
 }
 
-/// Callers got errors for a target that was well, for as long as it lived. Its host had crashed and
-/// been started again; a heartbeat of the former start, held up by a cut, came after that. The address
-/// belongs to the newest start, so the late heartbeat was taken as a newer one and ended the true one,
-/// and a target that has ended never returns.
+/// Guards against errors to callers for a healthy target, for the rest of its lifetime. The
+/// target's host had crashed and restarted; then a heartbeat of the former incarnation arrived,
+/// delayed by a network cut. It was taken as the newest incarnation at the address and ended the
+/// real one, and a target that has ended never returns.
 #[test]
 fn late_heartbeat_of_a_former_incarnation_does_not_end_the_current_one() {
     use TargetState::Ready;
@@ -256,7 +257,7 @@
     let late = now + SILENCE_TIMEOUT + Duration::from_millis(1);
     assert_eq!(registry.expire(late, SILENCE_TIMEOUT), ["i"]);
     assert!(registry.expire(late, SILENCE_TIMEOUT).is_empty());
-    // Another control host that calls it silent says nothing new, one that heard it does.
+    // A report of silence from another control host changes nothing; a heartbeat does.
     let mut silent = record("i", 1, TargetState::Ready, 1);
     silent.silent = true;
     assert_eq!(
@@ -275,7 +276,7 @@
     StoredDocument::new(Document { version, body })
 }
 
-/// An update after which nothing is left to tell.
+/// An update after which nothing is left to send.
 fn update(targets: Vec<TargetRecord>) -> DirectoryUpdate {
     DirectoryUpdate {
         targets,
@@ -342,7 +343,8 @@
     };
     view.apply_update(a, returns, Instant::now());
     assert_eq!(ready_ids(&view), ["i-b", "i-c"]);
-    // All that it knows is told. What the other one told would stay for ever if that never returned.
+    // The lists are complete now. Otherwise the targets of a control host that never returns would
+    // stay for ever.
     view.apply_update(a, update(Vec::new()), Instant::now());
     assert_eq!(ready_ids(&view), ["i-c"]);
 }
@@ -393,12 +395,12 @@
         RegistryChange::Registered
     );
     let later = now + Duration::from_millis(1_200);
-    // The next heartbeat says the same, a little late.
+    // The next heartbeat reports the same end, slightly late.
     let same = registry.apply_heartbeat(cold(3, 1_850), later);
     assert_eq!(same, RegistryChange::Unchanged);
     let records = registry.changed_after(reported, 9, later).records;
     assert_eq!(records[0].cold_ms, 1_850);
-    // A late heartbeat of before, and one that makes no sense.
+    // A late earlier heartbeat, and one with an invalid value.
     registry.apply_heartbeat(cold(2, 0), later);
     assert_eq!(
         registry.changed_after(reported, 9, later).records[0].cold_ms,
@@ -410,8 +412,8 @@
     assert_eq!(registry.changed_after(u64::MAX, 9, warm).records, []);
 }
 
-/// Targets of a hall that is taken back may have become cold a moment before and say so only with their
-/// next heartbeat.
+/// Targets of a hall that is returned to service may have become cold shortly before, and report
+/// that only with their next heartbeat.
 #[test]
 fn targets_of_a_hall_returned_to_service_are_cold_at_first() {
     let now = Instant::now();
@@ -441,8 +443,9 @@
     assert_eq!(view.available_targets(later)[0].cold_ms, 0);
 }
 
-/// All control hosts were started anew and hear of each target only with its next heartbeat. Entry hosts
-/// took the first words of the first of them for all there is, and had no targets for a second.
+/// Guards against an entry host that has no targets for a second after all control hosts were
+/// restarted. These learn of each target only with its next heartbeat, and the first update of one
+/// of them was taken as the complete list.
 #[test]
 fn state_of_lost_control_hosts_stays_until_another_one_is_complete() {
     let (a, b) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
@@ -457,7 +460,7 @@
     };
     view.apply_update(b, part, now);
     assert_eq!(view.available_targets(now).len(), 2);
-    // One that leaves meanwhile is out at once all the same.
+    // A target that leaves in the meantime is withdrawn at once nevertheless.
     let leaves = DirectoryUpdate {
         lists_complete: false,
         ..update(vec![record("i-2", 2, TargetState::Draining, 2)])
@@ -468,8 +471,8 @@
     assert_eq!(view.available_targets(now).len(), 1);
 }
 
-/// A subscriber with a slow link, or one that has just come, is told in parts; what changes meanwhile
-/// reaches it in its newest state only.
+/// A subscriber that is new or has a slow link gets the targets in parts; a target that changes in
+/// the meantime is sent only in its newest state.
 #[test]
 fn changes_are_sent_in_parts_with_the_newest_state() {
     let mut registry = Registry::new();
@@ -480,7 +483,7 @@
     }
     let first = registry.changed_after(0, 128, now);
     assert_eq!(first.records.len(), 128);
-    // Of one that was told already and one that was not.
+    // One that was sent already, and one that was not.
     registry.apply_heartbeat(record("i-0", 1_000, TargetState::Draining, 2), now);
     registry.apply_heartbeat(record("i-299", 1_299, TargetState::Draining, 2), now);
     let second = registry.changed_after(first.revision, 128, now);
@@ -503,7 +506,8 @@
     );
 }
 
-/// What a control host tells those that take their lists from others, which may be cut off from it.
+/// A control host also sends withdrawals to subscribers that receive their lists from other control
+/// hosts, which may be cut off from it.
 #[test]
 fn withdrawals_are_sent_to_subscribers_without_lists() {
     let mut registry = Registry::new();
@@ -519,7 +523,7 @@
     let withdrawn = registry.withdrawn_after(reported, now);
     let ids: Vec<&str> = withdrawn.iter().map(|one| one.id.as_str()).collect();
     assert_eq!(ids, ["i-299", "i-7"]);
-    // Whoever takes lists elsewhere keeps that it withdrew.
+    // A subscriber that receives its lists elsewhere records the withdrawal.
     let (source, other) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
     let mut view = DirectoryView::new();
     let ready = vec![record("i-299", 1_299, TargetState::Ready, 1)];
@@ -532,7 +536,7 @@
     assert!(view.available_targets(now).is_empty());
 }
 
-/// Takes changes into a list that is kept by them alone.
+/// Applies changes to a list that is maintained from changes only.
 fn apply_changes(
     maintained: &mut std::collections::BTreeMap<String, TargetRecord>,
     changes: TargetChanges,
@@ -550,7 +554,8 @@
     }
 }
 
-/// Control hosts come, go and tell of targets in any order: starts, states, silence, evacuations.
+/// Control hosts connect, disconnect and report incarnations, states, silence and evacuations of
+/// targets in any order.
 #[test]
 fn list_maintained_from_changes_equals_the_complete_list() {
     for seed in 0..200 {
@@ -604,7 +609,7 @@
     }
 }
 
-/// What a change of one target costs must not grow with the others.
+/// The cost of a change of one target must not grow with the number of targets.
 #[test]
 fn change_of_one_target_is_reported_alone() {
     let (mut view, now) = (DirectoryView::new(), Instant::now());
@@ -625,7 +630,7 @@
     };
     assert_eq!(view.take_changes(now), changes);
     assert_eq!(view.listed_count(), 10_000);
-    // Taken out by whoever asked, it comes again.
+    // A target that the caller removed on its own is listed again.
     view.relist("t-7");
     assert_eq!(view.take_changes(now), changes);
 }
