--- a/crates/directory/src/call.rs
+++ b/crates/directory/src/call.rs
@@ -28,13 +28,13 @@
     request: &DirectoryCall,
     call_timeout: Duration,
 ) -> Result<DirectoryReply, CallError> {
-    let work = async {
+    let exchange = async {
         let (mut reader, mut writer) = connect_peer(identity, address).await?;
         writer.send(&PeerGreeting::DirectoryCall).await?;
         writer.send(request).await?;
         Ok(reader.receive::<DirectoryReply>().await?)
     };
-    match timeout(call_timeout, work).await {
+    match timeout(call_timeout, exchange).await {
         Ok(result) => result,
         Err(_) => Err(CallError::TimedOut(address)),
     }
--- a/crates/directory/src/change_reports.rs
+++ b/crates/directory/src/change_reports.rs
@@ -54,10 +54,10 @@
 
     /// Returns the records to report next.
     pub(crate) fn next(&mut self) -> Vec<R> {
-        let Some((source, changes)) = &mut self.source else {
+        let Some((source, receiver)) = &mut self.source else {
             return Vec::new();
         };
-        changes.mark_unchanged();
+        receiver.mark_unchanged();
         let (records, last) = (source.changed_after)(ChangeQuery {
             after: self.reported,
             limit: self.limit,
@@ -70,8 +70,8 @@
 
     /// Resolves when there are more changes to report.
     pub(crate) async fn changed(&mut self) {
-        if let Some((_, changes)) = &mut self.source
-            && changes.changed().await.is_ok()
+        if let Some((_, receiver)) = &mut self.source
+            && receiver.changed().await.is_ok()
         {
             return;
         }
--- a/crates/directory/src/document_sender/tests.rs
+++ b/crates/directory/src/document_sender/tests.rs
@@ -33,11 +33,11 @@
     });
     assert_eq!(parts(&mut sender), [(0, 8_192), (8_192, 8_192)]);
     sender.set_request(Some(&request(&payload, 1, 8_192, 20_000)), |_| {
-        panic!("the same turn")
+        panic!("the attempt is the same")
     });
     assert_eq!(parts(&mut sender), [(16_384, 8_192)]);
     sender.set_request(Some(&request(&payload, 1, 24_576, 1_000_000)), |_| {
-        panic!("the same turn")
+        panic!("the attempt is the same")
     });
     let rest = parts(&mut sender);
     let bytes: usize = rest.iter().map(|(_, bytes)| bytes).sum();
--- a/crates/directory/src/fetch.rs
+++ b/crates/directory/src/fetch.rs
@@ -279,8 +279,8 @@
     fn best_source(&self, excluded: &BTreeSet<SocketAddr>) -> Option<SocketAddr> {
         let stored = self.stored.map_or(0, |stored| stored.version);
         let newer = self.offers.iter().filter(|(source, key)| {
-            let holds_none = self.stored.is_none();
-            (holds_none || key.version > stored) && !excluded.contains(source)
+            let has_none = self.stored.is_none();
+            (has_none || key.version > stored) && !excluded.contains(source)
         });
         let best = newer.max_by_key(|(source, key)| (key.version, self.preference_of(**source)));
         best.map(|(source, _)| *source)
--- a/crates/directory/src/fetch/tests.rs
+++ b/crates/directory/src/fetch/tests.rs
@@ -221,7 +221,7 @@
             }
         }
     }
-    assert!((4..12).contains(&tried), "asked {tried} times in 5 s");
+    assert!((4..12).contains(&tried), "{tried} requests in 5 s");
     // A usable payload ends the pauses.
     let later = after(now, 20_000);
     fetch.check_timeout(later);
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -340,7 +340,7 @@
             announced_members.insert(address, addresses.clone());
         }
         if let Some(documents) = &state.documents {
-            pass_documents(documents, address, &mut update);
+            apply_document_update(documents, address, &mut update);
         }
         if !state.is_list_source(address) {
             // Lists from this host would become outdated, but a withdrawal is final.
@@ -382,7 +382,11 @@
     Ok(update)
 }
 
-fn pass_documents(documents: &DocumentFollower, address: SocketAddr, update: &mut DirectoryUpdate) {
+fn apply_document_update(
+    documents: &DocumentFollower,
+    address: SocketAddr,
+    update: &mut DirectoryUpdate,
+) {
     if let Some(offer) = update.offer.take() {
         documents.record_offer(address, offer);
     }
--- a/crates/directory/src/follow/tests.rs
+++ b/crates/directory/src/follow/tests.rs
@@ -18,7 +18,7 @@
         assert_eq!(choose_list_sources(me, &connected), list_sources);
     }
     // With fewer control hosts than that, all of them are list sources.
-    let lost = *list_sources.first().expect("tellers");
+    let lost = *list_sources.first().expect("a list source");
     connected.remove(&lost);
     assert_eq!(choose_list_sources(me, &connected), connected);
 }
--- a/crates/directory/src/node.rs
+++ b/crates/directory/src/node.rs
@@ -292,14 +292,14 @@
             }
         };
         // The host that waits for this acknowledgement has to get it within its own timeout.
-        let bound = self.shared.timing.propagation_timeout / 2;
-        let _ = timeout(bound, all_acknowledged).await;
+        let max_wait = self.shared.timing.propagation_timeout / 2;
+        let _ = timeout(max_wait, all_acknowledged).await;
     }
 
     fn all_acknowledged(&self, revision: u64, which: impl Fn(&SubscriberState) -> bool) -> bool {
         let state = self.lock();
-        let mut wanted = state.subscribers.values().filter(|one| which(one));
-        wanted.all(|one| one.acknowledged >= revision)
+        let mut selected = state.subscribers.values().filter(|one| which(one));
+        selected.all(|one| one.acknowledged >= revision)
     }
 
     fn any_control_acknowledged(&self, revision: u64) -> bool {
@@ -372,13 +372,13 @@
         let state = self.lock();
         let subscribers = state.subscribers.values();
         let entry_hosts = subscribers.filter(|one| one.entry_host.is_some());
-        let behind = entry_hosts
+        let outdated = entry_hosts
             .clone()
             .filter(|one| one.document_version < current);
         DirectoryCounts {
             targets: state.registry.records().count(),
             entry_hosts: entry_hosts.clone().count(),
-            outdated_entry_hosts: behind.count(),
+            outdated_entry_hosts: outdated.count(),
         }
     }
 
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -26,7 +26,7 @@
 impl RolloutAges {
     /// Returns the time since a roll-out was ordered. Adjustments of the system clock do not change
     /// it.
-    fn of(&mut self, service: &str, record: &RolloutRecord) -> Duration {
+    fn age_of(&mut self, service: &str, record: &RolloutRecord) -> Duration {
         let key = (service.to_owned(), record.revision);
         let (seen, age) = self.0.entry(key).or_insert_with(|| {
             let age_ms = unix_ms().saturating_sub(record.started_ms);
@@ -258,7 +258,7 @@
         node.lock().evidence.set_book(&book);
         for (service, record) in book.in_progress() {
             // Every control host records when it first saw the order, since it may lead later.
-            let elapsed = ages.of(service, record);
+            let elapsed = ages.age_of(service, record);
             if !node.replica().status().lease_lasts {
                 continue;
             }
--- a/crates/directory/src/node/state/tests.rs
+++ b/crates/directory/src/node/state/tests.rs
@@ -82,7 +82,7 @@
         state.cached_list = None;
         let _ = state.entry_hosts(now);
     }
-    let anew = began.elapsed().as_secs_f64() * 1_000.0;
+    let rebuilt = began.elapsed().as_secs_f64() * 1_000.0;
     let began = Instant::now();
     state.cached_list = None;
     for _ in 0..HOSTS {
@@ -90,7 +90,7 @@
     }
     let cached = began.elapsed().as_secs_f64() * 1_000.0;
     println!(
-        "list of {HOSTS} hosts for {HOSTS} subscribers: {anew:.2} ms anew, {cached:.2} ms kept"
+        "list of {HOSTS} hosts for {HOSTS} subscribers: {rebuilt:.2} ms rebuilt, {cached:.2} ms cached"
     );
 }
 
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -73,11 +73,11 @@
     /// Records the message version of a subscriber that did not announce it.
     pub(crate) fn record_message_version(
         &self,
-        subscriber: u64,
+        subscriber_id: u64,
         peer: &str,
         message_version: MessageForm,
     ) {
-        if let Some(known) = self.lock().subscribers.get_mut(&subscriber) {
+        if let Some(known) = self.lock().subscribers.get_mut(&subscriber_id) {
             known.message_version = Some(message_version);
         }
         let detail = format!("peer={peer} form={message_version}");
@@ -94,9 +94,9 @@
         let mut changed = false;
         {
             let mut state = self.lock();
-            let book = &mut state.suspects;
+            let store = &mut state.suspects;
             for record in records {
-                changed |= book.merge(record, now) && book.is_shared(record.subject.key);
+                changed |= store.merge(record, now) && store.is_shared(record.subject.key);
             }
         }
         if changed {
@@ -153,12 +153,12 @@
     let mut changes = node.shared.machine.held_request_changes();
     changes.mark_changed();
     while changes.changed().await.is_ok() {
-        let kept = node.shared.machine.held_requests();
-        if !kept.is_empty() {
-            let detail = format!("requests={}", kept.len());
+        let held = node.shared.machine.held_requests();
+        if !held.is_empty() {
+            let detail = format!("requests={}", held.len());
             node.record(EventCode::HoldKept, &detail);
         }
-        node.merge_suspects(&kept);
+        node.merge_suspects(&held);
     }
 }
 
--- a/crates/directory/src/registry.rs
+++ b/crates/directory/src/registry.rs
@@ -62,12 +62,12 @@
             return false;
         }
         let until = now + Duration::from_millis(u64::from(cold_ms));
-        let known = self.cold_until.unwrap_or(now);
-        if until <= known {
+        let current_end = self.cold_until.unwrap_or(now);
+        if until <= current_end {
             return false;
         }
         self.cold_until = Some(until);
-        until.saturating_duration_since(known) > MIN_COLD_EXTENSION
+        until.saturating_duration_since(current_end) > MIN_COLD_EXTENSION
     }
 
     /// Returns the record as of `now`.
@@ -203,9 +203,9 @@
         RegistryChange::Registered
     }
 
-    /// Marks targets without a heartbeat for `span` as silent and removes those that were withdrawn
+    /// Marks targets without a heartbeat for `silence_timeout` as silent and removes those that were withdrawn
     /// long ago; returns the identities of the targets that became silent.
-    pub fn expire(&mut self, now: Instant, span: Duration) -> Vec<String> {
+    pub fn expire(&mut self, now: Instant, silence_timeout: Duration) -> Vec<String> {
         let by_revision = &mut self.by_revision;
         self.targets.retain(|_, entry| {
             let kept = entry.record.state != TargetState::Gone
@@ -217,7 +217,7 @@
         });
         let mut silent = Vec::new();
         for entry in self.targets.values_mut() {
-            let overdue = now.saturating_duration_since(entry.last_heartbeat) > span;
+            let overdue = now.saturating_duration_since(entry.last_heartbeat) > silence_timeout;
             if overdue && !entry.record.silent && entry.record.state != TargetState::Gone {
                 entry.record.silent = true;
                 silent.push(entry.record.id.clone());
@@ -233,12 +233,12 @@
             .by_revision
             .range(revision.saturating_add(1)..)
             .take(limit);
-        let entry = after.filter_map(|(revision, id)| Some((*revision, self.targets.get(id)?)));
-        let entry: Vec<(u64, &TargetEntry)> = entry.collect();
-        let is_last_part = entry.len() < limit;
-        let last = entry.last().map_or(revision, |(revision, _)| *revision);
+        let entries = after.filter_map(|(revision, id)| Some((*revision, self.targets.get(id)?)));
+        let entries: Vec<(u64, &TargetEntry)> = entries.collect();
+        let is_last_part = entries.len() < limit;
+        let last = entries.last().map_or(revision, |(revision, _)| *revision);
         ChangedTargets {
-            records: entry
+            records: entries
                 .iter()
                 .map(|(_, entry)| entry.record_at(now))
                 .collect(),
@@ -253,8 +253,8 @@
     /// Returns the records that changed after a revision and get no new work.
     pub fn withdrawn_after(&self, revision: u64, now: Instant) -> Vec<TargetRecord> {
         let after = self.by_revision.range(revision.saturating_add(1)..);
-        let entry = after.filter_map(|(_, id)| self.targets.get(id));
-        let withdrawn = entry.filter(|entry| entry.record.state > TargetState::Ready);
+        let entries = after.filter_map(|(_, id)| self.targets.get(id));
+        let withdrawn = entries.filter(|entry| entry.record.state > TargetState::Ready);
         withdrawn.map(|entry| entry.record_at(now)).collect()
     }
 
@@ -369,9 +369,9 @@
         };
         let cold_extended = entry.extend_cold(record.cold_ms, now);
         let state = entry.record.state.max(record.state);
-        let newer = record.sequence > entry.record.sequence;
+        let is_newer = record.sequence > entry.record.sequence;
         let before = entry.record.clone();
-        if newer {
+        if is_newer {
             entry.record = record;
             // A control host of an earlier build does not send the version.
             if entry.record.version.is_empty() {
@@ -384,13 +384,13 @@
         let recovered = before.silent && !entry.record.silent;
         entry.last_heartbeat = entry.last_heartbeat.max(last_heartbeat);
         let withdrawn = state > before.state;
-        let differs = withdrawn
+        let has_changed = withdrawn
             || cold_extended
             || before.silent != entry.record.silent
             || entry.record.address != before.address
             || entry.record.slots != before.slots
             || entry.record.version != before.version;
-        if !differs {
+        if !has_changed {
             return RegistryChange::Unchanged;
         }
         let record = entry.record.clone();
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -54,7 +54,7 @@
 
 /// What has been pushed to one subscriber.
 struct Pushed {
-    subscriber: u64,
+    subscriber_id: u64,
     is_control: bool,
     offer: Option<DocumentKey>,
     evacuations: Option<Arc<EvacuationStore>>,
@@ -94,11 +94,17 @@
     let hello: SubscriberHello = reader.receive().await?;
     let request_changed = Arc::new(Notify::new());
     let (version_sender, message_version) = watch::channel(reader.form());
-    let subscriber = add_subscriber(node, &hello, reader.form());
-    let receiving = receive_reports(node, subscriber, &request_changed, version_sender, reader);
+    let subscriber_id = add_subscriber(node, &hello, reader.form());
+    let receiving = receive_reports(
+        node,
+        subscriber_id,
+        &request_changed,
+        version_sender,
+        reader,
+    );
     let sending = push_updates(
         node,
-        subscriber,
+        subscriber_id,
         &hello,
         &request_changed,
         message_version,
@@ -109,7 +115,7 @@
         outcome = receiving => outcome,
         outcome = sending => outcome,
     };
-    unregister_subscriber(node, subscriber);
+    unregister_subscriber(node, subscriber_id);
     outcome
 }
 
@@ -135,9 +141,9 @@
     id
 }
 
-fn unregister_subscriber(node: &DirectoryNode, subscriber: u64) {
+fn unregister_subscriber(node: &DirectoryNode, subscriber_id: u64) {
     let mut state = node.lock();
-    state.mark_subscriber_lost(subscriber, Instant::now());
+    state.mark_subscriber_lost(subscriber_id, Instant::now());
     drop(state);
     node.notify_subscribers();
     // A withdrawal no longer waits for its acknowledgement.
@@ -146,21 +152,21 @@
 
 async fn receive_reports(
     node: &DirectoryNode,
-    subscriber: u64,
+    subscriber_id: u64,
     request_changed: &Notify,
     version_sender: watch::Sender<Option<MessageForm>>,
     mut reader: PeerReader,
 ) -> Result<(), WireError> {
     loop {
-        let report = receive_report(node, subscriber, &version_sender, &mut reader).await?;
+        let report = receive_report(node, subscriber_id, &version_sender, &mut reader).await?;
         node.merge_suspects(&report.suspects);
         node.merge_rate_limits(&report.rate_limits);
         node.record_counts(&report);
         let mut state = node.lock();
-        let Some(changes) = state.set_entry_host(subscriber, report.entry_host) else {
+        let Some(changes) = state.set_entry_host(subscriber_id, report.entry_host) else {
             return Ok(());
         };
-        let Some(subscriber) = state.subscribers.get_mut(&subscriber) else {
+        let Some(subscriber) = state.subscribers.get_mut(&subscriber_id) else {
             return Ok(());
         };
         let newly_acknowledged = subscriber.acknowledged != report.acknowledged;
@@ -186,7 +192,7 @@
 /// Receives a report. If the subscriber announced no message version, its first report reveals it.
 async fn receive_report(
     node: &DirectoryNode,
-    subscriber: u64,
+    subscriber_id: u64,
     version_sender: &watch::Sender<Option<MessageForm>>,
     reader: &mut PeerReader,
 ) -> Result<SubscriberReport, WireError> {
@@ -198,7 +204,7 @@
     report.incarnation = tail.incarnation;
     report.phase_counts = tail.phase_counts;
     if let (None, Some(message_version)) = (known, reader.form()) {
-        node.record_message_version(subscriber, reader.peer(), message_version);
+        node.record_message_version(subscriber_id, reader.peer(), message_version);
         version_sender.send_replace(Some(message_version));
     }
     Ok(report)
@@ -206,7 +212,7 @@
 
 async fn push_updates(
     node: &DirectoryNode,
-    subscriber: u64,
+    subscriber_id: u64,
     hello: &SubscriberHello,
     request_changed: &Notify,
     mut message_version: watch::Receiver<Option<MessageForm>>,
@@ -222,7 +228,7 @@
     };
     let mut changes = node.changes();
     let mut pushed = Pushed {
-        subscriber,
+        subscriber_id,
         is_control: hello.is_control,
         offer: None,
         evacuations: None,
@@ -353,7 +359,7 @@
     );
     pushed.rate_limits_sent = rate_limits.number;
     update.rate_limits = rate_limits.words;
-    if !state.sends_lists_to(pushed.subscriber) {
+    if !state.sends_lists_to(pushed.subscriber_id) {
         // Everything is sent again once the subscriber requests lists from this host.
         pushed.revision = 0;
         pushed.entry_hosts = EntryHostPush::default();
--- a/crates/directory/src/serve/additions.rs
+++ b/crates/directory/src/serve/additions.rs
@@ -98,7 +98,7 @@
     }
     let request = {
         let state = node.lock();
-        let subscriber = state.subscribers.get(&pushed.subscriber);
+        let subscriber = state.subscribers.get(&pushed.subscriber_id);
         subscriber.and_then(|subscriber| subscriber.document_request.clone())
     };
     let find = |request: &_| node.payload(request);
--- a/crates/directory/src/view.rs
+++ b/crates/directory/src/view.rs
@@ -231,7 +231,7 @@
             .filter_map(|source| source.targets.get(id));
         let newest = records.clone().map(|record| record.born).max()?;
         let available = records.filter(|one| one.born == newest && self.is_available(id, one));
-        // Of records with the same sequence number the first is used, as in `ready_targets`.
+        // Of records with the same sequence number the first is used, as in `available_targets`.
         let record = available.reduce(|known, one| match one.sequence > known.sequence {
             true => one,
             false => known,
@@ -252,18 +252,20 @@
         // The newest incarnation of each target, and its record if that is available. A former
         // incarnation is not used, even if the newest one is silent or was sent by one control host
         // only.
-        let mut starts: BTreeMap<&str, (u64, Option<&TargetRecord>)> = BTreeMap::new();
+        let mut incarnations: BTreeMap<&str, (u64, Option<&TargetRecord>)> = BTreeMap::new();
         for (id, record) in self.sources.values().flat_map(|source| &source.targets) {
-            let start = starts.entry(id).or_insert((record.born, None));
-            if record.born > start.0 {
-                *start = (record.born, None);
+            let newest = incarnations.entry(id).or_insert((record.born, None));
+            if record.born > newest.0 {
+                *newest = (record.born, None);
             }
-            let is_newer = start.1.is_none_or(|known| record.sequence > known.sequence);
-            if record.born == start.0 && is_newer && self.is_available(id, record) {
-                start.1 = Some(record);
+            let is_newer = newest
+                .1
+                .is_none_or(|known| record.sequence > known.sequence);
+            if record.born == newest.0 && is_newer && self.is_available(id, record) {
+                newest.1 = Some(record);
             }
         }
-        let available = starts.into_values().filter_map(|(_, record)| record);
+        let available = incarnations.into_values().filter_map(|(_, record)| record);
         available
             .map(|record| self.with_cold(record, now))
             .collect()
@@ -287,11 +289,11 @@
     pub fn prune(&mut self, now: Instant) {
         self.cold.retain(|_, until| *until > now);
         let sources = &self.sources;
-        let is_named = |id: &str| {
+        let is_reported = |id: &str| {
             let mut all = sources.values();
             all.any(|source| source.targets.contains_key(id))
         };
-        self.withdrawn.retain(|id, _| is_named(id));
+        self.withdrawn.retain(|id, _| is_reported(id));
     }
 }
 
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -59,7 +59,7 @@
     }
 }
 
-fn reborn(born: u64, state: TargetState, sequence: u64) -> TargetRecord {
+fn incarnation(born: u64, state: TargetState, sequence: u64) -> TargetRecord {
     TargetRecord {
         born,
         ..record("i", 1, state, sequence)
@@ -75,13 +75,13 @@
     for state in [Ready, Draining, Gone] {
         let mut registry = Registry::new();
         let now = Instant::now();
-        registry.apply_heartbeat(reborn(5, state, 90), now);
+        registry.apply_heartbeat(incarnation(5, state, 90), now);
         registry.expire(now + SILENCE_TIMEOUT * 2, SILENCE_TIMEOUT);
-        let change = registry.apply_heartbeat(reborn(6, Ready, 1), now + SILENCE_TIMEOUT * 2);
+        let change = registry.apply_heartbeat(incarnation(6, Ready, 1), now + SILENCE_TIMEOUT * 2);
         assert_eq!(change, RegistryChange::Registered, "{state:?}");
         assert_eq!(serving(&registry), ["i"], "{state:?}");
         // The new incarnation can be withdrawn as well.
-        registry.apply_heartbeat(reborn(6, Draining, 2), now + SILENCE_TIMEOUT * 2);
+        registry.apply_heartbeat(incarnation(6, Draining, 2), now + SILENCE_TIMEOUT * 2);
         assert!(serving(&registry).is_empty(), "{state:?}");
     }
 }
@@ -91,13 +91,13 @@
     use TargetState::{Draining, Gone, Ready};
     let now = Instant::now();
     for late in [
-        reborn(5, Draining, 91),
-        reborn(5, Gone, 92),
-        reborn(5, Ready, 93),
+        incarnation(5, Draining, 91),
+        incarnation(5, Gone, 92),
+        incarnation(5, Ready, 93),
     ] {
         let mut registry = Registry::new();
-        registry.apply_heartbeat(reborn(5, Ready, 90), now);
-        registry.apply_heartbeat(reborn(6, Ready, 1), now);
+        registry.apply_heartbeat(incarnation(5, Ready, 90), now);
+        registry.apply_heartbeat(incarnation(6, Ready, 1), now);
         let change = registry.apply_heartbeat(late.clone(), now);
         assert_eq!(change, RegistryChange::Unchanged, "{late:?}");
         assert_eq!(
@@ -122,20 +122,20 @@
     use TargetState::{Gone, Ready};
     let now = Instant::now();
     let mut registry = Registry::new();
-    registry.apply_heartbeat(reborn(5, Gone, 90), now);
+    registry.apply_heartbeat(incarnation(5, Gone, 90), now);
     assert_eq!(
-        registry.merge_record(reborn(6, Ready, 1), now),
+        registry.merge_record(incarnation(6, Ready, 1), now),
         RegistryChange::Registered
     );
     assert_eq!(
-        registry.merge_record(reborn(5, Gone, 90), now),
+        registry.merge_record(incarnation(5, Gone, 90), now),
         RegistryChange::Unchanged
     );
     assert_eq!(serving(&registry), ["i"]);
     // Silence of the former incarnation at another host does not affect the current one.
     let silent = TargetRecord {
         silent: true,
-        ..reborn(5, Ready, 99)
+        ..incarnation(5, Ready, 99)
     };
     registry.merge_record(silent, now);
     assert_eq!(serving(&registry), ["i"]);
@@ -147,17 +147,17 @@
     let (a, b) = (([127, 0, 0, 1], 1).into(), ([127, 0, 0, 2], 1).into());
     let now = Instant::now();
     let mut view = DirectoryView::new();
-    view.apply_update(a, update(vec![reborn(5, Draining, 90)]), now);
-    view.apply_update(b, update(vec![reborn(5, Ready, 89)]), now);
+    view.apply_update(a, update(vec![incarnation(5, Draining, 90)]), now);
+    view.apply_update(b, update(vec![incarnation(5, Ready, 89)]), now);
     assert!(view.available_targets(now).is_empty());
-    view.apply_update(b, update(vec![reborn(6, Ready, 1)]), now);
+    view.apply_update(b, update(vec![incarnation(6, Ready, 1)]), now);
     // The other control host does not know of the new incarnation yet.
     let ready = view.available_targets(now);
     assert_eq!(ready.len(), 1);
     assert_eq!((ready[0].born, ready[0].sequence), (6, 1));
-    view.apply_update(a, update(vec![reborn(5, Draining, 91)]), now);
+    view.apply_update(a, update(vec![incarnation(5, Draining, 91)]), now);
     assert_eq!(view.available_targets(now).len(), 1);
-    view.apply_update(a, update(vec![reborn(6, Draining, 2)]), now);
+    view.apply_update(a, update(vec![incarnation(6, Draining, 2)]), now);
     assert!(view.available_targets(now).is_empty());
 }
 
