--- a/crates/directory/src/entry_host_push.rs
+++ b/crates/directory/src/entry_host_push.rs
@@ -1,6 +1,6 @@
 //! Decides when a control host pushes the list of entry hosts to a subscriber.
 //!
-//! The list is always pushed as a whole. When many entry hosts connect and disconnect at once, as
+//! The list is always pushed completely. When many entry hosts connect and disconnect at once, as
 //! after a power cut, one push per change would fill the subscriber's link with lists that are
 //! outdated on arrival.
 
@@ -12,7 +12,7 @@
 /// Minimum time between two lists, per entry host in the list.
 const PUSH_SPACING_PER_ENTRY_HOST: Duration = Duration::from_millis(1);
 
-/// A list of entry hosts that is pushed as a whole.
+/// A list of entry hosts that is always pushed completely.
 pub(crate) trait PushedList: PartialEq {
     /// Returns the number of entry hosts in the list.
     fn hosts(&self) -> usize;
--- a/crates/directory/src/fetch.rs
+++ b/crates/directory/src/fetch.rs
@@ -35,7 +35,7 @@
     /// Counts the requests to a new source, over all transfers.
     attempt: u32,
     part_timeout: Duration,
-    /// Sources whose payload could not be used. While there are any, whole configurations are
+    /// Sources whose payload could not be used. While there are any, complete configurations are
     /// requested.
     faulty: BTreeSet<SocketAddr>,
     /// No request is made before this time, because no source had a usable payload.
@@ -173,7 +173,7 @@
         self.start_transfer(now);
     }
 
-    /// Records that the payload from `source` could not be used, and requests the whole
+    /// Records that the payload from `source` could not be used, and requests the complete
     /// configuration from another source. Once all sources have failed, requests pause for a while,
     /// so that a fault common to all of them does not fill the link.
     pub(crate) fn reject_payload(&mut self, source: SocketAddr, now: Instant) {
--- a/crates/directory/src/payload.rs
+++ b/crates/directory/src/payload.rs
@@ -1,4 +1,4 @@
-//! Payloads of configurations: the whole document, or its changes against another one, compressed.
+//! Payloads of configurations: the complete document, or its changes against another one, compressed.
 
 use std::io::{self, Read, Write};
 
@@ -11,7 +11,7 @@
 /// Compression level: the default of the library. It packs a configuration of 0.8 MB to 120 KB.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// Bounds of the compression window, as powers of two: the window has to cover the whole base, and
+/// Bounds of the compression window, as powers of two: the window has to cover the entire base, and
 /// the decoder refuses a window of more than 128 MB.
 const MIN_WINDOW_LOG: u32 = 10;
 const MAX_WINDOW_LOG: u32 = 27;
@@ -25,7 +25,7 @@
 pub struct PayloadKey {
     /// The configuration that the payload carries.
     pub document: DocumentKey,
-    /// The configuration against which the payload encodes changes; `None` if it is whole.
+    /// The configuration against which the payload encodes changes; `None` if it is complete.
     pub base: Option<DocumentKey>,
     /// Number of bytes of the payload.
     pub length: u32,
@@ -60,7 +60,7 @@
 }
 
 impl DocumentPayload {
-    /// Packs a configuration: as changes against `base`, or whole.
+    /// Packs a configuration: as changes against `base`, or completely.
     ///
     /// # Errors
     ///
