--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -93,7 +93,7 @@
     /// Counts for roll-outs. Sent in a [`ReportTail`].
     #[serde(skip)]
     pub phase_counts: Vec<PhaseCounts>,
-    /// Rate limits announced by targets that changed, up to a maximum per message. Sent after the
+    /// Changed rate limits that targets announced, up to a maximum per message. Sent after the
     /// [`ReportTail`].
     #[serde(skip)]
     pub rate_limits: Vec<RateWord>,
@@ -169,7 +169,7 @@
     /// orders that it sends may be outdated. Sent in an [`UpdateTail`].
     #[serde(skip)]
     pub leaderless: bool,
-    /// Rate limits announced by targets that changed, up to a maximum per message. Sent after the
+    /// Changed rate limits that targets announced, up to a maximum per message. Sent after the
     /// [`UpdateTail`].
     #[serde(skip)]
     pub rate_limits: Vec<RateWord>,
--- a/crates/directory/src/node/commands.rs
+++ b/crates/directory/src/node/commands.rs
@@ -18,8 +18,8 @@
 const LEADER_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Timeout for one attempt to commit a small command. A frozen leader answers nothing; the next one
-/// is elected within half a second, so the next attempt reaches it before the time for all attempts
-/// is over.
+/// is elected within half a second, so that the next attempt reaches it, and the command is not
+/// refused for lack of time.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Size up to which a command counts as small. Larger commands cross several links before they are
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -118,7 +118,7 @@
     pub fn release_suspect(&self, key: RequestKey) -> bool {
         let known = self.lock().suspects.acquit(key);
         if known {
-            let detail = format!("key={key} cause=released by an operator");
+            let detail = format!("key={key} cause=an operator");
             self.record(EventCode::RequestReleased, &detail);
             self.notify_subscribers();
         }
