--- a/crates/directory/src/change_reports.rs
+++ b/crates/directory/src/change_reports.rs
@@ -1,76 +1,77 @@
-//! Telling control hosts what changes of what a process holds.
+//! Reports to control hosts of records that changed in a process.
 
 use linnet_quarantine::SuspectRecord;
 use linnet_rate::RateWord;
 use tokio::sync::watch;
 
-/// Where a process that follows keeps something of which it tells the changes.
+/// A store of records in a following process whose changes are reported to control hosts.
 pub struct ChangeSource<R> {
-    /// Changes with each change of it.
+    /// Wakes with each change of the store.
     pub changes: watch::Receiver<u64>,
-    /// Returns what is to be told next.
-    pub changed_after: Box<dyn Fn(ChangeAsk) -> (Vec<R>, u64)>,
+    /// Returns the records to report next, and the number of the last change that they cover.
+    pub changed_after: Box<dyn Fn(ChangeQuery) -> (Vec<R>, u64)>,
 }
 
-/// Asks for the first records that changed after a change number, and the number of the last change that they bring
-/// their reader to.
+/// Requests the first records that changed after a change number, and the number of the last change
+/// that these records cover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ChangeAsk {
-    /// The change number.
-    pub number: u64,
-    /// The most records.
-    pub most: usize,
-    /// Whether the reader may know nothing yet, also not what it usually hears from others.
+pub struct ChangeQuery {
+    /// Change number up to which the reader is up to date.
+    pub after: u64,
+    /// Maximum number of records.
+    pub limit: usize,
+    /// Whether the reader may hold no records yet, including those that it usually receives from
+    /// other processes.
     pub catches_up: bool,
 }
 
-/// Where a process keeps what it holds against requests.
+/// The suspected requests that a process knows of.
 pub type SuspectSource = ChangeSource<SuspectRecord>;
 
-/// Where a process keeps the rates that targets named.
-pub type RateSource = ChangeSource<RateWord>;
+/// The rate limits that targets announced to a process.
+pub type RateLimitSource = ChangeSource<RateWord>;
 
-/// What one control host was told of the changes of a source.
+/// Which changes of a source were reported to one control host.
 pub(crate) struct ChangeReports<'a, R> {
     source: Option<(&'a ChangeSource<R>, watch::Receiver<u64>)>,
-    /// The most records in one report.
-    most: usize,
-    /// The number of the last change that was told. A control host that comes back is told everything, so
-    /// that it knows again what it lost.
-    told: u64,
+    /// Maximum number of records in one report.
+    limit: usize,
+    /// Number of the last change that was reported. It starts at 0 for each connection, so a
+    /// control host that reconnects receives all records again and recovers what it lost.
+    reported: u64,
     catches_up: bool,
 }
 
 impl<'a, R> ChangeReports<'a, R> {
-    pub(crate) fn new(source: Option<&'a ChangeSource<R>>, most: usize) -> Self {
+    pub(crate) fn new(source: Option<&'a ChangeSource<R>>, limit: usize) -> Self {
         Self {
             source: source.map(|source| (source, source.changes.clone())),
-            most,
-            told: 0,
+            limit,
+            reported: 0,
             catches_up: true,
         }
     }
 
-    /// Returns what the control host has to be told next.
+    /// Returns the records to report next.
     pub(crate) fn next(&mut self) -> Vec<R> {
-        let Some((source, changes)) = &mut self.source else {
+        let Some((source, receiver)) = &mut self.source else {
             return Vec::new();
         };
-        changes.mark_unchanged();
-        let (records, number) = (source.changed_after)(ChangeAsk {
-            number: self.told,
-            most: self.most,
+        receiver.mark_unchanged();
+        let (records, last) = (source.changed_after)(ChangeQuery {
+            after: self.reported,
+            limit: self.limit,
             catches_up: self.catches_up,
         });
-        self.told = number;
-        self.catches_up &= records.len() == self.most;
+        self.reported = last;
+        self.catches_up &= records.len() == self.limit;
         records
     }
 
-    /// Resolves when there is more to tell.
+    /// Resolves when there are more changes to report.
     pub(crate) async fn changed(&mut self) {
-        if let Some((_, changes)) = &mut self.source
-            && changes.changed().await.is_ok()
+        if let Some((_, receiver)) = &mut self.source
+            && receiver.changed().await.is_ok()
         {
             return;
         }
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -1,5 +1,5 @@
-//! The replicated state: the configuration with the highest version, the evacuations of halls, held requests and
-//! roll-outs.
+//! The replicated state machine: the configuration with the highest version, the evacuations of
+//! halls, held requests and roll-outs.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,48 +14,48 @@
 use crate::held_requests::HeldRequests;
 use crate::history::DocumentHistory;
 use crate::{
-    Document, DocumentKey, DocumentPayload, EvacuationBook, EvacuationOrder, EvacuationOutcome,
-    HeldDocument,
+    Document, DocumentKey, DocumentPayload, EvacuationOrder, EvacuationOutcome, EvacuationStore,
+    StoredDocument,
 };
 
 /// Names of services.
 pub type ServiceNames = BTreeSet<String>;
 
-/// Reads the version of a valid document, or says what is wrong with it.
+/// Returns the version of a valid document, or the reason why it is invalid.
 type VersionReader = Arc<dyn Fn(&[u8]) -> Result<u64, String> + Send + Sync>;
 
-/// Reads the services that a valid document names.
+/// Returns the services that a valid document names.
 type ServiceReader = Arc<dyn Fn(&[u8]) -> ServiceNames + Send + Sync>;
 
-/// How documents are read.
+/// How documents are parsed.
 #[derive(Clone)]
 pub struct DocumentParser {
-    /// Version, or what is wrong.
+    /// Returns the version, or the reason why the document is invalid.
     pub version: VersionReader,
-    /// Services that are named.
+    /// Returns the names of the services in the document.
     pub services: ServiceReader,
 }
 
 /// A command of the replicated log.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum DocumentCommand {
-    /// Hold this document unless one of the same or a higher version is held.
+    /// Stores a document unless one of the same or a higher version is stored.
     Put(Document),
-    /// Answer the document that is held.
+    /// Returns the current document.
     Read,
-    /// Take a hall out of work, or back.
+    /// Evacuates a hall, or returns it to service.
     Evacuate(EvacuationOrder),
-    /// Keep what is held against requests.
+    /// Stores records of held requests.
     Hold(Vec<SuspectRecord>),
-    /// Begin, move or end a roll-out, or look at one.
+    /// Begins, advances, ends or reads a roll-out.
     Rollout(RolloutCommand),
 }
 
 /// The answer to a [`DocumentCommand`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum DocumentAnswer {
-    /// To `Put`: the version that is held now.
-    Held(u64),
+    /// To `Put`: the current version afterwards.
+    CurrentVersion(u64),
     /// To `Read`.
     Document(Option<Document>),
     /// To `Evacuate`.
@@ -70,20 +70,20 @@
 #[derive(Clone, Default)]
 pub struct DocumentMachine {
     history: Arc<Mutex<DocumentHistory>>,
-    evacuations: Arc<Mutex<Arc<EvacuationBook>>>,
+    evacuations: Arc<Mutex<Arc<EvacuationStore>>>,
     held_requests: Arc<Mutex<HeldRequests>>,
     rollouts: Arc<Mutex<Arc<RolloutBook>>>,
-    holds: Arc<watch::Sender<u64>>,
+    held_requests_changed: Arc<watch::Sender<u64>>,
     changed: Arc<watch::Sender<u64>>,
 }
 
 impl DocumentMachine {
-    /// Creates a machine that holds nothing.
+    /// Creates a machine without any state.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the closures that the replicated log calls.
+    /// Returns the callbacks of the replicated log.
     pub fn hooks(&self) -> MachineHooks {
         let (apply, snapshot, restore) = (self.clone(), self.clone(), self.clone());
         MachineHooks::new(
@@ -93,22 +93,23 @@
         )
     }
 
-    /// Returns the committed document that this replica has reached.
-    pub fn held(&self) -> Option<Arc<HeldDocument>> {
+    /// Returns the newest configuration that this replica has applied.
+    pub fn current_document(&self) -> Option<Arc<StoredDocument>> {
         self.lock().newest().cloned()
     }
 
-    /// Returns the committed evacuations that this replica has reached.
-    pub fn evacuations(&self) -> Arc<EvacuationBook> {
+    /// Returns the evacuations that this replica has applied.
+    pub fn evacuations(&self) -> Arc<EvacuationStore> {
         self.lock_evacuations().clone()
     }
 
-    /// Returns the committed roll-outs that this replica has reached.
+    /// Returns the roll-outs that this replica has applied.
     pub fn rollouts(&self) -> Arc<RolloutBook> {
         self.lock_rollouts().clone()
     }
 
-    /// Returns what brings the configuration `wanted`, or the newest, to a subscriber with `base`.
+    /// Returns the payload that brings the configuration `wanted`, or the newest, to a subscriber
+    /// that has `base`.
     pub(crate) fn payload(
         &self,
         wanted: DocumentKey,
@@ -117,31 +118,38 @@
         self.lock().payload(wanted, base)
     }
 
-    /// Returns a receiver that wakes when a newer document is held or an evacuation has changed.
+    /// Returns a receiver that wakes when the configuration, the evacuations or the roll-outs have
+    /// changed.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
     fn apply(&self, command: &[u8]) -> Vec<u8> {
         let answer = match postcard::from_bytes(command) {
-            Ok(DocumentCommand::Put(document)) => DocumentAnswer::Held(self.put(document)),
-            Ok(DocumentCommand::Read) => {
-                DocumentAnswer::Document(self.held().map(|held| held.document().clone()))
+            Ok(DocumentCommand::Put(document)) => {
+                DocumentAnswer::CurrentVersion(self.put(document))
             }
+            Ok(DocumentCommand::Read) => DocumentAnswer::Document(
+                self.current_document()
+                    .map(|current| current.document().clone()),
+            ),
             Ok(DocumentCommand::Evacuate(order)) => {
                 DocumentAnswer::Evacuation(self.evacuate(&order))
             }
             Ok(DocumentCommand::Hold(records)) => {
-                self.hold(&records);
+                self.store_held(&records);
                 DocumentAnswer::Done
             }
-            Ok(DocumentCommand::Rollout(command)) => DocumentAnswer::Rollout(self.roll(&command)),
-            // A command of a later build changes nothing here, where that build should not have sent it.
+            Ok(DocumentCommand::Rollout(command)) => {
+                DocumentAnswer::Rollout(self.apply_rollout(&command))
+            }
+            // A command of a later build is ignored here; that build should not have sent it.
             Err(error) => {
-                log::error!(
-                    "a command of the log cannot be read and changes nothing here: {error}"
-                );
-                DocumentAnswer::Held(self.held().map_or(0, |held| held.version()))
+                log::error!("ignoring a log command that cannot be decoded: {error}");
+                DocumentAnswer::CurrentVersion(
+                    self.current_document()
+                        .map_or(0, |current| current.version()),
+                )
             }
         };
         postcard::to_stdvec(&answer).unwrap_or_default()
@@ -149,13 +157,13 @@
 
     fn put(&self, document: Document) -> u64 {
         let mut history = self.lock();
-        if let Some(held) = history.newest()
-            && document.version <= held.version()
+        if let Some(current) = history.newest()
+            && document.version <= current.version()
         {
-            return held.version();
+            return current.version();
         }
         let version = document.version;
-        history.push(Arc::new(HeldDocument::new(document)));
+        history.push(Arc::new(StoredDocument::new(document)));
         drop(history);
         self.changed.send_replace(version);
         version
@@ -167,57 +175,59 @@
         outcome
     }
 
-    fn roll(&self, command: &RolloutCommand) -> RolloutOutcome {
+    fn apply_rollout(&self, command: &RolloutCommand) -> RolloutOutcome {
         let outcome = Arc::make_mut(&mut *self.lock_rollouts()).apply(command);
         self.changed.send_modify(|_| {});
         outcome
     }
 
-    /// Returns the held requests that the log keeps.
+    /// Returns the held requests that the log stores.
     pub(crate) fn held_requests(&self) -> Vec<SuspectRecord> {
         self.lock_held().records()
     }
 
-    /// Returns those of some records that the log does not have as they are.
-    pub(crate) fn lacking(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
-        self.lock_held().lacking(known)
+    /// Returns the records that the log lacks or has in another state.
+    pub(crate) fn missing_from_log(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
+        self.lock_held().missing(known)
     }
 
     /// Returns a receiver that wakes when the held requests have changed.
-    pub(crate) fn holds(&self) -> watch::Receiver<u64> {
-        self.holds.subscribe()
+    pub(crate) fn held_request_changes(&self) -> watch::Receiver<u64> {
+        self.held_requests_changed.subscribe()
     }
 
-    fn hold(&self, records: &[SuspectRecord]) {
+    fn store_held(&self, records: &[SuspectRecord]) {
         self.lock_held().apply(records);
-        self.holds.send_modify(|count| *count += 1);
+        self.held_requests_changed.send_modify(|count| *count += 1);
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let held = self.held().map(|held| held.document().clone());
+        let current = self
+            .current_document()
+            .map(|current| current.document().clone());
         let evacuations = self.evacuations();
         let requests = self.lock_held();
         let rollouts = self.rollouts();
-        postcard::to_stdvec(&(held, &*evacuations, &*requests, &*rollouts)).unwrap_or_default()
+        postcard::to_stdvec(&(current, &*evacuations, &*requests, &*rollouts)).unwrap_or_default()
     }
 
     fn restore(&self, bytes: &[u8]) {
-        // A snapshot passed its checksum, so bytes that cannot be read come from a newer program.
-        // Going on with an empty state would lose what was accepted.
+        // The snapshot passed its checksum, so if it cannot be decoded, a newer program wrote it.
+        // Continuing with an empty state would lose committed data.
         let (document, evacuations, requests, rollouts) = match read_snapshot(bytes) {
             Ok(state) => state,
             Err(error) => {
-                log::error!(target: "linnetdale", "the snapshot cannot be read: {error}");
+                log::error!(target: "linnetdale", "cannot decode the snapshot, exiting: {error}");
                 std::process::exit(1);
             }
         };
         *self.lock_evacuations() = Arc::new(evacuations);
         *self.lock_rollouts() = Arc::new(rollouts);
         *self.lock_held() = requests;
-        self.holds.send_modify(|count| *count += 1);
+        self.held_requests_changed.send_modify(|count| *count += 1);
         let version = document.as_ref().map_or(0, |document| document.version);
         if let Some(document) = document {
-            self.lock().push(Arc::new(HeldDocument::new(document)));
+            self.lock().push(Arc::new(StoredDocument::new(document)));
         }
         self.changed.send_replace(version);
     }
@@ -236,16 +246,17 @@
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_evacuations(&self) -> MutexGuard<'_, Arc<EvacuationBook>> {
+    fn lock_evacuations(&self) -> MutexGuard<'_, Arc<EvacuationStore>> {
         self.evacuations
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-type Snapshot = (Option<Document>, EvacuationBook, HeldRequests, RolloutBook);
+type Snapshot = (Option<Document>, EvacuationStore, HeldRequests, RolloutBook);
 
-/// Reads a snapshot. One of an older program ends after the document, or after a later part.
+/// Decodes a snapshot. One that an older program wrote ends after the document, or after one of the
+/// later parts.
 fn read_snapshot(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
     let (document, rest) = postcard::take_from_bytes(bytes)?;
     let (evacuations, rest) = read_part(rest)?;
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs on a control host: orders of operators, and the next step of each by what entry hosts count.
+//! Roll-outs on a control host: orders of operators, and the next step of each by the counts that
+//! entry hosts report.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -14,16 +15,18 @@
 use crate::SubscriberReport;
 use crate::machine::{DocumentAnswer, DocumentCommand};
 
-/// How often the control host that leads looks whether a roll-out is to move on.
-const STEER_PERIOD: Duration = Duration::from_millis(100);
+/// How often the leading control host checks whether a roll-out has to advance.
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Since when a control host knows of roll-outs, by service and revision, and how old each was then.
+/// When this control host first saw each roll-out, by service and revision, and how old the
+/// roll-out was then.
 #[derive(Default)]
 struct RolloutAges(HashMap<(String, u64), (Instant, Duration)>);
 
 impl RolloutAges {
-    /// Returns the time since the order of a roll-out. A clock that is set meanwhile does not change it.
-    fn of(&mut self, service: &str, record: &RolloutRecord) -> Duration {
+    /// Returns the time since a roll-out was ordered. Adjustments of the system clock do not change
+    /// it.
+    fn age_of(&mut self, service: &str, record: &RolloutRecord) -> Duration {
         let key = (service.to_owned(), record.revision);
         let (seen, age) = self.0.entry(key).or_insert_with(|| {
             let age_ms = unix_ms().saturating_sub(record.started_ms);
@@ -33,7 +36,7 @@
         *age + seen.elapsed()
     }
 
-    /// Forgets all but some roll-outs.
+    /// Removes the roll-outs that are not in progress.
     fn retain(&mut self, is_in_progress: impl Fn(&str, u64) -> bool) {
         self.0
             .retain(|(service, revision), _| is_in_progress(service, *revision));
@@ -46,14 +49,14 @@
 }
 
 impl DirectoryNode {
-    /// Begins a roll-out; returns once a majority of control hosts has the order on disk. An order that was taken is
-    /// answered again.
+    /// Begins a roll-out; returns once a majority of control hosts has the order on disk. A
+    /// repeated order returns the same record.
     ///
     /// # Errors
     ///
-    /// [`DirectoryError::BadOrder`], [`DirectoryError::UnknownService`], [`DirectoryError::UnderWay`] and
-    /// [`DirectoryError::EarlierBuild`] change nothing; [`DirectoryError::NoQuorum`] leaves open whether the order
-    /// comes into force.
+    /// [`DirectoryError::InvalidOrder`], [`DirectoryError::UnknownService`],
+    /// [`DirectoryError::RolloutInProgress`] and [`DirectoryError::OutdatedControlHost`] change
+    /// nothing; [`DirectoryError::NoQuorum`] leaves open whether the order comes into force.
     pub async fn order_rollout(
         &self,
         order: RolloutOrder,
@@ -77,13 +80,13 @@
     }
 
     async fn try_order(&self, order: RolloutOrder) -> Result<RolloutRecord, DirectoryError> {
-        order.check().map_err(DirectoryError::BadOrder)?;
-        let held = self.held_document().ok_or(DirectoryError::NoQuorum)?;
-        if !(self.shared.parser.services)(held.body()).contains(&order.service) {
+        order.check().map_err(DirectoryError::InvalidOrder)?;
+        let current = self.current_document().ok_or(DirectoryError::NoQuorum)?;
+        if !(self.shared.parser.services)(current.body()).contains(&order.service) {
             return Err(DirectoryError::UnknownService(order.service));
         }
-        if !self.lock().knows_rollouts() {
-            return Err(DirectoryError::EarlierBuild);
+        if !self.lock().all_controls_support_rollouts() {
+            return Err(DirectoryError::OutdatedControlHost);
         }
         let slots = self.lock().registry.slots_by_version(&order.service);
         let former = slots.into_keys().filter(|one| *one != order.version);
@@ -92,32 +95,38 @@
             order,
             now_ms: unix_ms(),
         };
-        match self.roll(command).await? {
+        match self.commit_rollout(command).await? {
             RolloutOutcome::Held(record) => record.ok_or(DirectoryError::NoQuorum),
-            RolloutOutcome::UnderWay(other) => Err(DirectoryError::UnderWay(other.version)),
+            RolloutOutcome::UnderWay(other) => {
+                Err(DirectoryError::RolloutInProgress(other.version))
+            }
         }
     }
 
-    /// Returns the newest roll-out of a service, after a round of the quorum that began with this call.
+    /// Returns the newest roll-out of a service, after a quorum round that began with this call.
     ///
     /// # Errors
     ///
-    /// [`DirectoryError::NoQuorum`], [`DirectoryError::EarlierBuild`].
+    /// [`DirectoryError::NoQuorum`], [`DirectoryError::OutdatedControlHost`].
     pub async fn read_rollout(
         &self,
         service: &str,
     ) -> Result<Option<RolloutRecord>, DirectoryError> {
-        if !self.lock().knows_rollouts() {
-            return Err(DirectoryError::EarlierBuild);
+        if !self.lock().all_controls_support_rollouts() {
+            return Err(DirectoryError::OutdatedControlHost);
         }
         let service = service.to_owned();
-        match self.roll(RolloutCommand::Look { service }).await? {
+        match self
+            .commit_rollout(RolloutCommand::Look { service })
+            .await?
+        {
             RolloutOutcome::Held(record) => Ok(record),
             RolloutOutcome::UnderWay(record) => Ok(Some(record)),
         }
     }
 
-    /// Ends a roll-out at an operator's word, with no request at its version; says whether one was under way.
+    /// Ends a roll-out on an operator's order, so that its version gets no requests; returns
+    /// whether one was in progress.
     ///
     /// # Errors
     ///
@@ -127,12 +136,12 @@
         let Some(record) = known.newest(service).filter(|one| one.is_in_progress()) else {
             return Ok(false);
         };
-        self.take_step(service, record, RolloutStep::Revert(RolloutCause::Operator))
+        self.apply_step(service, record, RolloutStep::Revert(RolloutCause::Operator))
             .await?;
         Ok(true)
     }
 
-    /// Returns all roll-outs that are remembered, for operators.
+    /// Returns all recorded roll-outs, for operators.
     pub fn rollout_lines(&self) -> Vec<RolloutLine> {
         let book = self.rollouts();
         let state = self.lock();
@@ -147,20 +156,23 @@
         lines.collect()
     }
 
-    /// Takes what a subscriber counted for roll-outs.
-    pub(crate) fn take_counts(&self, report: &SubscriberReport) {
-        let Some(gateway) = report
-            .gateway
+    /// Adds the counts for roll-outs that a subscriber reported.
+    pub(crate) fn record_counts(&self, report: &SubscriberReport) {
+        let Some(entry_host) = report
+            .entry_host
             .as_ref()
-            .filter(|_| !report.counted.is_empty())
+            .filter(|_| !report.phase_counts.is_empty())
         else {
             return;
         };
-        let reporter = format!("{}/{:x}", gateway.name, report.start);
-        self.lock().evidence.take(&reporter, &report.counted);
+        let reporter = format!("{}/{:x}", entry_host.name, report.incarnation);
+        self.lock().evidence.take(&reporter, &report.phase_counts);
     }
 
-    async fn roll(&self, command: RolloutCommand) -> Result<RolloutOutcome, DirectoryError> {
+    async fn commit_rollout(
+        &self,
+        command: RolloutCommand,
+    ) -> Result<RolloutOutcome, DirectoryError> {
         match self.commit(&DocumentCommand::Rollout(command)).await? {
             DocumentAnswer::Rollout(outcome) => Ok(outcome),
             _ => Err(DirectoryError::NoQuorum),
@@ -171,22 +183,22 @@
     fn decide_step(&self, service: &str, record: &RolloutRecord, elapsed: Duration) -> RolloutStep {
         let state = self.lock();
         let slots = state.registry.slots_by_version(service);
-        let of = |tested: bool| {
-            let wanted = slots.iter();
-            let wanted = wanted.filter(|(version, _)| (**version == record.version) == tested);
-            wanted.map(|(_, slots)| slots).sum()
+        let slots_of = |tested: bool| {
+            let selected = slots.iter();
+            let selected = selected.filter(|(version, _)| (**version == record.version) == tested);
+            selected.map(|(_, slots)| slots).sum()
         };
         let sums: RolloutSums = state.evidence.sums(service, record);
         next_step(&RolloutFacts {
             record,
             elapsed,
-            slots: (of(true), of(false)),
+            slots: (slots_of(true), slots_of(false)),
             sums: &sums,
             rule: state.exposure,
         })
     }
 
-    async fn take_step(
+    async fn apply_step(
         &self,
         service: &str,
         record: &RolloutRecord,
@@ -210,14 +222,14 @@
             RolloutStep::Complete(cause) => end(true, cause),
             RolloutStep::Revert(cause) => end(false, cause),
         };
-        let outcome = self.roll(command).await;
+        let outcome = self.commit_rollout(command).await;
         if let Ok(RolloutOutcome::Held(Some(record))) = &outcome {
-            self.note_step(service, record);
+            self.record_step(service, record);
         }
         outcome.map(|_| ())
     }
 
-    fn note_step(&self, service: &str, record: &RolloutRecord) {
+    fn record_step(&self, service: &str, record: &RolloutRecord) {
         let sums = self.lock().evidence.sums(service, record);
         let ((tested, former), (tested_bad, former_bad)) = (sums.answers(), sums.failures());
         let detail = format!(
@@ -233,11 +245,11 @@
     }
 }
 
-/// Moves the roll-outs on that are under way, while this control host leads.
-pub(super) async fn steer_rollouts(node: DirectoryNode) {
+/// Advances the roll-outs that are in progress while this control host leads.
+pub(super) async fn advance_rollouts(node: DirectoryNode) {
     let mut ages = RolloutAges::default();
     loop {
-        sleep(STEER_PERIOD).await;
+        sleep(ADVANCE_INTERVAL).await;
         let book = node.rollouts();
         ages.retain(|service, revision| {
             let newest = book.newest(service);
@@ -245,14 +257,14 @@
         });
         node.lock().evidence.set_book(&book);
         for (service, record) in book.in_progress() {
-            // Every control host notes when it heard of the order: it may lead later.
-            let elapsed = ages.of(service, record);
+            // Every control host records when it first saw the order, since it may lead later.
+            let elapsed = ages.age_of(service, record);
             if !node.replica().status().lease_lasts {
                 continue;
             }
             let step = node.decide_step(service, record, elapsed);
-            // What could not be committed is decided anew with the next look.
-            if let Err(error) = node.take_step(service, record, step).await {
+            // A step that could not be committed is decided again in the next round.
+            if let Err(error) = node.apply_step(service, record, step).await {
                 let detail = format!("service={service} cause={error}");
                 node.record(EventCode::RolloutStepFailed, &detail);
             }
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a control host keeps of targets and subscribers.
+//! The state that a control host keeps of targets and subscribers.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -10,183 +10,218 @@
 use linnet_rollout::{EvidenceBook, ExposureRule};
 use linnet_wire::MessageForm;
 
-use super::suspects::LivingTargets;
-use crate::{DocumentWant, GatewayRecord, OwnGateways, Registry};
+use super::suspects::LivenessProbes;
+use crate::{DocumentRequest, EntryHostRecord, LocalEntryHosts, Registry};
 
-/// What a subscriber told.
+/// The state that a subscriber reported.
 #[derive(Debug, Clone)]
 pub(crate) struct SubscriberState {
-    pub(crate) control: bool,
+    pub(crate) is_control: bool,
     pub(crate) acknowledged: u64,
-    pub(crate) gateway: Option<GatewayRecord>,
-    /// The version of the configuration that it told last.
+    pub(crate) entry_host: Option<EntryHostRecord>,
+    /// Version of the configuration in its last report.
     pub(crate) document_version: u64,
-    /// What it wants of a configuration.
-    pub(crate) want: Option<DocumentWant>,
-    /// Whether it wants to be told of targets and entry hosts by this control host.
-    pub(crate) lists: bool,
-    /// The form of its messages; nothing until its first report has told that.
-    pub(crate) form: Option<MessageForm>,
+    /// Its current request for a configuration.
+    pub(crate) document_request: Option<DocumentRequest>,
+    /// Whether this control host sends it the lists of targets and entry hosts.
+    pub(crate) wants_lists: bool,
+    /// Its message version; `None` until its first report reveals it.
+    pub(crate) message_version: Option<MessageForm>,
 }
 
 #[derive(Default)]
 pub(crate) struct NodeState {
     pub(crate) registry: Registry,
-    /// What is held against requests that may end targets.
+    /// Requests suspected of crashing targets.
     pub(crate) suspects: SuspectBook,
-    pub(crate) living: LivingTargets,
-    /// The rates that targets named to entry hosts.
-    pub(crate) rates: RateBook,
-    /// What entry hosts counted for roll-outs.
+    pub(crate) liveness_probes: LivenessProbes,
+    /// Rate limits that targets announced to entry hosts.
+    pub(crate) rate_limits: RateBook,
+    /// Counts for roll-outs, reported by entry hosts.
     pub(crate) evidence: EvidenceBook,
-    /// What a version may be exposed to before it is known to be good.
+    /// Limit on what a version may be exposed to before it has proved itself.
     pub(crate) exposure: ExposureRule,
     pub(crate) subscribers: BTreeMap<u64, SubscriberState>,
-    pub(crate) next_subscriber: u64,
-    /// Entry hosts that were lost without a word, and until when they are told on.
-    pub(crate) lost_gateways: BTreeMap<String, (GatewayRecord, Instant)>,
-    /// What other control hosts told of the entry hosts that they hear.
-    told_gateways: BTreeMap<SocketAddr, ToldGateways>,
-    gateway_list: Option<GatewayList>,
+    pub(crate) last_subscriber_id: u64,
+    /// Entry hosts that disconnected without announcing a stop, and until when they stay in the
+    /// list.
+    pub(crate) disconnected_entry_hosts: BTreeMap<String, (EntryHostRecord, Instant)>,
+    /// The entry hosts that other control hosts reported.
+    remote_entry_hosts: BTreeMap<SocketAddr, RemoteEntryHosts>,
+    cached_list: Option<CachedList>,
 }
 
-/// The entry hosts that another control host hears.
-struct ToldGateways {
-    told: OwnGateways,
-    /// Until when they count although that control host was lost.
-    lost: Option<Instant>,
+/// The entry hosts connected to another control host.
+struct RemoteEntryHosts {
+    entry_hosts: LocalEntryHosts,
+    /// Until when they stay in the list after the connection to that control host was lost.
+    lost_until: Option<Instant>,
 }
 
-/// The entry hosts as they are told, kept until one of them changes. Working the list of 295 out for each
-/// of as many subscribers took 23 ms a change, 76 ms of a control host with 0.3 of a core, and takes
-/// 0.08 ms (`measure_lists_of_entry_hosts`, release build). After a loss of power 580 hosts and targets
-/// come in a second.
-struct GatewayList {
-    list: Arc<[GatewayRecord]>,
-    /// Those of them that this control host hears itself, or lost.
-    own: Arc<OwnGateways>,
-    /// When the first host that was lost is not told any more.
+/// The list of entry hosts, cached until one of them changes. Building the list of 295 hosts for
+/// each of as many subscribers took 23 ms per change, or 76 ms on a control host with 0.3 of a
+/// core; with the cache it takes 0.08 ms (`measure_lists_of_entry_hosts`, release build). After a
+/// power loss, 580 hosts and targets register within a second.
+struct CachedList {
+    list: Arc<[EntryHostRecord]>,
+    /// The entry hosts of the list that are or were connected to this control host.
+    local: Arc<LocalEntryHosts>,
+    /// When the first disconnected host leaves the list.
     until: Instant,
 }
 
-/// How long an entry host that was lost without a word is told on. It may be cut off from the control
-/// hosts only, and the others should meet it at the same places then.
-const LOST_GATEWAY_TOLD: Duration = Duration::from_secs(15);
+/// How long an entry host that disconnected without announcing a stop stays in the list. It may be
+/// cut off from the control hosts only, and then the others should still reach it at the same
+/// address.
+const LOST_ENTRY_HOST_RETENTION: Duration = Duration::from_secs(15);
 
 impl NodeState {
-    /// Returns the entry hosts that are heard, or were until a moment ago, by name.
-    pub(crate) fn gateways(&mut self, now: Instant) -> Arc<[GatewayRecord]> {
-        if let Some(kept) = self.gateway_list.as_ref().filter(|kept| now < kept.until) {
-            return kept.list.clone();
+    /// Returns the entry hosts that are connected, or were until recently, by name.
+    pub(crate) fn entry_hosts(&mut self, now: Instant) -> Arc<[EntryHostRecord]> {
+        if let Some(cached) = self
+            .cached_list
+            .as_ref()
+            .filter(|cached| now < cached.until)
+        {
+            return cached.list.clone();
         }
-        let own = Arc::new(self.list_own(now));
-        let list: Arc<[GatewayRecord]> = self.list_gateways(now, &own).into();
-        let lost = self.lost_gateways.values().map(|(_, until)| *until);
-        let told = self.told_gateways.values().filter_map(|told| told.lost);
-        self.gateway_list = Some(GatewayList {
+        let local = Arc::new(self.collect_local(now));
+        let list: Arc<[EntryHostRecord]> = self.collect_all(now, &local).into();
+        let lost = self
+            .disconnected_entry_hosts
+            .values()
+            .map(|(_, until)| *until);
+        let expiring = self
+            .remote_entry_hosts
+            .values()
+            .filter_map(|remote| remote.lost_until);
+        self.cached_list = Some(CachedList {
             list: list.clone(),
-            own,
-            until: lost.chain(told).min().unwrap_or(now + LOST_GATEWAY_TOLD),
+            local,
+            until: lost
+                .chain(expiring)
+                .min()
+                .unwrap_or(now + LOST_ENTRY_HOST_RETENTION),
         });
         list
     }
 
-    /// Returns the entry hosts that this control host hears itself, and those that it lost a moment ago.
-    pub(crate) fn own_gateways(&mut self, now: Instant) -> Arc<OwnGateways> {
+    /// Returns the entry hosts that are connected to this control host, and those that disconnected
+    /// recently.
+    pub(crate) fn local_entry_hosts(&mut self, now: Instant) -> Arc<LocalEntryHosts> {
         if self
-            .gateway_list
+            .cached_list
             .as_ref()
-            .is_none_or(|kept| now >= kept.until)
+            .is_none_or(|cached| now >= cached.until)
         {
-            self.gateways(now);
+            self.entry_hosts(now);
         }
-        let kept = self.gateway_list.as_ref();
-        kept.map_or_else(Arc::default, |kept| kept.own.clone())
+        let cached = self.cached_list.as_ref();
+        cached.map_or_else(Arc::default, |cached| cached.local.clone())
     }
 
-    fn list_own(&mut self, now: Instant) -> OwnGateways {
-        let heard = self.subscribers.values();
-        let mut heard: Vec<GatewayRecord> = heard.filter_map(|one| one.gateway.clone()).collect();
-        heard.sort();
-        let names: HashSet<&str> = heard.iter().map(|one| one.name.as_str()).collect();
-        self.lost_gateways
+    fn collect_local(&mut self, now: Instant) -> LocalEntryHosts {
+        let connected = self.subscribers.values();
+        let mut connected: Vec<EntryHostRecord> =
+            connected.filter_map(|one| one.entry_host.clone()).collect();
+        connected.sort();
+        let names: HashSet<&str> = connected.iter().map(|one| one.name.as_str()).collect();
+        self.disconnected_entry_hosts
             .retain(|name, (_, until)| *until > now && !names.contains(name.as_str()));
         let lost = self
-            .lost_gateways
+            .disconnected_entry_hosts
             .values()
             .map(|(record, _)| record.clone());
-        let lost = lost.collect();
-        OwnGateways { heard, lost }
+        let disconnected = lost.collect();
+        LocalEntryHosts {
+            connected,
+            disconnected,
+        }
     }
 
-    /// Takes the entry hosts that another control host hears. One of them that was lost here has gone there: how it
-    /// ends there is what counts.
-    pub(crate) fn take_gateways(&mut self, from: SocketAddr, told: OwnGateways) {
-        for record in &told.heard {
-            self.lost_gateways.remove(&record.name);
+    /// Stores the entry hosts connected to another control host. One that disconnected here is
+    /// removed from the local list: from now on the other control host decides how it ends.
+    pub(crate) fn set_remote_entry_hosts(
+        &mut self,
+        from: SocketAddr,
+        entry_hosts: LocalEntryHosts,
+    ) {
+        for record in &entry_hosts.connected {
+            self.disconnected_entry_hosts.remove(&record.name);
         }
-        let told = ToldGateways { told, lost: None };
-        self.told_gateways.insert(from, told);
-        self.gateway_list = None;
+        let remote = RemoteEntryHosts {
+            entry_hosts,
+            lost_until: None,
+        };
+        self.remote_entry_hosts.insert(from, remote);
+        self.cached_list = None;
     }
 
-    /// Notes that another control host was lost: those that it heard are told on for a while, in which they find
-    /// another one.
-    pub(crate) fn lose_control(&mut self, from: SocketAddr, now: Instant) {
-        if let Some(told) = self.told_gateways.get_mut(&from) {
-            told.lost = Some(now + LOST_GATEWAY_TOLD);
+    /// Handles the loss of the connection to another control host: the entry hosts that it reported
+    /// stay in the list for a while, in which they connect to another one.
+    pub(crate) fn mark_control_lost(&mut self, from: SocketAddr, now: Instant) {
+        if let Some(remote) = self.remote_entry_hosts.get_mut(&from) {
+            remote.lost_until = Some(now + LOST_ENTRY_HOST_RETENTION);
         }
-        self.gateway_list = None;
+        self.cached_list = None;
     }
 
-    /// Returns the entry hosts that any control host hears, or lost a moment ago, by name.
-    fn list_gateways(&mut self, now: Instant, own: &OwnGateways) -> Vec<GatewayRecord> {
-        self.told_gateways
-            .retain(|_, told| told.lost.is_none_or(|until| until > now));
-        let told = self.told_gateways.values().map(|told| &told.told);
-        let all = std::iter::once(own).chain(told);
-        let mut by_name: BTreeMap<&str, &GatewayRecord> = BTreeMap::new();
-        for record in all.clone().flat_map(|one| &one.heard) {
+    /// Returns the entry hosts that are connected to any control host, or were until recently, by
+    /// name.
+    fn collect_all(&mut self, now: Instant, local: &LocalEntryHosts) -> Vec<EntryHostRecord> {
+        self.remote_entry_hosts
+            .retain(|_, told| told.lost_until.is_none_or(|until| until > now));
+        let remote = self
+            .remote_entry_hosts
+            .values()
+            .map(|remote| &remote.entry_hosts);
+        let all = std::iter::once(local).chain(remote);
+        let mut by_name: BTreeMap<&str, &EntryHostRecord> = BTreeMap::new();
+        for record in all.clone().flat_map(|one| &one.connected) {
             let known = by_name.entry(&record.name).or_insert(record);
-            // Whoever heard that it stops is right.
+            // A control host that received the announcement of a stop overrides the others.
             if record.stopping {
                 *known = record;
             }
         }
-        for record in all.flat_map(|one| &one.lost) {
+        for record in all.flat_map(|one| &one.disconnected) {
             by_name.entry(&record.name).or_insert(record);
         }
         by_name.into_values().cloned().collect()
     }
 
-    /// Says whether a subscriber wants targets and entry hosts from here.
-    pub(crate) fn wants_lists(&self, number: u64) -> bool {
-        let subscriber = self.subscribers.get(&number);
-        subscriber.is_some_and(|subscriber| subscriber.lists)
+    /// Returns whether a subscriber receives the lists of targets and entry hosts from this host.
+    pub(crate) fn sends_lists_to(&self, subscriber_id: u64) -> bool {
+        let subscriber = self.subscribers.get(&subscriber_id);
+        subscriber.is_some_and(|subscriber| subscriber.wants_lists)
     }
 
-    /// Takes what a subscriber tells of itself; says whether that changes the entry hosts. Nothing where
-    /// the subscriber is not known.
-    pub(crate) fn set_gateway(&mut self, number: u64, told: Option<GatewayRecord>) -> Option<bool> {
-        let subscriber = self.subscribers.get_mut(&number)?;
-        let changes = subscriber.gateway != told;
-        if changes {
-            subscriber.gateway = told;
-            self.gateway_list = None;
+    /// Stores the entry host record that a subscriber reported; returns whether it changed, or
+    /// `None` if the subscriber is not known.
+    pub(crate) fn set_entry_host(
+        &mut self,
+        subscriber_id: u64,
+        record: Option<EntryHostRecord>,
+    ) -> Option<bool> {
+        let subscriber = self.subscribers.get_mut(&subscriber_id)?;
+        let changed = subscriber.entry_host != record;
+        if changed {
+            subscriber.entry_host = record;
+            self.cached_list = None;
         }
-        Some(changes)
+        Some(changed)
     }
 
-    /// Forgets a subscriber. One that did not say that it stops may come back.
-    pub(crate) fn lose_subscriber(&mut self, number: u64, now: Instant) {
-        let lost = self.subscribers.remove(&number);
-        let record = lost.and_then(|subscriber| subscriber.gateway);
+    /// Removes a subscriber. One that did not announce a stop may reconnect.
+    pub(crate) fn mark_subscriber_lost(&mut self, subscriber_id: u64, now: Instant) {
+        let lost = self.subscribers.remove(&subscriber_id);
+        let record = lost.and_then(|subscriber| subscriber.entry_host);
         if let Some(record) = record.filter(|record| !record.stopping) {
-            let until = now + LOST_GATEWAY_TOLD;
-            self.lost_gateways
+            let until = now + LOST_ENTRY_HOST_RETENTION;
+            self.disconnected_entry_hosts
                 .insert(record.name.clone(), (record, until));
         }
-        self.gateway_list = None;
+        self.cached_list = None;
     }
 }
 
--- a/crates/directory/src/view.rs
+++ b/crates/directory/src/view.rs
@@ -1,4 +1,4 @@
-//! The directory as an entry host sees it through all control hosts that it follows.
+//! The directory as an entry host sees it through the control hosts that it follows.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -8,61 +8,60 @@
 use linnet_rollout::{RolloutBook, VersionStanding};
 
 use crate::{
-    DirectoryUpdate, EvacuationBook, GatewayRecord, HeldDocument, TargetRecord, TargetState,
+    DirectoryUpdate, EntryHostRecord, EvacuationStore, StoredDocument, TargetRecord, TargetState,
 };
 
-/// What one control host told.
+/// What one control host sent.
 #[derive(Default)]
-struct Source {
+struct ControlSource {
     targets: HashMap<String, TargetRecord>,
-    gateways: Vec<GatewayRecord>,
+    entry_hosts: Vec<EntryHostRecord>,
     connected: bool,
-    /// Whether it told all that there is to tell.
-    whole: bool,
+    /// Whether it has sent all targets and entry hosts.
+    complete: bool,
 }
 
-/// The union of what the control hosts told.
+/// The union of what the control hosts sent.
 ///
-/// Invariants: the configuration only moves to a higher version, and the evacuation of a hall to a higher
-/// revision; a start of a target that any control host called withdrawn stays withdrawn. What a lost control host
-/// told stays until another one has told all there is, so a data hall that is cut off goes on with what it
-/// knows, and so does a fleet whose control hosts were all started anew and hear of each target only with
-/// its next heartbeat.
+/// Invariants: the configuration only moves to a higher version, and the evacuation of a hall to a
+/// higher revision; an incarnation of a target that any control host reported as withdrawn stays
+/// withdrawn. What a lost control host sent stays until another one has sent complete lists. So a
+/// data hall that is cut off continues with the last known state, and so does a fleet whose control
+/// hosts were all restarted and learn of each target only with its next heartbeat.
 #[derive(Default)]
 pub struct DirectoryView {
-    document: Option<Arc<HeldDocument>>,
-    sources: BTreeMap<SocketAddr, Source>,
-    /// The newest start of a target that was called withdrawn.
+    document: Option<Arc<StoredDocument>>,
+    sources: BTreeMap<SocketAddr, ControlSource>,
+    /// The newest withdrawn incarnation of each target.
     withdrawn: BTreeMap<String, u64>,
-    evacuations: EvacuationBook,
+    evacuations: EvacuationStore,
     rollouts: RolloutBook,
-    /// Until when targets are cold, by identity.
+    /// When the cold period of a target ends, by identity.
     cold: HashMap<String, Instant>,
-    /// The targets that took work when [`DirectoryView::list_changes`] looked last.
+    /// Available targets as of the last call of [`DirectoryView::take_changes`].
     listed: HashMap<String, TargetRecord>,
-    /// The targets of which something was told since then.
-    told: BTreeSet<String>,
-    /// Whether something changed since then that may concern every target.
+    /// Targets that may have changed since then.
+    changed: BTreeSet<String>,
+    /// Whether something changed since then that may affect every target.
     all_changed: bool,
 }
 
-/// How the targets that take work have changed.
+/// The changes of the available targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetChanges {
-    /// These are all.
-    Whole(Vec<TargetRecord>),
-    /// A few have changed: what this costs follows from them, not from the size of the fleet.
-    Some {
-        /// Those that take work since then, or are another start, or differ.
+    /// The complete list.
+    All(Vec<TargetRecord>),
+    /// Only the changed targets: the cost depends on their number and not on the size of the fleet.
+    Partial {
+        /// Targets that became available, are a new incarnation, or have another record.
         listed: Vec<TargetRecord>,
-        /// Those that do not any more.
+        /// Targets that are no longer available.
         unlisted: Vec<TargetRecord>,
     },
 }
 
-/// How long the targets of a hall count as cold after it was taken back, unless they say that it is
-/// longer. They may have become cold a moment before, and say so with their next heartbeat: two
-/// periods of 1.2 s.
+/// Minimum cold period of the targets of a hall that is returned to service. They may have become
+/// cold shortly before, and report that with their next heartbeat: two heartbeat periods of 1.2 s.
 const COLD_AFTER_EVACUATION: Duration = Duration::from_millis(2_400);
 
 impl DirectoryView {
@@ -71,13 +70,14 @@
         Self::default()
     }
 
-    /// Takes what an update tells of targets and entry hosts.
-    pub fn take(&mut self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
+    /// Applies an update on targets and entry hosts.
+    pub fn apply_update(&mut self, from: SocketAddr, update: DirectoryUpdate, now: Instant) {
         let source = self.sources.entry(from).or_default();
         if !source.connected {
-            // A control host that comes back tells everything it knows anew.
-            self.told.extend(source.targets.drain().map(|(id, _)| id));
-            *source = Source::default();
+            // A control host sends everything again after a reconnect.
+            self.changed
+                .extend(source.targets.drain().map(|(id, _)| id));
+            *source = ControlSource::default();
             source.connected = true;
         }
         for record in update.targets {
@@ -90,37 +90,37 @@
             }
             if record.cold_ms > 0 {
                 let until = now + Duration::from_millis(u64::from(record.cold_ms));
-                note_cold(&mut self.cold, &record.id, until);
+                extend_cold(&mut self.cold, &record.id, until);
             }
-            self.told.insert(record.id.clone());
+            self.changed.insert(record.id.clone());
             let known = source.targets.get(&record.id);
             if known.is_none_or(|known| known.born <= record.born) {
                 source.targets.insert(record.id.clone(), record);
             }
         }
-        if let Some(gateways) = update.gateways {
-            source.gateways = gateways;
+        if let Some(entry_hosts) = update.entry_hosts {
+            source.entry_hosts = entry_hosts;
         }
-        if update.lists_whole && !source.whole {
-            source.whole = true;
-            self.forget_lost();
+        if update.lists_complete && !source.complete {
+            source.complete = true;
+            self.remove_lost_sources();
         }
-        if let Some(told) = &update.rollouts {
-            self.all_changed |= self.rollouts.merge(told);
+        if let Some(received) = &update.rollouts {
+            self.all_changed |= self.rollouts.merge(received);
         }
-        if let Some(told) = &update.evacuations {
+        if let Some(received) = &update.evacuations {
             self.all_changed = true;
-            let taken_back = self.evacuations.merge(told);
-            self.note_taken_back(&taken_back, now);
+            let returned = self.evacuations.merge(received);
+            self.extend_cold_of_halls(&returned, now);
         }
     }
 
-    fn note_taken_back(&mut self, halls: &[String], now: Instant) {
+    fn extend_cold_of_halls(&mut self, halls: &[String], now: Instant) {
         let until = now + COLD_AFTER_EVACUATION;
         let sources = self.sources.values();
         let records = sources.flat_map(|source| source.targets.values());
         for record in records.filter(|record| halls.contains(&record.hall)) {
-            note_cold(&mut self.cold, &record.id, until);
+            extend_cold(&mut self.cold, &record.id, until);
         }
     }
 
@@ -130,14 +130,14 @@
     }
 
     /// Returns the evacuations of halls.
-    pub fn evacuations(&self) -> &EvacuationBook {
+    pub fn evacuations(&self) -> &EvacuationStore {
         &self.evacuations
     }
 
-    /// Takes a configuration; says whether it is newer than the one before.
-    pub fn take_document(&mut self, offered: HeldDocument) -> bool {
+    /// Stores a configuration if it is newer than the current one; returns whether it is.
+    pub fn set_newer_document(&mut self, offered: StoredDocument) -> bool {
         let newer = match &self.document {
-            Some(held) => offered.version() > held.version(),
+            Some(current) => offered.version() > current.version(),
             None => true,
         };
         if newer {
@@ -146,89 +146,93 @@
         newer
     }
 
-    /// Notes that a control host was lost.
-    pub fn lose(&mut self, from: SocketAddr) {
+    /// Handles the loss of the connection to a control host.
+    pub fn mark_control_lost(&mut self, from: SocketAddr) {
         if let Some(source) = self.sources.get_mut(&from) {
             source.connected = false;
         }
-        self.forget_lost();
+        self.remove_lost_sources();
     }
 
-    fn forget_lost(&mut self) {
-        let is_whole = |source: &Source| source.connected && source.whole;
-        if self.sources.values().any(is_whole) {
+    fn remove_lost_sources(&mut self) {
+        let is_complete = |source: &ControlSource| source.connected && source.complete;
+        if self.sources.values().any(is_complete) {
             let lost = self.sources.extract_if(.., |_, source| !source.connected);
             let forgotten = lost.flat_map(|(_, source)| source.targets.into_keys());
-            self.told.extend(forgotten);
+            self.changed.extend(forgotten);
         }
     }
 
-    /// Returns the newest configuration that was told.
-    pub fn document(&self) -> Option<&Arc<HeldDocument>> {
+    /// Returns the newest configuration.
+    pub fn document(&self) -> Option<&Arc<StoredDocument>> {
         self.document.as_ref()
     }
 
-    /// Says whether any control host is heard.
+    /// Returns whether any control host is connected.
     pub fn is_connected(&self) -> bool {
         self.sources.values().any(|source| source.connected)
     }
 
-    fn takes_work(&self, id: &str, record: &TargetRecord) -> bool {
+    fn is_available(&self, id: &str, record: &TargetRecord) -> bool {
         let withdrawn = self.withdrawn.get(id);
-        let withdrew = withdrawn.is_some_and(|born| *born >= record.born);
+        let is_withdrawn = withdrawn.is_some_and(|born| *born >= record.born);
         let standing = self.rollouts.standing_of(&record.service, &record.version);
         let is_closed = standing == VersionStanding::Closed;
-        !record.silent && !withdrew && !is_closed && !self.evacuations.is_evacuated(&record.hall)
+        !record.silent
+            && !is_withdrawn
+            && !is_closed
+            && !self.evacuations.is_evacuated(&record.hall)
     }
 
-    /// Returns how the targets that take new work have changed since this was last asked.
-    pub fn list_changes(&mut self, now: Instant) -> TargetChanges {
-        let told = std::mem::take(&mut self.told);
+    /// Returns the changes of the available targets since the last call.
+    pub fn take_changes(&mut self, now: Instant) -> TargetChanges {
+        let changed = std::mem::take(&mut self.changed);
         if std::mem::take(&mut self.all_changed) {
-            let ready = self.ready_targets(now);
-            let by_id = ready.iter().map(|one| (one.id.clone(), one.clone()));
+            let available = self.available_targets(now);
+            let by_id = available.iter().map(|one| (one.id.clone(), one.clone()));
             self.listed = by_id.collect();
-            return TargetChanges::Whole(ready);
+            return TargetChanges::All(available);
         }
         let (mut listed, mut unlisted) = (Vec::new(), Vec::new());
-        for id in told {
-            let ready = self.ready_target(&id, now);
+        for id in changed {
+            let available = self.available_target(&id, now);
             let known = self.listed.get(&id);
-            match (ready, known) {
-                (Some(ready), Some(known)) if ready == *known => {}
-                (Some(ready), _) => {
-                    self.listed.insert(id, ready.clone());
-                    listed.push(ready);
+            match (available, known) {
+                (Some(record), Some(known)) if record == *known => {}
+                (Some(record), _) => {
+                    self.listed.insert(id, record.clone());
+                    listed.push(record);
                 }
                 (None, _) => unlisted.extend(self.listed.remove(&id)),
             }
         }
-        TargetChanges::Some { listed, unlisted }
+        TargetChanges::Partial { listed, unlisted }
     }
 
-    /// Has a target listed anew with the next look, where it still takes work: whoever asked for the changes has taken
-    /// it out by itself.
-    pub fn list_again(&mut self, id: &str) {
+    /// Makes the next call of [`DirectoryView::take_changes`] list an available target again, for a
+    /// caller that has removed it on its own.
+    pub fn relist(&mut self, id: &str) {
         if self.listed.remove(id).is_some() {
-            self.told.insert(id.to_owned());
+            self.changed.insert(id.to_owned());
         }
     }
 
-    /// Returns how many targets took work when [`DirectoryView::list_changes`] looked last.
+    /// Returns the number of available targets as of the last call of
+    /// [`DirectoryView::take_changes`].
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    /// Returns one target, where it takes new work.
-    fn ready_target(&self, id: &str, now: Instant) -> Option<TargetRecord> {
-        let told = self
+    /// Returns the record of a target if it is available.
+    fn available_target(&self, id: &str, now: Instant) -> Option<TargetRecord> {
+        let records = self
             .sources
             .values()
             .filter_map(|source| source.targets.get(id));
-        let newest = told.clone().map(|record| record.born).max()?;
-        let ready = told.filter(|one| one.born == newest && self.takes_work(id, one));
-        // Of records with one sequence the first counts, as for all targets.
-        let record = ready.reduce(|known, one| match one.sequence > known.sequence {
+        let newest = records.clone().map(|record| record.born).max()?;
+        let available = records.filter(|one| one.born == newest && self.is_available(id, one));
+        // Of records with the same sequence number the first is used, as in `available_targets`.
+        let record = available.reduce(|known, one| match one.sequence > known.sequence {
             true => one,
             false => known,
         })?;
@@ -243,52 +247,57 @@
         record
     }
 
-    /// Returns every target that takes new work as far as is known, and how much longer it is cold.
-    pub fn ready_targets(&self, now: Instant) -> Vec<TargetRecord> {
-        // The newest start of each target that was told of, and its record where it takes work. A start that is
-        // over is not used, also where the next one is silent or told by one host alone.
-        let mut starts: BTreeMap<&str, (u64, Option<&TargetRecord>)> = BTreeMap::new();
+    /// Returns every available target, with the rest of its cold period.
+    pub fn available_targets(&self, now: Instant) -> Vec<TargetRecord> {
+        // The newest incarnation of each target, and its record if that is available. A former
+        // incarnation is not used, even if the newest one is silent or was sent by one control host
+        // only.
+        let mut incarnations: BTreeMap<&str, (u64, Option<&TargetRecord>)> = BTreeMap::new();
         for (id, record) in self.sources.values().flat_map(|source| &source.targets) {
-            let start = starts.entry(id).or_insert((record.born, None));
-            if record.born > start.0 {
-                *start = (record.born, None);
+            let newest = incarnations.entry(id).or_insert((record.born, None));
+            if record.born > newest.0 {
+                *newest = (record.born, None);
             }
-            let is_newer = start.1.is_none_or(|known| record.sequence > known.sequence);
-            if record.born == start.0 && is_newer && self.takes_work(id, record) {
-                start.1 = Some(record);
+            let is_newer = newest
+                .1
+                .is_none_or(|known| record.sequence > known.sequence);
+            if record.born == newest.0 && is_newer && self.is_available(id, record) {
+                newest.1 = Some(record);
             }
         }
-        let ready = starts.into_values().filter_map(|(_, record)| record);
-        ready.map(|record| self.with_cold(record, now)).collect()
+        let available = incarnations.into_values().filter_map(|(_, record)| record);
+        available
+            .map(|record| self.with_cold(record, now))
+            .collect()
     }
 
-    /// Returns every entry host that any control host hears, by name.
-    pub fn gateways(&self) -> Vec<GatewayRecord> {
-        let all = self.sources.values().flat_map(|source| &source.gateways);
-        let mut by_name: BTreeMap<&str, &GatewayRecord> = BTreeMap::new();
-        for gateway in all {
-            let known = by_name.entry(&gateway.name).or_insert(gateway);
-            if gateway.stopping {
-                *known = gateway;
+    /// Returns every entry host that any control host reported, by name.
+    pub fn entry_hosts(&self) -> Vec<EntryHostRecord> {
+        let all = self.sources.values().flat_map(|source| &source.entry_hosts);
+        let mut by_name: BTreeMap<&str, &EntryHostRecord> = BTreeMap::new();
+        for entry_host in all {
+            let known = by_name.entry(&entry_host.name).or_insert(entry_host);
+            if entry_host.stopping {
+                *known = entry_host;
             }
         }
         by_name.into_values().cloned().collect()
     }
 
-    /// Forgets withdrawn targets that no control host names any more, and those that are not cold any
-    /// more.
-    pub fn forget_past(&mut self, now: Instant) {
+    /// Removes withdrawn targets that no control host reports any more, and cold periods that have
+    /// ended.
+    pub fn prune(&mut self, now: Instant) {
         self.cold.retain(|_, until| *until > now);
         let sources = &self.sources;
-        let is_named = |id: &str| {
+        let is_reported = |id: &str| {
             let mut all = sources.values();
             all.any(|source| source.targets.contains_key(id))
         };
-        self.withdrawn.retain(|id, _| is_named(id));
+        self.withdrawn.retain(|id, _| is_reported(id));
     }
 }
 
-fn note_cold(cold: &mut HashMap<String, Instant>, id: &str, until: Instant) {
+fn extend_cold(cold: &mut HashMap<String, Instant>, id: &str, until: Instant) {
     let known = cold.entry(id.to_owned()).or_insert(until);
     *known = until.max(*known);
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -321,7 +321,7 @@
         gateway
             .directory
             .borrow_mut()
-            .list_again(&attempt.chosen.id);
+            .relist(&attempt.chosen.id);
         let cause = "another target or incarnation runs at the address".to_owned();
         return Some(AttemptOutcome::NotRun {
             cause,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -12,7 +12,9 @@
 use std::time::{Duration, Instant};
 
 use derive_more::Display;
-use linnet_directory::{DirectoryUpdate, DirectoryView, GatewayRecord, HeldDocument, TargetState};
+use linnet_directory::{
+    DirectoryUpdate, DirectoryView, EntryHostRecord, StoredDocument, TargetState,
+};
 use linnet_routing::{RouteTable, RoutingConfig};
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::PeerIdentity;
@@ -116,13 +118,13 @@
     started_at: Instant,
     /// Metrics of this host.
     pub metrics: GatewayMetrics,
-    entry_host_record: watch::Sender<Option<GatewayRecord>>,
+    entry_host_record: watch::Sender<Option<EntryHostRecord>>,
 }
 
 impl Gateway {
     /// Creates a gateway without configuration or targets, and starts its tasks.
     pub fn new(config: GatewayConfig) -> Rc<Self> {
-        let record = GatewayRecord {
+        let record = EntryHostRecord {
             name: config.name.clone(),
             hall: config.hall.clone(),
             peer: config.peer_address,
@@ -199,7 +201,7 @@
     }
 
     /// Returns a receiver of this host's record, which is reported to the control hosts.
-    pub fn subscribe_record(&self) -> watch::Receiver<Option<GatewayRecord>> {
+    pub fn subscribe_record(&self) -> watch::Receiver<Option<EntryHostRecord>> {
         self.entry_host_record.subscribe()
     }
 
@@ -271,17 +273,17 @@
     /// Applies an update of the directory.
     pub fn apply_update(&self, from: SocketAddr, update: DirectoryUpdate) {
         self.take_suspects(&update.suspects);
-        self.notices.rates.take_told(&update.rates);
+        self.notices.rates.take_told(&update.rate_limits);
         let targets_updated = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
         // After this returns, the control host receives the acknowledgement of the update and in
         // turn tells the target that it gets no more work. A withdrawn target must therefore be out
         // of the list by then.
         let withdraws_active_target = self.withdraws_active_target(&update);
-        let entry_hosts_changed = update.gateways.is_some();
+        let entry_hosts_changed = update.entry_hosts.is_some();
         self.directory
             .borrow_mut()
-            .take(from, update, Instant::now());
+            .apply_update(from, update, Instant::now());
         let rollouts_changed = self.refresh_rollouts();
         if entry_hosts_changed {
             self.refresh_entry_hosts();
@@ -314,13 +316,13 @@
     }
 
     /// Returns the newest configuration document that this host has received.
-    pub fn current_document(&self) -> Option<Arc<HeldDocument>> {
+    pub fn current_document(&self) -> Option<Arc<StoredDocument>> {
         self.directory.borrow().document().cloned()
     }
 
     /// Stores a configuration document and activates it if it is newer than the current one.
-    pub fn apply_document(&self, document: HeldDocument) {
-        let newer = self.directory.borrow_mut().take_document(document);
+    pub fn apply_document(&self, document: StoredDocument) {
+        let newer = self.directory.borrow_mut().set_newer_document(document);
         if newer {
             self.activate_configuration();
         }
@@ -328,7 +330,7 @@
 
     /// Records that the connection to a control host was lost.
     pub fn mark_control_lost(&self, from: SocketAddr) {
-        self.directory.borrow_mut().lose(from);
+        self.directory.borrow_mut().mark_control_lost(from);
         self.refresh_rollouts();
         self.refresh_entry_hosts();
         self.targets_changed.notify_one();
@@ -361,7 +363,7 @@
     }
 
     fn refresh_entry_hosts(&self) {
-        let gateways = self.directory.borrow().gateways();
+        let gateways = self.directory.borrow().entry_hosts();
         self.stage_client.set_entry_hosts(gateways);
     }
 
@@ -407,7 +409,7 @@
         if gateway.stage_client.keeps_unlisted_hosts() {
             gateway.refresh_entry_hosts();
         }
-        gateway.directory.borrow_mut().forget_past(Instant::now());
+        gateway.directory.borrow_mut().prune(Instant::now());
         gateway
             .metrics
             .connections_opened
--- a/crates/gateway/src/gateway/target_list.rs
+++ b/crates/gateway/src/gateway/target_list.rs
@@ -38,13 +38,13 @@
 impl Gateway {
     pub(super) fn refresh_targets(&self) {
         let now = Instant::now();
-        let changes = self.directory.borrow_mut().list_changes(now);
+        let changes = self.directory.borrow_mut().take_changes(now);
         self.metrics.target_lists.inc();
         let known = self.directory.borrow().listed_count();
         self.metrics.targets_known.set(known as i64);
         let restarted = match &changes {
-            TargetChanges::Whole(ready) => self.targets.borrow_mut().replace(ready, now),
-            TargetChanges::Some { listed, unlisted } => {
+            TargetChanges::All(ready) => self.targets.borrow_mut().replace(ready, now),
+            TargetChanges::Partial { listed, unlisted } => {
                 self.targets.borrow_mut().update(listed, unlisted, now)
             }
         };
@@ -56,8 +56,8 @@
         self.notices.take_list(BootInstant::now());
         self.note_starts();
         match &changes {
-            TargetChanges::Whole(ready) => self.propagate_list(ready),
-            TargetChanges::Some { listed, unlisted } => self.propagate_changes(listed, unlisted),
+            TargetChanges::All(ready) => self.propagate_list(ready),
+            TargetChanges::Partial { listed, unlisted } => self.propagate_changes(listed, unlisted),
         }
         self.target_list_updates.send_replace(());
     }
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use linnet_directory::GatewayRecord;
+use linnet_directory::EntryHostRecord;
 use linnet_wire::{MessageForm, PeerIdentity};
 use tokio::sync::{mpsc, oneshot};
 
@@ -93,8 +93,8 @@
     name: &str,
     hall: &str,
     stopping: bool,
-    hosts: impl Iterator<Item = &'a GatewayRecord>,
-) -> Vec<&'a GatewayRecord> {
+    hosts: impl Iterator<Item = &'a EntryHostRecord>,
+) -> Vec<&'a EntryHostRecord> {
     let label = pool.label();
     let own = coordinator_rank(pool, &label, name, hall);
     let candidates = hosts.filter(|host| host.name != name && !host.stopping);
@@ -127,7 +127,7 @@
 
 #[derive(Default)]
 struct ClientState {
-    entry_hosts: Vec<GatewayRecord>,
+    entry_hosts: Vec<EntryHostRecord>,
     links: HashMap<SocketAddr, Link>,
     next_number: u64,
     /// Whether this host is about to stop.
@@ -143,7 +143,7 @@
     /// Cached results of [`StageClient::better_coordinators`]. A request looks up the coordinator of each
     /// partition of each pool on its path several times. Ranking 300 hosts and finding the unreachable
     /// halls takes 36 microseconds, and 0.1 from the caches (`measure_coordinator_ranking`, release build).
-    better_coordinators: HashMap<PoolKey, Rc<[GatewayRecord]>>,
+    better_coordinators: HashMap<PoolKey, Rc<[EntryHostRecord]>>,
     /// Cached unreachable halls and the time of their computation; `None` if a connection has changed since.
     unreachable_halls: Option<(Rc<BTreeSet<String>>, Instant)>,
     /// Whether a host is known that no control host lists any more.
@@ -202,18 +202,18 @@
     /// Sets the entry hosts that the control hosts list. An unlisted host to which a connection is up is
     /// kept: otherwise hosts that lost the control hosts and hosts that did not would choose different
     /// coordinators.
-    pub(crate) fn set_entry_hosts(&self, listed_hosts: Vec<GatewayRecord>) {
+    pub(crate) fn set_entry_hosts(&self, listed_hosts: Vec<EntryHostRecord>) {
         let mut state = self.state.borrow_mut();
         let listed: HashSet<&str> = listed_hosts.iter().map(|host| host.name.as_str()).collect();
         let former_hosts = std::mem::take(&mut state.entry_hosts);
         let unlisted = former_hosts.iter();
         let unlisted = unlisted.filter(|record| !listed.contains(record.name.as_str()));
-        let reached: Vec<GatewayRecord> = unlisted
+        let reached: Vec<EntryHostRecord> = unlisted
             .filter(|record| state.is_up(record.peer))
             .cloned()
             .collect();
         state.keeps_unlisted_hosts = !reached.is_empty();
-        let known: Vec<GatewayRecord> = listed_hosts.into_iter().chain(reached).collect();
+        let known: Vec<EntryHostRecord> = listed_hosts.into_iter().chain(reached).collect();
         if known != former_hosts {
             state.clear_rankings();
         }
@@ -368,7 +368,7 @@
     }
 
     /// Returns the hosts that rank before this one as coordinator of a pool, the best first.
-    fn better_coordinators(&self, pool: &PoolKey) -> Rc<[GatewayRecord]> {
+    fn better_coordinators(&self, pool: &PoolKey) -> Rc<[EntryHostRecord]> {
         let mut state = self.state.borrow_mut();
         if let Some(cached) = state.better_coordinators.get(pool) {
             return cached.clone();
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn host(number: u16, stopping: bool) -> GatewayRecord {
-    GatewayRecord {
+fn host(number: u16, stopping: bool) -> EntryHostRecord {
+    EntryHostRecord {
         name: format!("host-{number}"),
         hall: format!("hall-{}", number % 2),
         peer: SocketAddr::from(([127, 0, 0, 1], 1_000 + number)),
@@ -10,8 +10,8 @@
 }
 
 /// Returns the coordinator of a pool as each of the hosts chooses it.
-fn coordinators(pool: &PoolKey, hosts: &[GatewayRecord]) -> Vec<SocketAddr> {
-    let coordinator = |me: &GatewayRecord| {
+fn coordinators(pool: &PoolKey, hosts: &[EntryHostRecord]) -> Vec<SocketAddr> {
+    let coordinator = |me: &EntryHostRecord| {
         let better = better_coordinators(pool, &me.name, &me.hall, me.stopping, hosts.iter());
         better.first().map_or(me.peer, |first| first.peer)
     };
