--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -318,10 +318,7 @@
             .targets
             .borrow_mut()
             .remove(attempt.service, &attempt.chosen.id);
-        gateway
-            .directory
-            .borrow_mut()
-            .relist(&attempt.chosen.id);
+        gateway.directory.borrow_mut().relist(&attempt.chosen.id);
         let cause = "another target or incarnation runs at the address".to_owned();
         return Some(AttemptOutcome::NotRun {
             cause,
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -375,7 +375,7 @@
         }
         let others = state.entry_hosts.iter();
         let better = better_coordinators(pool, &self.name, &self.hall, state.stopping, others);
-        let ranked: Rc<[GatewayRecord]> = better.into_iter().cloned().collect();
+        let ranked: Rc<[EntryHostRecord]> = better.into_iter().cloned().collect();
         state
             .better_coordinators
             .insert(pool.clone(), ranked.clone());
