--- a/crates/directory/src/change_reports.rs
+++ b/crates/directory/src/change_reports.rs
@@ -1,7 +1,7 @@
 //! Telling control hosts what changes of what a process holds.
 
 use linnet_quarantine::SuspectRecord;
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use tokio::sync::watch;
 
 /// Where a process that follows keeps something of which it tells the changes.
@@ -28,7 +28,7 @@
 pub type SuspectSource = ChangeSource<SuspectRecord>;
 
 /// Where a process keeps the rates that targets named.
-pub type RateSource = ChangeSource<RateWord>;
+pub type RateSource = ChangeSource<RateObservation>;
 
 /// What one control host was told of the changes of a source.
 pub(crate) struct ChangeReports<'a, R> {
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use linnet_rollout::PhaseCounts;
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::{
@@ -364,7 +364,7 @@
 ) -> Result<DirectoryUpdate, WireError> {
     let known = reader.form();
     let (update, tail, rates) = reader
-        .receive_tailed::<DirectoryUpdate, FirstUpdate, UpdateTail, Vec<RateWord>>()
+        .receive_tailed::<DirectoryUpdate, FirstUpdate, UpdateTail, Vec<RateObservation>>()
         .await?;
     let update = update.with_tails(tail, rates);
     if let (None, Some(form)) = (known, reader.form()) {
--- a/crates/directory/src/held_requests.rs
+++ b/crates/directory/src/held_requests.rs
@@ -29,14 +29,14 @@
             let key = record.subject.key;
             let known = self.records.entry(key).or_insert_with(|| record.clone());
             known.merge(record);
-            if known.ends.is_empty() {
+            if known.crashes.is_empty() {
                 self.records.remove(&key);
             }
         }
         while self.records.len() > MAX_HELD {
             // The weakest evidence goes first, the same at every replica.
             let weakest = self.records.iter();
-            let weakest = weakest.min_by_key(|(key, one)| (one.ends.len(), **key));
+            let weakest = weakest.min_by_key(|(key, one)| (one.crashes.len(), **key));
             let Some(key) = weakest.map(|(key, _)| *key) else {
                 return;
             };
--- a/crates/directory/src/held_requests/tests.rs
+++ b/crates/directory/src/held_requests/tests.rs
@@ -1,4 +1,4 @@
-use linnet_quarantine::{EndKey, RequestSubject};
+use linnet_quarantine::{CrashKey, RequestSubject};
 
 use super::*;
 
@@ -6,7 +6,7 @@
     let subject = RequestSubject::new("a", "GET", ["h", path], b"");
     let mut record = SuspectRecord::new(subject);
     record.round = round;
-    record.ends = (0..ends).map(|born| EndKey::new("t", born)).collect();
+    record.crashes = (0..ends).map(|born| CrashKey::new("t", born)).collect();
     record.held = ends >= 3;
     record
 }
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -4,7 +4,7 @@
 
 use linnet_quarantine::SuspectRecord;
 use linnet_quorum::{Member, Members, NodeId};
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use linnet_rollout::{PhaseCounts, ReporterCounts, RolloutBook};
 use serde::{Deserialize, Serialize};
 
@@ -93,7 +93,7 @@
     /// What changed of the rates that targets named to it, a part of it at most. It travels behind the
     /// [`ReportTail`].
     #[serde(skip)]
-    pub rates: Vec<RateWord>,
+    pub rates: Vec<RateObservation>,
 }
 
 /// What a subscriber wants of a configuration.
@@ -166,7 +166,7 @@
     pub unled: bool,
     /// What changed of the rates that targets named, a part of it at most. It travels behind the [`UpdateTail`].
     #[serde(skip)]
-    pub rates: Vec<RateWord>,
+    pub rates: Vec<RateObservation>,
 }
 
 /// What stands behind an update since the third form.
@@ -211,7 +211,7 @@
     }
 
     /// Takes what stood behind it.
-    pub(crate) fn with_tails(mut self, tail: UpdateTail, rates: Vec<RateWord>) -> Self {
+    pub(crate) fn with_tails(mut self, tail: UpdateTail, rates: Vec<RateObservation>) -> Self {
         self.rates = rates;
         for (target, version) in self.targets.iter_mut().zip(tail.versions) {
             target.version = version;
--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -1,6 +1,6 @@
 //! The bytes of each message as they were shipped. They never change: a new form has lines of its own.
 
-use linnet_quarantine::{EndKey, RequestSubject};
+use linnet_quarantine::{CrashKey, RequestSubject};
 
 use super::*;
 use crate::{ContentHash, EvacuationOrder};
@@ -56,7 +56,7 @@
     let subject = RequestSubject::new("acme", "GET", ["shop.example", "/once/1"], b"body");
     let mut record = SuspectRecord::new(subject);
     record.round = 2;
-    record.ends.insert(EndKey::new("i-7f3a91c2", 7));
+    record.crashes.insert(CrashKey::new("i-7f3a91c2", 7));
     record.held = true;
     record.trials = 1;
     record.shared = true;
@@ -184,11 +184,11 @@
     assert_eq!(read.tail(), full.tail());
     assert_eq!(DirectoryUpdate::default().tail(), None);
     let report = ReportTail { start: 7, counted };
-    let rates = vec![RateWord {
+    let rates = vec![RateObservation {
         target: "i-7f3a91c2".to_owned(),
-        rate: Some(linnet_rate::NamedRate::new(2.5)),
-        asked_ms: 300,
-        heard_ms: 200,
+        rate_limit: Some(linnet_rate::RateLimit::new(2.5)),
+        sent_age_ms: 300,
+        received_age_ms: 200,
     }];
     let lines = [
         format!("update tail {}", hex(&tail)),
--- a/crates/directory/src/node/rates.rs
+++ b/crates/directory/src/node/rates.rs
@@ -3,20 +3,21 @@
 use std::time::SystemTime;
 
 use linnet_clock::BootInstant;
-use linnet_rate::{RateWord, StartChange};
+use linnet_rate::{IncarnationEffect, RateObservation};
 
 use super::{DirectoryNode, NodeState};
 
 impl NodeState {
     fn note_starts(&mut self, now: BootInstant) {
         let unix_ms = unix_ms();
-        let named: Vec<String> = self.rates.named().map(|(id, _)| id.to_owned()).collect();
+        let named: Vec<String> = self.rates.limits().map(|(id, _)| id.to_owned()).collect();
         for id in named {
             let Some(born) = self.registry.born_of(&id) else {
                 continue;
             };
-            if self.rates.note_start(&id, born, unix_ms, now) == StartChange::Spoken {
-                self.rates.tell_again(&id, now);
+            if self.rates.record_incarnation(&id, born, unix_ms, now) == IncarnationEffect::Retained
+            {
+                self.rates.republish(&id, now);
             }
         }
     }
@@ -29,7 +30,7 @@
 
 impl DirectoryNode {
     /// Takes what targets said of their rates, and tells the others what is news to them.
-    pub(crate) fn take_rates(&self, words: &[RateWord]) {
+    pub(crate) fn take_rates(&self, words: &[RateObservation]) {
         if words.is_empty() {
             return;
         }
@@ -55,9 +56,9 @@
         }
         let now = BootInstant::now();
         state.rates.expire(now);
-        let before = state.rates.number();
+        let before = state.rates.revision();
         state.note_starts(now);
-        let news = state.rates.number() > before;
+        let news = state.rates.revision() > before;
         drop(state);
         if news {
             self.wake();
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linnet_quarantine::SuspectBook;
-use linnet_rate::RateBook;
+use linnet_quarantine::SuspectStore;
+use linnet_rate::RateStore;
 use linnet_rollout::{EvidenceBook, ExposureRule};
 use linnet_wire::MessageForm;
 
@@ -33,10 +33,10 @@
 pub(crate) struct NodeState {
     pub(crate) registry: Registry,
     /// What is held against requests that may end targets.
-    pub(crate) suspects: SuspectBook,
+    pub(crate) suspects: SuspectStore,
     pub(crate) living: LivingTargets,
     /// The rates that targets named to entry hosts.
-    pub(crate) rates: RateBook,
+    pub(crate) rates: RateStore,
     /// What entry hosts counted for roll-outs.
     pub(crate) evidence: EvidenceBook,
     /// What a version may be exposed to before it is known to be good.
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use linnet_quarantine::{EndKey, RequestKey, SuspectRecord};
+use linnet_quarantine::{CrashKey, RequestKey, SuspectRecord};
 use linnet_telemetry::EventCode;
 use linnet_wire::MessageForm;
 use tokio::time::sleep;
@@ -22,13 +22,13 @@
 /// The last heartbeat of each start of a target when its end was first heard of here.
 #[derive(Default)]
 pub(crate) struct LivingTargets {
-    sequences: HashMap<EndKey, u64>,
+    sequences: HashMap<CrashKey, u64>,
 }
 
 impl LivingTargets {
     /// Takes a heartbeat that is known of a start whose end is held against requests; says whether it
     /// proves that there was no end.
-    fn take(&mut self, end: EndKey, sequence: u64) -> bool {
+    fn take(&mut self, end: CrashKey, sequence: u64) -> bool {
         let first = *self.sequences.entry(end).or_insert(sequence);
         sequence >= first + LIVING_HEARTBEATS
     }
@@ -38,15 +38,15 @@
     /// Takes back the ends of targets that run on; returns the requests that they were held against.
     fn retract_living(&mut self) -> Vec<RequestKey> {
         let targets = self.registry.records();
-        let ends = targets.map(|one| (EndKey::new(&one.id, one.born), one.sequence));
-        let known = self.suspects.known_ends();
-        let accused: Vec<(EndKey, u64)> = ends.filter(|(end, _)| known.contains(end)).collect();
+        let ends = targets.map(|one| (CrashKey::new(&one.id, one.born), one.sequence));
+        let known = self.suspects.known_crashes();
+        let accused: Vec<(CrashKey, u64)> = ends.filter(|(end, _)| known.contains(end)).collect();
         let living = &mut self.living;
         living.sequences.retain(|end, _| known.contains(end));
         let mut freed = Vec::new();
         for (end, sequence) in accused {
             if living.take(end, sequence) {
-                freed.extend(self.suspects.retract(end));
+                freed.extend(self.suspects.retract_crash(end));
             }
         }
         freed
@@ -108,7 +108,7 @@
 
     /// Frees a request at an operator's word; says whether anything was held against it.
     pub fn release_suspect(&self, key: RequestKey) -> bool {
-        let known = self.lock().suspects.acquit(key);
+        let known = self.lock().suspects.clear_request(key);
         if known {
             let detail = format!("key={key} cause=an operator");
             self.record(EventCode::RequestReleased, &detail);
@@ -123,11 +123,11 @@
         if state.suspects.is_empty() {
             return;
         }
-        let before = state.suspects.number();
-        state.suspects.settle(now);
+        let before = state.suspects.revision();
+        state.suspects.decide_due(now);
         let freed = state.retract_living();
         state.suspects.expire(now);
-        let changed = state.suspects.number() != before;
+        let changed = state.suspects.revision() != before;
         drop(state);
         for key in freed {
             let detail = format!("key={key} cause=its target runs on");
--- a/crates/directory/src/node/suspects/tests.rs
+++ b/crates/directory/src/node/suspects/tests.rs
@@ -30,7 +30,9 @@
     let mut state = NodeState::default();
     let subject = RequestSubject::new("a", "GET", ["h", "/x"], b"");
     state.registry.take_heartbeat(heartbeat(7, 20), now);
-    state.suspects.accuse(&subject, EndKey::new("t", 7), now);
+    state
+        .suspects
+        .record_crash(&subject, CrashKey::new("t", 7), now);
     for sequence in 20..23 {
         state.registry.take_heartbeat(heartbeat(7, sequence), now);
         assert!(state.retract_living().is_empty(), "heartbeat {sequence}");
@@ -46,7 +48,9 @@
     let mut state = NodeState::default();
     let subject = RequestSubject::new("a", "GET", ["h", "/x"], b"");
     state.registry.take_heartbeat(heartbeat(7, 20), now);
-    state.suspects.accuse(&subject, EndKey::new("t", 7), now);
+    state
+        .suspects
+        .record_crash(&subject, CrashKey::new("t", 7), now);
     assert!(state.retract_living().is_empty());
     for sequence in 1..60 {
         state.registry.take_heartbeat(heartbeat(8, sequence), now);
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_clock::BootInstant;
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use linnet_rollout::RolloutBook;
 use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
 use tokio::sync::{Notify, watch};
@@ -179,7 +179,7 @@
 ) -> Result<SubscriberReport, WireError> {
     let known = reader.form();
     let (mut report, tail, rates) = reader
-        .receive_tailed::<SubscriberReport, FirstReport, ReportTail, Vec<RateWord>>()
+        .receive_tailed::<SubscriberReport, FirstReport, ReportTail, Vec<RateObservation>>()
         .await?;
     report.rates = rates;
     report.start = tail.start;
@@ -322,13 +322,13 @@
             .suspects
             .shared_after(pushed.suspects, SUSPECTS_AT_ONCE, now),
     };
-    pushed.suspects = suspects.number;
+    pushed.suspects = suspects.revision;
     update.suspects = suspects.records;
     let rates = state
         .rates
         .changed_after(pushed.rates, RATES_AT_ONCE, true, BootInstant::now());
-    pushed.rates = rates.number;
-    update.rates = rates.words;
+    pushed.rates = rates.revision;
+    update.rates = rates.observations;
     if !state.wants_lists(pushed.subscriber) {
         // All of it is told once it wants lists from here.
         pushed.number = 0;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -18,12 +18,12 @@
 use crate::closed_service::rate_patience;
 use crate::events::EventSplitter;
 use crate::graph::RequestResults;
-use crate::in_flight::InFlight;
-use crate::notice::read_notice;
-use crate::rate_permit::SendPermit;
+use crate::in_flight::InFlightGuard;
+use crate::notice::parse_notice;
 use crate::send_gate::SendKind;
+use crate::send_permit::SendPermit;
 use crate::stage_client::Placement;
-use crate::target::Chosen;
+use crate::target::ChosenTarget;
 use crate::upstream::{Lease, SendError, is_break};
 
 /// The least time that an attempt gets before a repeatable request goes to another target.
@@ -85,7 +85,7 @@
     pub(crate) splitter: EventSplitter,
     pub(crate) lease: Lease,
     /// Counts the request at its target while the stream lasts.
-    pub(crate) _in_flight: InFlight,
+    pub(crate) _in_flight: InFlightGuard,
     /// Counts the prompt at the host that placed it.
     pub(crate) _placement: Option<Placement>,
 }
@@ -93,7 +93,7 @@
 /// One sending to one target.
 pub(crate) struct Attempt<'a> {
     pub(crate) service: &'a str,
-    pub(crate) chosen: &'a Chosen,
+    pub(crate) chosen: &'a ChosenTarget,
     /// Counts the prompt at the host that placed it.
     pub(crate) placement: Option<Placement>,
     pub(crate) results: Option<&'a RequestResults>,
@@ -108,12 +108,12 @@
     attempt: Attempt<'_>,
     more: bool,
 ) -> AttemptEnd {
-    let mut in_flight = InFlight::new(gateway, attempt.service, &attempt.chosen.id, ask);
+    let mut in_flight = InFlightGuard::new(gateway, attempt.service, &attempt.chosen.id, ask);
     let Some(permit) = take_leave(gateway, ask, &attempt).await else {
-        in_flight.forget();
+        in_flight.discard_timing();
         return AttemptEnd::Withheld;
     };
-    in_flight.note_sending();
+    in_flight.mark_sent();
     let left = ask.time_left();
     let bound = if more {
         patience(ask, &attempt, left)
@@ -129,7 +129,7 @@
     });
     gateway.count_attempt(ask, (service, chosen), &end, sent.elapsed(), facts);
     if let AttemptEnd::MayHaveRun { broke: true, .. } = end {
-        gateway.note_break(service, chosen, ask, sent).await;
+        gateway.probe_after_break(service, chosen, ask, sent).await;
     }
     end
 }
@@ -138,7 +138,7 @@
 async fn take_leave(gateway: &Gateway, ask: &Ask, attempt: &Attempt<'_>) -> Option<SendPermit> {
     let target = &attempt.chosen.id;
     let within = rate_patience(gateway, attempt.service, ask, target);
-    let permit = gateway.notices.rates.take_permit(target, within).await;
+    let permit = gateway.notices.rates.acquire_permit(target, within).await;
     if permit.is_none() {
         gateway.notices.count_withheld(target);
     }
@@ -163,7 +163,7 @@
     ask: &Ask,
     mut attempt: Attempt<'_>,
     left: Duration,
-    (mut in_flight, permit): (InFlight, SendPermit),
+    (mut in_flight, permit): (InFlightGuard, SendPermit),
 ) -> AttemptEnd {
     let chosen = attempt.chosen;
     let addition = Addition {
@@ -190,7 +190,7 @@
     let (answer, lease) = match gateway.pool.send(chosen.address, request, gate).await {
         Ok(answered) => answered,
         Err(SendError::Withheld) => {
-            in_flight.forget();
+            in_flight.discard_timing();
             return AttemptEnd::Withheld;
         }
         Err(SendError::NotSent(cause)) => {
@@ -209,9 +209,9 @@
         }
     };
     let (head, body) = answer.into_parts();
-    let notice = read_notice(&gateway.config.dialect, &head, Some(&ask.id));
-    gateway.notices.note(&chosen.id, notice, asked);
-    if notice.closes() {
+    let notice = parse_notice(&gateway.config.dialect, &head, Some(&ask.id));
+    gateway.notices.record_response(&chosen.id, notice, asked);
+    if notice.stops_work() {
         hint_placer(gateway, &attempt);
     }
     if let Some(refused) = read_refusal(gateway, &attempt, &head) {
@@ -251,7 +251,7 @@
                 gateway
                     .targets
                     .borrow_mut()
-                    .note_success(attempt.service, &chosen.id);
+                    .record_success(attempt.service, &chosen.id);
                 AttemptEnd::Events(Box::new(EventStream {
                     status,
                     headers,
@@ -276,7 +276,7 @@
                 gateway
                     .targets
                     .borrow_mut()
-                    .note_success(attempt.service, &chosen.id);
+                    .record_success(attempt.service, &chosen.id);
             }
             AttemptEnd::Whole(head.status, head.headers, body.to_bytes())
         }
@@ -295,7 +295,7 @@
     placement.note_unreachable(service, engine);
     // Where this host places itself.
     let mut targets = gateway.targets.borrow_mut();
-    targets.take_unreachable(service, engine, Instant::now());
+    targets.apply_peer_unreachable(service, engine, Instant::now());
 }
 
 fn read_refusal(
@@ -322,7 +322,7 @@
         let inputs_gone = head.status == dialect.targets.inputs_gone;
         if !inputs_gone {
             let mut targets = gateway.targets.borrow_mut();
-            targets.note_refused(attempt.service, &attempt.chosen.id, Instant::now());
+            targets.record_refusal(attempt.service, &attempt.chosen.id, Instant::now());
         }
         return Some(AttemptEnd::NotRun {
             cause,
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -11,7 +11,7 @@
 use crate::engine::PlaceAsk;
 use crate::graph::RequestResults;
 use crate::stage_client::Placement;
-use crate::target::{Chosen, Target, TargetBook};
+use crate::target::{ChosenTarget, Target, TargetStore};
 use crate::{Refusal, RefusalReason};
 
 /// Targets that the host which places prompts is asked to pass over, at most.
@@ -61,7 +61,7 @@
     ask: &Ask,
     passed: PassedTargets<'_>,
     results: Option<&RequestResults>,
-) -> Result<(Chosen, Option<Placement>), Refusal> {
+) -> Result<(ChosenTarget, Option<Placement>), Refusal> {
     for _ in 0..MOST_CHOICES {
         if let Some(chosen) = choose(gateway, service, ask, passed, results).await {
             return Ok(chosen);
@@ -84,7 +84,7 @@
     ask: &Ask,
     passed: PassedTargets<'_>,
     results: Option<&RequestResults>,
-) -> Option<(Chosen, Option<Placement>)> {
+) -> Option<(ChosenTarget, Option<Placement>)> {
     if let Some(place) = place_ask(gateway, service, ask, passed, results) {
         let (chosen, placement) = gateway.stages.place(&gateway.targets, place).await?;
         return Some((chosen, Some(placement)));
@@ -93,7 +93,7 @@
     let closed = gateway
         .targets
         .borrow_mut()
-        .closed_by_cold(service, hosts, now);
+        .throttled_cold_targets(service, hosts, now);
     let book = gateway.targets.borrow();
     let closed_here = closed_here(gateway, &book, service, ask, passed);
     let usable = book.usable(service, now);
@@ -107,10 +107,10 @@
         target.load(other_hall, now) + DRAWN_LOAD * fastrand::f64()
     };
     let scored = fresh.map(|target| (load(target), target));
-    let best = Chosen::new(scored.min_by(|a, b| a.0.total_cmp(&b.0))?.1);
+    let best = ChosenTarget::new(scored.min_by(|a, b| a.0.total_cmp(&b.0))?.1);
     drop(book);
     let mut book = gateway.targets.borrow_mut();
-    book.note_cold_sending(service, &best.id, hosts, now);
+    book.record_cold_send(service, &best.id, hosts, now);
     Some((best, None))
 }
 
@@ -118,15 +118,17 @@
 /// those that other accounts are confined to, or its own is not.
 fn closed_here(
     gateway: &Gateway,
-    book: &TargetBook,
+    book: &TargetStore,
     service: &str,
     ask: &Ask,
     passed: PassedTargets<'_>,
 ) -> Vec<String> {
     let mut closed = gateway.suspects.closed_targets(book, service, ask);
-    closed.extend(gateway.notices.closed(book.ids_of(service)));
+    closed.extend(gateway.notices.closed_targets(book.ids_of_service(service)));
     if passed.rated && has_unrated(gateway, service, ask) {
-        let rated = book.ids_of(service).filter(|id| book.rate(id).is_some());
+        let rated = book
+            .ids_of_service(service)
+            .filter(|id| book.rate_limit(id).is_some());
         closed.extend(rated.cloned());
     }
     closed
@@ -150,7 +152,7 @@
     let book = gateway.targets.borrow();
     let places = results.map(|results| results.places(ask, &book));
     // The host that places may not know yet what this one cannot reach.
-    let out_of_reach = book.passed_over(service, Instant::now());
+    let out_of_reach = book.avoided(service, Instant::now());
     let avoid = passed
         .tried
         .iter()
--- a/crates/gateway/src/closed_service.rs
+++ b/crates/gateway/src/closed_service.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use linnet_clock::BootInstant;
-use linnet_rate::NamedRate;
+use linnet_rate::RateLimit;
 use tokio::time::sleep;
 
 use crate::Gateway;
 use crate::ask::Ask;
 use crate::open_request::OpenRequest;
 use crate::target::Target;
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 use crate::{Refusal, RefusalReason};
 
 /// Part of the time until its objective is missed that a request waits for a target; the rest is for its work.
@@ -59,11 +59,11 @@
             && !tried.contains(&target.id)
     });
     let opens = targets.filter_map(|target| {
-        let (left, paced) = match gateway.notices.standing(&target.id, now) {
-            TargetStanding::Open => (Duration::ZERO, false),
-            TargetStanding::BackedOff(left) => (left, false),
-            TargetStanding::Paced(left) => (left, true),
-            TargetStanding::Leaving => return None,
+        let (left, paced) = match gateway.notices.availability(&target.id, now) {
+            TargetAvailability::Open => (Duration::ZERO, false),
+            TargetAvailability::BackedOff(left) => (left, false),
+            TargetAvailability::RateLimited(left) => (left, true),
+            TargetAvailability::Leaving => return None,
         };
         Some(NextOpening { left, paced })
     });
@@ -73,7 +73,7 @@
 /// Returns how long a request waits for leave to go to a target that names a rate: not at all where another target is
 /// open that names none.
 pub(crate) fn rate_patience(gateway: &Gateway, service: &str, ask: &Ask, target: &str) -> Duration {
-    if gateway.notices.rates.rate(target).is_none() {
+    if gateway.notices.rates.rate_limit(target).is_none() {
         return Duration::ZERO;
     }
     match has_unrated(gateway, service, ask) {
@@ -89,8 +89,8 @@
     let mut usable = book.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
         ask.homes.allow(&one.hall)
-            && book.rate(&one.id).is_none()
-            && gateway.notices.standing(&one.id, now) == TargetStanding::Open
+            && book.rate_limit(&one.id).is_none()
+            && gateway.notices.availability(&one.id, now) == TargetAvailability::Open
     })
 }
 
@@ -102,14 +102,14 @@
 }
 
 /// Returns the sum of the rates of the targets that may run a request; nothing where one of them takes any.
-fn rate_sum(gateway: &Gateway, service: &str, ask: &Ask) -> Option<NamedRate> {
+fn rate_sum(gateway: &Gateway, service: &str, ask: &Ask) -> Option<RateLimit> {
     if gateway.notices.rates.is_empty() {
         return None;
     }
     let book = gateway.targets.borrow();
     let usable = book.usable(service, Instant::now()).into_iter();
     let usable = usable.filter(|target| ask.homes.allow(&target.hall));
-    let rates = usable.map(|target| book.rate(&target.id));
+    let rates = usable.map(|target| book.rate_limit(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
 
@@ -127,7 +127,9 @@
         return Ok(());
     };
     let rates = &gateway.notices.rates;
-    let taken = rates.take_turn(service, sum, ranked_patience(ask)).await;
+    let taken = rates
+        .acquire_service_permit(service, sum, ranked_patience(ask))
+        .await;
     taken.map_err(|left| paced(gateway, service, ask, left))
 }
 
@@ -202,7 +204,7 @@
         left.as_millis()
     );
     let sum = rate_sum(gateway, service, ask);
-    let turn = sum.map(|sum| gateway.notices.rates.return_turn(service, sum));
+    let turn = sum.map(|sum| gateway.notices.rates.retry_after(service, sum));
     let back = left.max(turn.unwrap_or_default()).min(MOST_TOLD);
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(spread(back))
 }
--- a/crates/gateway/src/confinement.rs
+++ b/crates/gateway/src/confinement.rs
@@ -7,33 +7,33 @@
 use std::time::{Duration, Instant};
 
 use crate::rendezvous::ScoreKey;
-use crate::target::TargetBook;
+use crate::target::TargetStore;
 
 /// Part of the targets of a service that confined accounts use; one at least, and none where there is only one.
-const CONFINED_PART: f64 = 1.0 / 6.0;
+const CONFINED_FRACTION: f64 = 1.0 / 6.0;
 
 /// What the targets are ranked by for it.
-const RANKING: &str = "confined accounts";
+const RANKING_LABEL: &str = "confined accounts";
 
 /// How long a target counts that is not listed any more. One that ends time and again is silent for moments; with the
 /// share worked out from the others alone it moved to one of theirs.
-const REMEMBERED: Duration = Duration::from_secs(30);
+const TARGET_RETENTION: Duration = Duration::from_secs(30);
 
 /// The targets of each service that are listed, or were until a while ago.
 #[derive(Default)]
-pub(crate) struct RememberedTargets {
+pub(crate) struct RecentTargets {
     services: HashMap<String, BTreeMap<String, Instant>>,
 }
 
-impl RememberedTargets {
+impl RecentTargets {
     /// Takes the targets that are listed now.
-    pub(crate) fn note(&mut self, book: &TargetBook, now: Instant) {
-        for (service, id) in book.all_ids() {
+    pub(crate) fn record(&mut self, targets: &TargetStore, now: Instant) {
+        for (service, id) in targets.all_ids() {
             let known = self.services.entry(service.clone()).or_default();
             known.insert(id.clone(), now);
         }
         for known in self.services.values_mut() {
-            known.retain(|_, listed| now.saturating_duration_since(*listed) < REMEMBERED);
+            known.retain(|_, listed| now.saturating_duration_since(*listed) < TARGET_RETENTION);
         }
     }
 
@@ -46,27 +46,27 @@
     /// for one of theirs, and those within it for any other.
     pub(crate) fn closed_targets(
         &self,
-        book: &TargetBook,
+        targets: &TargetStore,
         service: &str,
-        confined: bool,
+        is_confined: bool,
     ) -> Vec<String> {
-        let remembered = self.services.get(service).into_iter();
-        let remembered = remembered.flat_map(BTreeMap::keys);
-        let ids: BTreeSet<&String> = remembered.chain(book.ids_of(service)).collect();
-        closed_of(ids, confined)
+        let recent = self.services.get(service).into_iter();
+        let recent = recent.flat_map(BTreeMap::keys);
+        let ids: BTreeSet<&String> = recent.chain(targets.ids_of_service(service)).collect();
+        select_closed_targets(ids, is_confined)
     }
 }
 
-fn closed_of(ids: BTreeSet<&String>, confined: bool) -> Vec<String> {
-    let key = ScoreKey::new(RANKING);
+fn select_closed_targets(ids: BTreeSet<&String>, is_confined: bool) -> Vec<String> {
+    let key = ScoreKey::new(RANKING_LABEL);
     let mut ranked: Vec<(u64, &String)> = ids.into_iter().map(|id| (key.score(id), id)).collect();
     if ranked.len() < 2 {
         return Vec::new();
     }
     ranked.sort_unstable();
-    let share = ((ranked.len() as f64 * CONFINED_PART) as usize).max(1);
+    let share = ((ranked.len() as f64 * CONFINED_FRACTION) as usize).max(1);
     let (within, outside) = ranked.split_at(share);
-    let closed = if confined { outside } else { within };
+    let closed = if is_confined { outside } else { within };
     closed.iter().map(|(_, id)| (*id).clone()).collect()
 }
 
--- a/crates/gateway/src/confinement/tests.rs
+++ b/crates/gateway/src/confinement/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
-use crate::target::tests::{SERVICE, book, record};
+use crate::target::tests::{SERVICE, record, store_with};
 
-fn closed_targets(book: &TargetBook, service: &str, confined: bool) -> Vec<String> {
-    RememberedTargets::default().closed_targets(book, service, confined)
+fn closed_targets(store: &TargetStore, service: &str, confined: bool) -> Vec<String> {
+    RecentTargets::default().closed_targets(store, service, confined)
 }
 
 #[test]
-fn confined_accounts_and_the_others_share_no_target() {
+fn confined_and_other_accounts_share_no_target() {
     for targets in 2..40 {
-        let book = book(targets);
-        let mut closed = closed_targets(&book, SERVICE, true);
-        let for_others = closed_targets(&book, SERVICE, false);
+        let store = store_with(targets);
+        let mut closed = closed_targets(&store, SERVICE, true);
+        let for_others = closed_targets(&store, SERVICE, false);
         // Each target is open for the ones or the others.
         assert_eq!(for_others.len(), (usize::from(targets) / 6).max(1));
         closed.extend(for_others);
@@ -18,26 +18,26 @@
         closed.dedup();
         assert_eq!(closed.len(), usize::from(targets));
     }
-    assert!(closed_targets(&book(1), SERVICE, true).is_empty());
-    assert!(closed_targets(&book(1), SERVICE, false).is_empty());
+    assert!(closed_targets(&store_with(1), SERVICE, true).is_empty());
+    assert!(closed_targets(&store_with(1), SERVICE, false).is_empty());
 }
 
 /// A target that ends time and again is not listed for moments.
 #[test]
-fn the_share_of_confined_accounts_stays_while_its_target_is_not_listed() {
+fn the_share_of_confined_accounts_is_stable_while_its_target_is_not_listed() {
     let now = Instant::now();
-    let mut remembered = RememberedTargets::default();
-    let whole = book(6);
-    remembered.note(&whole, now);
-    let within = remembered.closed_targets(&whole, SERVICE, false);
-    let mut rest = TargetBook::default();
+    let mut recent = RecentTargets::default();
+    let whole = store_with(6);
+    recent.record(&whole, now);
+    let within = recent.closed_targets(&whole, SERVICE, false);
+    let mut rest = TargetStore::default();
     let ports = (0..6).map(|number| record(&format!("t-{number}"), number));
     let records: Vec<_> = ports.filter(|one| !within.contains(&one.id)).collect();
     assert_eq!(records.len(), 5);
     rest.replace(&records, now);
-    remembered.note(&rest, now + Duration::from_secs(1));
-    assert_eq!(remembered.closed_targets(&rest, SERVICE, false), within);
-    assert_eq!(remembered.closed_targets(&rest, SERVICE, true).len(), 5);
-    remembered.note(&rest, now + REMEMBERED);
-    assert_ne!(remembered.closed_targets(&rest, SERVICE, false), within);
+    recent.record(&rest, now + Duration::from_secs(1));
+    assert_eq!(recent.closed_targets(&rest, SERVICE, false), within);
+    assert_eq!(recent.closed_targets(&rest, SERVICE, true).len(), 5);
+    recent.record(&rest, now + TARGET_RETENTION);
+    assert_ne!(recent.closed_targets(&rest, SERVICE, false), within);
 }
--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -12,7 +12,7 @@
 use super::queue::Coordinator;
 use crate::pool_key::PoolKey;
 use crate::stage_call::{CallEnd, CallPart, StageCall};
-use crate::target_end::PROBE_PATIENCE;
+use crate::target_crash::PROBE_TIMEOUT;
 use crate::upstream::ProbeOutcome;
 
 /// How much longer than expected a call is waited for in all, as a factor and a span.
@@ -50,7 +50,7 @@
         return end;
     };
     let probe = timeout(
-        PROBE_PATIENCE,
+        PROBE_TIMEOUT,
         coordinator.caller.upstream.probe(call.address),
     );
     // A target that was withdrawn ends its connections itself.
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -10,7 +10,7 @@
 use crate::cold::{ColdRate, SendWindow};
 use crate::load::ReportedLoad;
 use crate::piece::TargetUse;
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 
 /// How long a target rests after a call that failed or was late.
 const FAILED_REST: Duration = Duration::from_millis(400);
@@ -171,11 +171,13 @@
     }
 
     /// Takes what it asked of this host.
-    pub(super) fn set_standing(&mut self, standing: TargetStanding, now: Instant) {
-        self.leaving = standing == TargetStanding::Leaving;
+    pub(super) fn set_standing(&mut self, standing: TargetAvailability, now: Instant) {
+        self.leaving = standing == TargetAvailability::Leaving;
         self.backed_off_until = match standing {
-            TargetStanding::BackedOff(left) | TargetStanding::Paced(left) => Some(now + left),
-            TargetStanding::Open | TargetStanding::Leaving => None,
+            TargetAvailability::BackedOff(left) | TargetAvailability::RateLimited(left) => {
+                Some(now + left)
+            }
+            TargetAvailability::Open | TargetAvailability::Leaving => None,
         };
     }
 
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -18,7 +18,7 @@
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, maker_of};
 use crate::pool_key::PoolKey;
 use crate::stage_call::{CallEnd, StageRelease};
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 use crate::version_split::VersionSplit;
 
 /// How often a piece is given to a target before it counts as failed.
@@ -324,7 +324,12 @@
     }
 
     /// Takes what the target of a call has asked of this host.
-    pub(super) fn set_standing(&mut self, call: &DueCall, standing: TargetStanding, now: Instant) {
+    pub(super) fn set_standing(
+        &mut self,
+        call: &DueCall,
+        standing: TargetAvailability,
+        now: Instant,
+    ) {
         let pool = self.pools.get_mut(&call.pool);
         let target = pool.and_then(|pool| pool.targets.get_mut(&call.target));
         if let Some(target) = target.filter(|target| target.born == call.born) {
--- a/crates/gateway/src/coordinator/state/tests/asked.rs
+++ b/crates/gateway/src/coordinator/state/tests/asked.rs
@@ -1,13 +1,13 @@
 //! Stage targets that want no calls of this host for a while, or leave.
 
 use super::*;
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 
 const WAIT: Duration = Duration::from_secs(2);
 
 /// Ends a call that its target turned away, asking for a time.
 fn turn_away(state: &mut QueueState, call: DueCall, now: Instant) -> Finished {
-    state.set_standing(&call, TargetStanding::BackedOff(WAIT), now);
+    state.set_standing(&call, TargetAvailability::BackedOff(WAIT), now);
     state.finish_call(call, CallEnd::Busy, false, now)
 }
 
@@ -88,7 +88,7 @@
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
-    state.set_standing(&call, TargetStanding::Leaving, now);
+    state.set_standing(&call, TargetAvailability::Leaving, now);
     finish(&mut state, call, CallEnd::Busy, false);
     let later = now + WAIT;
     assert!(state.due_calls(&key(), later).is_empty());
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -13,7 +13,7 @@
 use crate::cold::{ColdRate, SendWindow};
 use crate::pool_key::place_key;
 use crate::rendezvous::ScoreKey;
-use crate::target::{Chosen, Target, TargetBook};
+use crate::target::{ChosenTarget, Target, TargetStore};
 
 use hall_weights::HallWeights;
 pub(crate) use place_ask::{PlaceAsk, PlaceFacts};
@@ -170,7 +170,12 @@
     /// The shared part is taken to lie at the engines where it was used lately; where none is known,
     /// at the engine that every host ranks first for it. On any other it has to be read anew, which
     /// counts like a wait.
-    pub(crate) fn choose(&self, book: &TargetBook, ask: &PlaceAsk, now: Instant) -> Option<Chosen> {
+    pub(crate) fn choose(
+        &self,
+        book: &TargetStore,
+        ask: &PlaceAsk,
+        now: Instant,
+    ) -> Option<ChosenTarget> {
         let mut usable = book.usable(&ask.service, now);
         usable.retain(|engine| !ask.closed.contains(&engine.id));
         if let Some(homes) = &ask.homes {
@@ -187,7 +192,7 @@
             candidates = usable;
         }
         if ask.apart {
-            return self.emptiest(candidates).map(Chosen::new);
+            return self.emptiest(candidates).map(ChosenTarget::new);
         }
         let weights = ask
             .heavy_stage
@@ -228,13 +233,13 @@
             .into_iter()
             .min_by(|a, b| a.cost.total_cmp(&b.cost).then(b.rank.total_cmp(&a.rank)))?
             .target;
-        Some(Chosen::new(best))
+        Some(ChosenTarget::new(best))
     }
 
     /// Returns those of some engines among which a prompt is placed; all where none of them may be used.
     fn of_part<'a>(
         &self,
-        book: &TargetBook,
+        book: &TargetStore,
         ask: &PlaceAsk,
         usable: Vec<&'a Target>,
     ) -> Vec<&'a Target> {
@@ -265,17 +270,17 @@
     }
 
     /// Says whether a prompt that is placed now could be sent soon by the rate of its engine.
-    fn has_rate_room(&self, book: &TargetBook, engine: &str) -> bool {
+    fn has_rate_room(&self, book: &TargetStore, engine: &str) -> bool {
         let paced = self
             .paced
             .get(engine)
-            .filter(|_| book.rate(engine).is_some());
-        paced.is_none_or(|pacer| pacer.wait(BootInstant::now()) <= PLACED_AHEAD)
+            .filter(|_| book.rate_limit(engine).is_some());
+        paced.is_none_or(|pacer| pacer.time_until_next(BootInstant::now()) <= PLACED_AHEAD)
     }
 
     /// Counts a prompt where its engine names a rate.
-    fn note_rate(&mut self, book: &TargetBook, engine: &str) {
-        let Some(rate) = book.rate(engine) else {
+    fn note_rate(&mut self, book: &TargetStore, engine: &str) {
+        let Some(rate) = book.rate_limit(engine) else {
             self.paced.remove(engine);
             return;
         };
@@ -288,7 +293,7 @@
     }
 
     /// Counts a prompt where its engine is cold.
-    fn note_cold(&mut self, book: &TargetBook, service: &str, engine: &str, now: Instant) {
+    fn note_cold(&mut self, book: &TargetStore, service: &str, engine: &str, now: Instant) {
         let Some(rate) = book.cold_rate(service) else {
             return;
         };
@@ -354,10 +359,10 @@
     /// Says where a prompt would be placed now.
     pub(crate) fn plan(
         &self,
-        book: &TargetBook,
+        book: &TargetStore,
         ask: &PlaceAsk,
         now: Instant,
-    ) -> Option<(Chosen, PlaceFacts)> {
+    ) -> Option<(ChosenTarget, PlaceFacts)> {
         let chosen = self.choose(book, ask, now)?;
         let held = held_tokens(&self.holders_of(&ask.prompt.shared), &chosen.id);
         let ahead = self.loads.get(&chosen.id).map_or(0, |load| load.unread);
@@ -374,10 +379,10 @@
     /// Chooses an engine and counts the prompt there until [`EnginePlacer::end`].
     pub(crate) fn place(
         &mut self,
-        book: &TargetBook,
+        book: &TargetStore,
         ask: &PlaceAsk,
         now: Instant,
-    ) -> Option<(PlacementKey, Chosen, PlaceFacts)> {
+    ) -> Option<(PlacementKey, ChosenTarget, PlaceFacts)> {
         let (chosen, facts) = self.plan(book, ask, now)?;
         self.note_cold(book, &ask.service, &chosen.id, now);
         self.note_rate(book, &chosen.id);
--- a/crates/gateway/src/engine/hall_weights.rs
+++ b/crates/gateway/src/engine/hall_weights.rs
@@ -1,6 +1,6 @@
 //! Shares of the data halls in the prompts of a service.
 
-use crate::target::TargetBook;
+use crate::target::TargetStore;
 
 /// The least weight of a hall.
 const LEAST_WEIGHT: f64 = 0.02;
@@ -14,7 +14,7 @@
 impl<'a> HallWeights<'a> {
     /// Creates weights that give each hall as many requests as it has targets for the stages with
     /// large results, so that these need not cross halls.
-    pub(crate) fn new(book: &'a TargetBook, service: &str, stage_service: &str) -> Self {
+    pub(crate) fn new(book: &'a TargetStore, service: &str, stage_service: &str) -> Self {
         let stages = book.hall_counts(stage_service);
         let weight = |(hall, engines): &'a (String, u32)| {
             let found = stages.iter().find(|(other, _)| other == hall);
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -26,11 +26,11 @@
 }
 
 /// Six engines in each of three halls, and targets of a heavy stage: two, two and one.
-fn book() -> TargetBook {
+fn book() -> TargetStore {
     let engines = (0..18).map(|number| record(number, "engine", number % 3));
     let stages = [0, 0, 1, 1, 2].into_iter().enumerate();
     let stages = stages.map(|(number, hall)| record(number, "stage", hall));
-    let mut book = TargetBook::default();
+    let mut book = TargetStore::default();
     book.replace(&engines.chain(stages).collect::<Vec<_>>(), Instant::now());
     book
 }
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -17,7 +17,7 @@
 /// Prompts a second in a burst of 2.4 times.
 const PROMPTS_PER_S: u64 = 700;
 
-fn cold_book(cold_ms: u32, now: Instant) -> TargetBook {
+fn cold_book(cold_ms: u32, now: Instant) -> TargetStore {
     let records: Vec<TargetRecord> = (0..ENGINES)
         .map(|number| {
             let mut record = record(number, "engine", number % HALLS);
@@ -25,7 +25,7 @@
             record
         })
         .collect();
-    let mut book = TargetBook::default();
+    let mut book = TargetStore::default();
     book.replace(&records, now);
     book.set_services(&RoutingConfig {
         services: vec![Service {
@@ -44,7 +44,7 @@
 /// Places the prompts of some seconds on engines, all with the same shared part or each with its own;
 /// returns what each engine got, in milliseconds. With `placers` above 1 they take turns and know nothing
 /// of each other.
-fn play_burst(same_part: bool, placers: usize, book: &TargetBook) -> BTreeMap<String, Vec<u64>> {
+fn play_burst(same_part: bool, placers: usize, book: &TargetStore) -> BTreeMap<String, Vec<u64>> {
     let began = Instant::now();
     let mut all: Vec<EnginePlacer> = (0..placers).map(|_| EnginePlacer::default()).collect();
     let mut sent: BTreeMap<String, Vec<u64>> = BTreeMap::new();
@@ -70,7 +70,7 @@
     (0..times.len()).map(within).max().unwrap_or(0)
 }
 
-fn most_of_cold(sent: &BTreeMap<String, Vec<u64>>, book: &TargetBook, now: Instant) -> usize {
+fn most_of_cold(sent: &BTreeMap<String, Vec<u64>>, book: &TargetStore, now: Instant) -> usize {
     let cold = sent
         .iter()
         .filter(|(id, _)| book.is_cold("engine", id, now));
@@ -119,7 +119,7 @@
 #[test]
 fn with_all_engines_at_their_limit_there_is_no_place() {
     let now = Instant::now();
-    let mut book = TargetBook::default();
+    let mut book = TargetStore::default();
     let mut cold = record(0, "engine", 0);
     cold.cold_ms = 5_000;
     book.replace(&[cold], now);
--- a/crates/gateway/src/engine/tests/placing_cost.rs
+++ b/crates/gateway/src/engine/tests/placing_cost.rs
@@ -13,7 +13,7 @@
 
 const ROUNDS: u32 = 2_000;
 
-fn busy_placer(book: &TargetBook, now: Instant, engines: usize) -> EnginePlacer {
+fn busy_placer(book: &TargetStore, now: Instant, engines: usize) -> EnginePlacer {
     let mut placer = EnginePlacer::default();
     for number in 0..engines * RUNNING {
         let part = format!("{:08x}", number % PARTS);
@@ -34,7 +34,7 @@
         let records: Vec<TargetRecord> = (0..engines)
             .map(|number| record(number, "engine", number % 3))
             .collect();
-        let mut book = TargetBook::default();
+        let mut book = TargetStore::default();
         book.replace(&records, Instant::now());
         let now = Instant::now();
         let mut placer = busy_placer(&book, now, engines);
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -18,8 +18,8 @@
 use crate::engine::PlaceFacts;
 use crate::graph::RequestResults;
 use crate::relay::{Relay, relay_events};
+use crate::run_permit::{RunPermit, acquire_run_permit};
 use crate::stage_client::Placement;
-use crate::turn::{RunTurn, take_turn};
 use crate::wait_model::PathPlan;
 use crate::{AnswerBody, Gateway, Refusal, RefusalReason};
 
@@ -158,7 +158,7 @@
     log: &mut RunLog,
 ) -> Result<Response<AnswerBody>, Refusal> {
     let mut turn = None;
-    take_turn(gateway, ask, &mut turn).await?;
+    acquire_run_permit(gateway, ask, &mut turn).await?;
     let service = pick_service(&ask.route).to_owned();
     gateway
         .budget
@@ -178,7 +178,7 @@
             log.stages = Some(started.elapsed());
         }
         // What is held against it may have grown by its own last run, or elsewhere while its stages ran.
-        if let Err(refusal) = take_turn(gateway, ask, &mut turn).await {
+        if let Err(refusal) = acquire_run_permit(gateway, ask, &mut turn).await {
             return Err(after_attempts(log, refusal));
         }
         // Only now: while the stages ran, targets may have gone.
@@ -202,7 +202,7 @@
         let more = log.attempts - refusals < ask.route.max_attempts && ask.route.may_repeat();
         let end = send_attempt(gateway, ask, attempt, more).await;
         if !matches!(end, AttemptEnd::Withheld) {
-            turn.as_mut().into_iter().for_each(RunTurn::note_sending);
+            turn.as_mut().into_iter().for_each(RunPermit::mark_sent);
             // One that wants nothing for a while may take it after that.
             if !gateway.notices.is_backed_off(&chosen.id) {
                 tried.push(chosen.id.clone());
@@ -228,7 +228,7 @@
             AttemptEnd::Whole(status, headers, body) => {
                 // A target that fails part of its requests answers so without having run them.
                 if !status.is_server_error() {
-                    gateway.note_whole_run(ask, &chosen.id);
+                    gateway.record_complete_run(ask, &chosen.id);
                 }
                 let retried = status.is_server_error() && more && take_repeat(gateway, &service);
                 if !retried {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -23,15 +23,15 @@
 use crate::coordinator::Coordinator;
 use crate::engine::EnginePlacer;
 use crate::metrics::GatewayMetrics;
-use crate::notice_book::NoticeBook;
+use crate::notice_store::NoticeStore;
 use crate::open_request::OpenCount;
-use crate::rate_turn::RateTurns;
 use crate::rollouts::RolloutWatch;
+use crate::send_permit_issuer::SendPermitIssuer;
 use crate::stage_call::StageCaller;
 use crate::stage_client::StageClient;
-use crate::suspects::SuspectWatch;
-use crate::target::TargetBook;
-use crate::target_end::TargetEnds;
+use crate::suspects::SuspectTracker;
+use crate::target::TargetStore;
+use crate::target_crash::CrashTracker;
 use crate::upstream::UpstreamPool;
 use crate::wait_model::WaitModel;
 
@@ -89,20 +89,20 @@
     pub(crate) config: GatewayConfig,
     table: watch::Sender<Option<Rc<RouteTable>>>,
     pub(crate) view: RefCell<DirectoryView>,
-    pub(crate) targets: Rc<RefCell<TargetBook>>,
+    pub(crate) targets: Rc<RefCell<TargetStore>>,
     pub(crate) pool: UpstreamPool,
     pub(crate) budget: RefCell<RetryBudget>,
     pub(crate) engines: Rc<RefCell<EnginePlacer>>,
     pub(crate) waits: RefCell<WaitModel>,
     pub(crate) stages: StageClient,
     pub(crate) coordinator: Rc<Coordinator>,
-    pub(crate) suspects: SuspectWatch,
-    pub(crate) ends: TargetEnds,
+    pub(crate) suspects: SuspectTracker,
+    pub(crate) ends: CrashTracker,
     pub(crate) rollouts: RolloutWatch,
     /// What targets have asked of this host.
-    pub(crate) notices: Rc<NoticeBook>,
+    pub(crate) notices: Rc<NoticeStore>,
     /// The targets for which this host gives leave to send.
-    rate_turns: RateTurns,
+    rate_turns: SendPermitIssuer,
     /// Requests that wait until a target takes requests again.
     pub(crate) waiting: OpenCount,
     pub(crate) stopping: Cell<bool>,
@@ -130,8 +130,8 @@
         };
         let pool = UpstreamPool::default();
         let metrics = GatewayMetrics::new();
-        let targets: Rc<RefCell<TargetBook>> = Rc::default();
-        let notices = Rc::new(NoticeBook::new(config.recorder.clone(), targets.clone()));
+        let targets: Rc<RefCell<TargetStore>> = Rc::default();
+        let notices = Rc::new(NoticeStore::new(config.recorder.clone(), targets.clone()));
         let caller = StageCaller::new(config.dialect.clone(), pool.clone(), notices.clone());
         let coordinator = Rc::new(Coordinator::new(
             caller,
@@ -160,11 +160,11 @@
             engines: engines.clone(),
             coordinator,
             pool,
-            suspects: SuspectWatch::default(),
-            ends: TargetEnds::default(),
+            suspects: SuspectTracker::default(),
+            ends: CrashTracker::default(),
             rollouts: RolloutWatch::default(),
             notices,
-            rate_turns: RateTurns::default(),
+            rate_turns: SendPermitIssuer::default(),
             waiting: OpenCount::default(),
             stopping: Cell::new(false),
             give_up_at: watch::Sender::new(None),
@@ -179,7 +179,7 @@
         let watching = Rc::downgrade(&gateway);
         gateway.coordinator.set_end_watch(Box::new(move |call| {
             if let Some(gateway) = watching.upgrade() {
-                gateway.note_call_end(call);
+                gateway.record_stage_crash(call);
             }
         }));
         let watching = Rc::downgrade(&gateway);
@@ -269,8 +269,8 @@
 
     /// Takes an update of the directory.
     pub fn take_update(&self, from: SocketAddr, update: DirectoryUpdate) {
-        self.take_suspects(&update.suspects);
-        self.notices.rates.take_told(&update.rates);
+        self.merge_suspects(&update.suspects);
+        self.notices.rates.apply_published(&update.rates);
         let targets_changed = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
         // The control host is told right after this that the update was taken, and the target then that
@@ -305,7 +305,7 @@
         let targets = self.targets.borrow();
         let mut records = update.targets.iter();
         records.any(|record| {
-            record.state > TargetState::Ready && targets.has(&record.service, &record.id)
+            record.state > TargetState::Ready && targets.contains(&record.service, &record.id)
         })
     }
 
--- a/crates/gateway/src/gateway/rates.rs
+++ b/crates/gateway/src/gateway/rates.rs
@@ -7,19 +7,19 @@
 use linnet_directory::RateSource;
 
 use super::Gateway;
-use crate::rate_turn::{RateAnswer, RateAsk, RateSubject};
+use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest, SendPermitScope};
 use crate::stage_client::RateHost;
 
 impl Gateway {
     /// Has leave asked for by this host.
     pub(super) fn watch_rates(self: &Rc<Self>) {
         let watching = Rc::downgrade(self);
-        self.notices.rates.set_asker(Box::new(move |ask| {
+        self.notices.rates.set_requester(Box::new(move |ask| {
             let gateway = watching.upgrade();
             async move {
                 match gateway {
                     Some(gateway) => gateway.ask_rate(ask).await,
-                    None => RateAnswer::UNREACHED,
+                    None => SendPermitReply::UNREACHED,
                 }
             }
             .boxed_local()
@@ -33,65 +33,65 @@
             changes: self.notices.rates.changes(),
             changed_after: Box::new(move |ask| {
                 let changed = gateway.notices.rates.changed_after(ask);
-                (changed.words, changed.number)
+                (changed.observations, changed.revision)
             }),
         }
     }
 
-    async fn ask_rate(&self, ask: RateAsk) -> RateAnswer {
-        match self.rate_host(&ask.subject) {
+    async fn ask_rate(&self, ask: SendPermitRequest) -> SendPermitReply {
+        match self.rate_host(&ask.scope) {
             RateHost::Here => self.give_rate(&ask),
             RateHost::Remote(address) => self.stages.ask_rate(address, ask).await,
-            RateHost::Unreached => RateAnswer::UNREACHED,
+            RateHost::Unreached => SendPermitReply::UNREACHED,
         }
     }
 
-    fn rate_host(&self, subject: &RateSubject) -> RateHost {
+    fn rate_host(&self, subject: &SendPermitScope) -> RateHost {
         let hall = match subject {
-            RateSubject::Target(word) => {
+            SendPermitScope::Target(word) => {
                 let targets = self.targets.borrow();
-                let found = targets.find_anywhere(&word.target);
+                let found = targets.find_by_id(&word.target);
                 found.map_or(String::new(), |(_, target)| target.hall.clone())
             }
-            RateSubject::Service(..) => String::new(),
+            SendPermitScope::Service(..) => String::new(),
         };
         self.stages.rate_host(subject.key(), &hall)
     }
 
     /// Answers another host that asks for leave.
-    pub(crate) fn answer_rate(&self, ask: &RateAsk) -> RateAnswer {
-        if let RateSubject::Target(word) = &ask.subject {
-            self.notices.rates.take_word(word);
+    pub(crate) fn answer_rate(&self, ask: &SendPermitRequest) -> SendPermitReply {
+        if let SendPermitScope::Target(word) = &ask.scope {
+            self.notices.rates.apply_peer_observation(word);
         }
-        match self.rate_host(&ask.subject) {
+        match self.rate_host(&ask.scope) {
             RateHost::Here => self.give_rate(ask),
             // Two that give leave would let twice the rate through.
             RateHost::Remote(_) | RateHost::Unreached => {
-                self.rate_turns.forget(ask.subject.key());
-                RateAnswer::UNREACHED
+                self.rate_turns.remove(ask.scope.key());
+                SendPermitReply::UNREACHED
             }
         }
     }
 
     /// Gives leave, as the host that does for all.
-    fn give_rate(&self, ask: &RateAsk) -> RateAnswer {
+    fn give_rate(&self, ask: &SendPermitRequest) -> SendPermitReply {
         if !self.view.borrow().is_connected() && !self.stages.reaches_any() {
             // Others that do not reach this host either take another one.
-            return RateAnswer::UNREACHED;
+            return SendPermitReply::UNREACHED;
         }
-        let rate = match &ask.subject {
-            RateSubject::Target(word) => self.notices.rates.rate(&word.target),
-            RateSubject::Service(_, sum) => Some(*sum),
+        let rate = match &ask.scope {
+            SendPermitScope::Target(word) => self.notices.rates.rate_limit(&word.target),
+            SendPermitScope::Service(_, sum) => Some(*sum),
         };
         let Some(rate) = rate else {
             // The host that asks has yet to hear that the target takes any rate.
-            return RateAnswer::Granted {
+            return SendPermitReply::Granted {
                 wait_ms: 0,
                 more: 0,
                 next_ms: 0,
             };
         };
-        self.rate_turns.give(rate, ask, BootInstant::now())
+        self.rate_turns.issue(rate, ask, BootInstant::now())
     }
 
     /// Forgets targets for which nobody has asked for long.
--- a/crates/gateway/src/gateway/target_list.rs
+++ b/crates/gateway/src/gateway/target_list.rs
@@ -51,8 +51,8 @@
         let mut engines = self.engines.borrow_mut();
         anew.iter().for_each(|engine| engines.forget_engine(engine));
         drop(engines);
-        self.notices.take_list(BootInstant::now());
-        self.note_starts();
+        self.notices.apply_target_list(BootInstant::now());
+        self.record_restarts();
         match &changes {
             TargetChanges::Whole(ready) => self.spread_whole(ready),
             TargetChanges::Some { listed, unlisted } => self.spread_changes(listed, unlisted),
--- a/crates/gateway/src/gateway/target_notes.rs
+++ b/crates/gateway/src/gateway/target_notes.rs
@@ -24,16 +24,18 @@
         metrics.targets_leaving.set(counts.leaving as i64);
         metrics.sendings_withheld.set(counts.withheld as i64);
         let rates = self.notices.rates.counts();
-        metrics.rates_named.set(rates.named as i64);
-        metrics.rated_sent.set(rates.used.sent as i64);
-        metrics.rated_withheld.set(rates.used.withheld as i64);
-        metrics.rates_unreadable.set(rates.unreadable as i64);
+        metrics.rates_named.set(rates.limited as i64);
+        metrics.rated_sent.set(rates.usage.sent as i64);
+        metrics.rated_withheld.set(rates.usage.withheld as i64);
+        metrics.rates_unreadable.set(rates.invalid as i64);
     }
 
     /// Notes that a target could not be reached.
     pub(crate) fn note_unreachable(&self, service: &str, id: &str, cause: &str) {
         let now = Instant::now();
-        self.targets.borrow_mut().note_unreachable(service, id, now);
+        self.targets
+            .borrow_mut()
+            .record_unreachable(service, id, now);
         let detail = format!("service={service} cause={cause}");
         self.config
             .recorder
@@ -43,7 +45,7 @@
     /// Notes that a target failed; it may be left alone for a while.
     pub(crate) fn note_target_failure(&self, service: &str, id: &str, cause: &str) {
         let now = Instant::now();
-        if self.targets.borrow_mut().note_failure(service, id, now) {
+        if self.targets.borrow_mut().record_failure(service, id, now) {
             self.engines.borrow_mut().forget_engine(id);
             let detail = format!("service={service} cause={cause}");
             self.config
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -139,8 +139,8 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         gateway.take_update(control(1), word(1, TargetState::Draining));
-        assert!(!gateway.targets.borrow().has("engines", "t-1"));
-        assert!(gateway.targets.borrow().has("engines", "t-2"));
+        assert!(!gateway.targets.borrow().contains("engines", "t-1"));
+        assert!(gateway.targets.borrow().contains("engines", "t-2"));
         // Others that say the same again ask for no list.
         let lists = gateway.metrics.target_lists.get();
         gateway.take_update(control(0), word(1, TargetState::Draining));
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -14,7 +14,7 @@
 use crate::pool_key::PoolKey;
 use crate::schedule::StageSchedule;
 use crate::stage_client::{Expectation, GatheredBatch, Home, PartWant};
-use crate::target::TargetBook;
+use crate::target::TargetStore;
 use crate::{Gateway, Refusal, RefusalReason};
 
 /// The results of one stage, which are released when this is dropped.
@@ -48,7 +48,7 @@
 
 impl RequestResults {
     /// Returns where the results lie that the request's target takes.
-    pub(crate) fn places(&self, ask: &Ask, book: &TargetBook) -> HallBytes {
+    pub(crate) fn places(&self, ask: &Ask, book: &TargetStore) -> HallBytes {
         bytes_by_hall(ask, &self.stages, &self.taken, book)
     }
 
@@ -198,7 +198,7 @@
     ask: &Ask,
     results: &[Option<StageResults>],
     numbers: &[usize],
-    book: &TargetBook,
+    book: &TargetStore,
 ) -> HallBytes {
     let mut places = HallBytes::default();
     for number in numbers {
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -9,7 +9,7 @@
 use crate::ask::Ask;
 
 /// Counts a request at its target until it is dropped.
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     gateway: Rc<Gateway>,
     service: String,
     id: String,
@@ -18,7 +18,7 @@
     objective: Option<Duration>,
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(crate) fn new(gateway: &Rc<Gateway>, service: &str, id: &str, ask: &Ask) -> Self {
         if let Some(target) = gateway.targets.borrow_mut().find_mut(service, id) {
             target.in_flight += 1;
@@ -34,17 +34,17 @@
     }
 
     /// Notes that the request is sent now; before, it waited for leave.
-    pub(crate) fn note_sending(&mut self) {
+    pub(crate) fn mark_sent(&mut self) {
         self.sent = Instant::now();
     }
 
     /// Lets the time say nothing of the target, which did not get the request.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn discard_timing(&mut self) {
         self.objective = None;
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut targets = self.gateway.targets.borrow_mut();
         if let Some(target) = targets.find_mut(&self.service, &self.id) {
@@ -53,7 +53,7 @@
         if let Some(objective) = self.objective {
             let now = Instant::now();
             let took = now.saturating_duration_since(self.sent);
-            targets.learn_time(&self.service, &self.id, took, objective, now);
+            targets.record_duration(&self.service, &self.id, took, objective, now);
         }
     }
 }
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -6,13 +6,13 @@
 use derive_more::{Display, Error};
 use http::response::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, header};
-use linnet_rate::{NamedRate, read_rate};
+use linnet_rate::{RateLimit, parse_rate_limit};
 
 use crate::Dialect;
 
 /// The longest back-off that is taken, so that a target which writes a number without meaning is not lost
 /// until its next start.
-const MOST_BACK_OFF: Duration = Duration::from_secs(3_600);
+const MAX_BACK_OFF: Duration = Duration::from_secs(3_600);
 
 /// What the head of an answer says of the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// Whether it leaves, and so takes no new work.
     pub(crate) leaving: bool,
     /// What it says of the rate at which it takes requests.
-    pub(crate) rate: RateNotice,
+    pub(crate) rate_limit: RateNotice,
 }
 
 /// What the head of an answer says of the rate at which its target takes requests from all hosts together.
@@ -30,117 +30,122 @@
 pub(crate) enum RateNotice {
     /// Nothing: the head is not this target's word.
     #[default]
-    Unsaid,
+    Ignored,
     /// It takes any rate.
-    Any,
+    Unlimited,
     /// It takes this one.
-    Named(NamedRate),
+    Limited(RateLimit),
     /// It names one that cannot be read, which changes nothing.
-    Unreadable,
+    Invalid,
 }
 
 impl TargetNotice {
     /// Says whether the target asks for something that keeps work from it.
-    pub(crate) fn closes(&self) -> bool {
+    pub(crate) fn stops_work(&self) -> bool {
         self.back_off.is_some() || self.leaving
     }
 }
 
 /// Why a time to come back cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-pub(crate) enum BackOffFault {
+pub(crate) enum RetryAfterError {
     /// It is not text.
     #[display("no text")]
-    NoText,
+    NotText,
     /// It is neither a number of seconds nor a date.
     #[display("neither seconds nor a date")]
-    NoTime,
+    NotATime,
 }
 
 /// Reads what the head of an answer says of the target that gave it.
 ///
-/// A head that names another request than `asked` is a surplus answer, which may be old, and says nothing.
+/// A head that names another request than `request_id` is a surplus answer, which may be old, and says nothing.
 /// Answers without an identity are taken: a target that refuses need not have read the request's.
-pub(crate) fn read_notice(dialect: &Dialect, head: &Parts, asked: Option<&str>) -> TargetNotice {
+pub(crate) fn parse_notice(
+    dialect: &Dialect,
+    head: &Parts,
+    request_id: Option<&str>,
+) -> TargetNotice {
     let echoed = head.headers.get(&dialect.headers.request_id);
     let echoed = echoed.filter(|echoed| !echoed.is_empty());
-    if echoed.is_some_and(|echoed| asked != echoed.to_str().ok()) {
+    if echoed.is_some_and(|echoed| request_id != echoed.to_str().ok()) {
         return TargetNotice::default();
     }
     // Another start at the address speaks for itself.
     if head.status == dialect.targets.other_target {
         return TargetNotice::default();
     }
-    let turned_away = head.status == dialect.targets.turned_away;
+    let refused = head.status == dialect.targets.turned_away;
     let leaving = head.headers.get(&dialect.headers.leaving);
     TargetNotice {
-        back_off: turned_away
-            .then(|| longest_back_off(&head.headers))
+        back_off: refused
+            .then(|| longest_retry_after(&head.headers))
             .flatten(),
         leaving: leaving.is_some_and(|value| value != "0"),
-        rate: lowest_rate(&head.headers, &dialect.headers.rate),
+        rate_limit: lowest_rate_limit(&head.headers, &dialect.headers.rate),
     }
 }
 
 /// Returns the lowest rate that the head of an answer names.
-fn lowest_rate(headers: &HeaderMap, name: &HeaderName) -> RateNotice {
+fn lowest_rate_limit(headers: &HeaderMap, name: &HeaderName) -> RateNotice {
     if !headers.contains_key(name) {
-        return RateNotice::Any;
+        return RateNotice::Unlimited;
     }
-    let named = headers.get_all(name).iter();
-    let rates = named.filter_map(
-        |value| match read_rate(value.to_str().unwrap_or_default()) {
-            Ok(rate) => Some(rate),
-            Err(fault) => {
-                log::warn!("a target's {name} is ignored: {fault}: {value:?}");
-                None
-            }
-        },
-    );
-    let lowest = rates.min();
-    lowest.map_or(RateNotice::Unreadable, RateNotice::Named)
+    let values = headers.get_all(name).iter();
+    let limits =
+        values.filter_map(
+            |value| match parse_rate_limit(value.to_str().unwrap_or_default()) {
+                Ok(limit) => Some(limit),
+                Err(error) => {
+                    log::warn!("ignoring {name} header of a target: {error}: {value:?}");
+                    None
+                }
+            },
+        );
+    let lowest = limits.min();
+    lowest.map_or(RateNotice::Invalid, RateNotice::Limited)
 }
 
 /// Returns the longest time that the head of an answer names; nothing where it names none.
-fn longest_back_off(headers: &HeaderMap) -> Option<Duration> {
-    let sent = headers.get(header::DATE).and_then(read_date);
-    let sent = sent.unwrap_or_else(SystemTime::now);
-    let named = headers.get_all(header::RETRY_AFTER).iter();
-    let times = named.filter_map(|value| match read_back_off(value, sent) {
-        Ok(time) => Some(time),
-        Err(fault) => {
+fn longest_retry_after(headers: &HeaderMap) -> Option<Duration> {
+    let response_date = headers.get(header::DATE).and_then(parse_date);
+    let response_date = response_date.unwrap_or_else(SystemTime::now);
+    let values = headers.get_all(header::RETRY_AFTER).iter();
+    let delays = values.filter_map(|value| match parse_retry_after(value, response_date) {
+        Ok(delay) => Some(delay),
+        Err(error) => {
             log::warn!(
-                "a target's {} is ignored: {fault}: {value:?}",
+                "ignoring {} header of a target: {error}: {value:?}",
                 header::RETRY_AFTER
             );
             None
         }
     });
-    times.max().filter(|time| !time.is_zero())
+    delays.max().filter(|delay| !delay.is_zero())
 }
 
 /// Reads a time to come back: seconds, with or without a fraction, or a date, which is taken against the time
-/// at which the answer was sent. What lies in the past is no time at all.
-pub(crate) fn read_back_off(
+/// at which the answer was response_date. What lies in the past is no time at all.
+pub(crate) fn parse_retry_after(
     value: &HeaderValue,
-    sent: SystemTime,
-) -> Result<Duration, BackOffFault> {
-    let text = value.to_str().map_err(|_| BackOffFault::NoText)?.trim();
+    response_date: SystemTime,
+) -> Result<Duration, RetryAfterError> {
+    let text = value.to_str().map_err(|_| RetryAfterError::NotText)?.trim();
     let date = httpdate::parse_http_date(text);
     if let Ok(date) = date {
-        let left = date.duration_since(sent).unwrap_or_default();
-        return Ok(left.min(MOST_BACK_OFF));
+        let left = date.duration_since(response_date).unwrap_or_default();
+        return Ok(left.min(MAX_BACK_OFF));
     }
     let is_number = |byte: u8| byte.is_ascii_digit() || b"+-.".contains(&byte);
     if !text.bytes().all(is_number) {
-        return Err(BackOffFault::NoTime);
+        return Err(RetryAfterError::NotATime);
     }
-    let seconds: f64 = text.parse().map_err(|_| BackOffFault::NoTime)?;
-    let seconds = seconds.clamp(0.0, MOST_BACK_OFF.as_secs_f64());
+    let seconds: f64 = text.parse().map_err(|_| RetryAfterError::NotATime)?;
+    let seconds = seconds.clamp(0.0, MAX_BACK_OFF.as_secs_f64());
     Ok(Duration::from_secs_f64(seconds))
 }
 
-fn read_date(value: &HeaderValue) -> Option<SystemTime> {
+fn parse_date(value: &HeaderValue) -> Option<SystemTime> {
     httpdate::parse_http_date(value.to_str().ok()?).ok()
 }
 
--- a/crates/gateway/src/notice/tests.rs
+++ b/crates/gateway/src/notice/tests.rs
@@ -7,61 +7,65 @@
 const SENT: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
 
 fn head(status: u16, headers: &[(&str, &str)]) -> Parts {
-    let mut answer = Response::builder().status(status);
+    let mut response = Response::builder().status(status);
     for (name, value) in headers {
-        answer = answer.header(*name, *value);
+        response = response.header(*name, *value);
     }
-    answer.body(()).unwrap().into_parts().0
+    response.body(()).unwrap().into_parts().0
 }
 
 fn back_off(headers: &[(&str, &str)]) -> Option<Duration> {
-    read_notice(&dialect(), &head(503, headers), Some("r")).back_off
+    parse_notice(&dialect(), &head(503, headers), Some("r")).back_off
 }
 
-fn named(value: &str) -> Option<Duration> {
+fn retry_after(value: &str) -> Option<Duration> {
     back_off(&[("date", SENT), ("retry-after", value)])
 }
 
 #[test]
-fn a_time_to_come_back_is_read_in_all_its_forms() {
-    assert_eq!(named("3"), Some(Duration::from_secs(3)));
-    assert_eq!(named(" 0.25 "), Some(Duration::from_millis(250)));
-    assert_eq!(named("1."), Some(Duration::from_secs(1)));
+fn retry_after_is_parsed_in_all_formats() {
+    assert_eq!(retry_after("3"), Some(Duration::from_secs(3)));
+    assert_eq!(retry_after(" 0.25 "), Some(Duration::from_millis(250)));
+    assert_eq!(retry_after("1."), Some(Duration::from_secs(1)));
     assert_eq!(
-        named("Sun, 06 Nov 1994 08:49:41 GMT"),
+        retry_after("Sun, 06 Nov 1994 08:49:41 GMT"),
         Some(Duration::from_secs(4))
     );
     assert_eq!(
-        named("Sunday, 06-Nov-94 08:49:41 GMT"),
+        retry_after("Sunday, 06-Nov-94 08:49:41 GMT"),
         Some(Duration::from_secs(4))
     );
 }
 
 #[test]
-fn what_names_no_time_to_wait_asks_for_nothing() {
+fn retry_after_without_a_positive_time_asks_for_no_back_off() {
     for value in [
         "0", "0.0", "-3", "", "soon", "inf", "NaN", "1e3", "3 s", "1,5", "+", ".",
     ] {
-        assert_eq!(named(value), None, "{value:?}");
+        assert_eq!(retry_after(value), None, "{value:?}");
     }
-    assert_eq!(named("Sun, 06 Nov 1994 08:49:30 GMT"), None, "in the past");
+    assert_eq!(
+        retry_after("Sun, 06 Nov 1994 08:49:30 GMT"),
+        None,
+        "in the past"
+    );
     assert_eq!(back_off(&[]), None);
 }
 
 #[test]
-fn a_time_without_end_is_bounded() {
+fn an_excessive_retry_after_is_bounded() {
     let digits = "9".repeat(400);
     for value in [
         "1000000000",
         digits.as_str(),
         "Fri, 31 Dec 9999 23:59:59 GMT",
     ] {
-        assert_eq!(named(value), Some(MOST_BACK_OFF), "{value:?}");
+        assert_eq!(retry_after(value), Some(MAX_BACK_OFF), "{value:?}");
     }
 }
 
 #[test]
-fn the_longest_of_several_times_counts_and_bad_ones_hide_no_good_one() {
+fn the_longest_of_several_retry_after_headers_applies_and_invalid_ones_are_ignored() {
     let times = [
         ("retry-after", "1"),
         ("retry-after", "x"),
@@ -71,27 +75,27 @@
 }
 
 #[test]
-fn only_a_target_that_turns_a_request_away_asks_whether_or_not_it_says_not_run() {
+fn only_a_refusal_carries_a_back_off_with_or_without_the_not_run_header() {
     let wait = ("retry-after", "2");
     assert!(back_off(&[wait]).is_some());
     assert!(back_off(&[wait, ("x-not-run", "1")]).is_some());
     for status in [200, 301, 409, 421, 429, 500, 502] {
-        let notice = read_notice(&dialect(), &head(status, &[wait]), Some("r"));
-        assert!(!notice.closes(), "{status}");
+        let notice = parse_notice(&dialect(), &head(status, &[wait]), Some("r"));
+        assert!(!notice.stops_work(), "{status}");
     }
 }
 
 #[test]
-fn a_surplus_answer_says_nothing_of_the_target() {
-    let said = [("retry-after", "2"), ("x-leaving", "1")];
+fn a_surplus_response_is_ignored() {
+    let headers = [("retry-after", "2"), ("x-leaving", "1")];
     let read = |id: &[(&str, &str)], asked| {
-        let headers = [&said[..], id].concat();
-        read_notice(&dialect(), &head(503, &headers), asked)
+        let headers = [&headers[..], id].concat();
+        parse_notice(&dialect(), &head(503, &headers), asked)
     };
     let all = TargetNotice {
         back_off: Some(Duration::from_secs(2)),
         leaving: true,
-        rate: RateNotice::Any,
+        rate_limit: RateNotice::Unlimited,
     };
     assert_eq!(read(&[("x-request", "r")], Some("r")), all);
     assert_eq!(read(&[], Some("r")), all);
@@ -108,44 +112,48 @@
 }
 
 #[test]
-fn any_answer_may_say_that_its_target_leaves() {
+fn any_response_may_state_that_its_target_is_leaving() {
     for status in [200, 409, 500, 503] {
-        let notice = read_notice(&dialect(), &head(status, &[("x-leaving", "1")]), Some("r"));
+        let notice = parse_notice(&dialect(), &head(status, &[("x-leaving", "1")]), Some("r"));
         assert!(notice.leaving, "{status}");
-        let notice = read_notice(&dialect(), &head(status, &[("x-leaving", "0")]), Some("r"));
+        let notice = parse_notice(&dialect(), &head(status, &[("x-leaving", "0")]), Some("r"));
         assert!(!notice.leaving, "{status}");
     }
-    let other = read_notice(&dialect(), &head(421, &[("x-leaving", "1")]), Some("r"));
+    let other = parse_notice(&dialect(), &head(421, &[("x-leaving", "1")]), Some("r"));
     assert!(
         !other.leaving,
         "another start at the address speaks for itself"
     );
 }
 
-fn rate(status: u16, headers: &[(&str, &str)]) -> RateNotice {
-    read_notice(&dialect(), &head(status, headers), Some("r")).rate
+fn rate_limit(status: u16, headers: &[(&str, &str)]) -> RateNotice {
+    parse_notice(&dialect(), &head(status, headers), Some("r")).rate_limit
 }
 
 #[test]
-fn every_answer_of_a_target_tells_its_rate_and_the_lowest_of_several_counts() {
-    let named = |per_second| RateNotice::Named(NamedRate::new(per_second));
+fn every_response_states_the_rate_limit_and_the_lowest_of_several_applies() {
+    let limited = |per_second| RateNotice::Limited(RateLimit::new(per_second));
     for status in [200, 400, 409, 429, 500, 503] {
-        assert_eq!(rate(status, &[("x-rate", "2.5")]), named(2.5), "{status}");
-        assert_eq!(rate(status, &[]), RateNotice::Any, "{status}");
+        assert_eq!(
+            rate_limit(status, &[("x-rate", "2.5")]),
+            limited(2.5),
+            "{status}"
+        );
+        assert_eq!(rate_limit(status, &[]), RateNotice::Unlimited, "{status}");
     }
     let several = [("x-rate", "3"), ("x-rate", "bad"), ("x-rate", "1")];
-    assert_eq!(rate(200, &several), named(1.0));
-    assert_eq!(rate(421, &[("x-rate", "1")]), RateNotice::Unsaid);
+    assert_eq!(rate_limit(200, &several), limited(1.0));
+    assert_eq!(rate_limit(421, &[("x-rate", "1")]), RateNotice::Ignored);
     let surplus = [("x-rate", "1"), ("x-request", "other")];
-    assert_eq!(rate(200, &surplus), RateNotice::Unsaid);
+    assert_eq!(rate_limit(200, &surplus), RateNotice::Ignored);
 }
 
 #[test]
-fn a_rate_that_cannot_be_read_changes_nothing() {
+fn an_invalid_rate_limit_is_reported_as_such() {
     for value in ["", "-1", "nan", "inf", "1e300", "soon"] {
         assert_eq!(
-            rate(200, &[("x-rate", value)]),
-            RateNotice::Unreadable,
+            rate_limit(200, &[("x-rate", value)]),
+            RateNotice::Invalid,
             "{value:?}"
         );
     }
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -7,9 +7,9 @@
 use crate::engine::{PlaceAsk, PlaceFacts};
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUse};
 use crate::pool_key::PoolKey;
-use crate::rate_turn::{RateAnswer, RateAsk};
+use crate::run_permit::RunPermitReply;
+use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest};
 use crate::stage_call::{CallEnd, StageCall, StageRelease};
-use crate::turn::TurnAnswer;
 
 /// What an entry host sends to the one that gathers the pieces of a service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
     /// A sign of life.
     Alive,
     /// Give leave to send to a target that names a rate.
-    TakeRate { number: u64, ask: RateAsk },
+    TakeRate { number: u64, ask: SendPermitRequest },
 }
 
 impl PieceRequest {
@@ -85,7 +85,7 @@
         engine: Option<(String, PlaceFacts)>,
     },
     /// Whether a request may run now.
-    Turn { number: u64, answer: TurnAnswer },
+    Turn { number: u64, answer: RunPermitReply },
     /// How a call ended that was sent for the other host.
     Called { number: u64, end: CallEnd },
     /// What this host uses of the targets of a pool; told to the hosts that would gather for the pool
@@ -94,7 +94,10 @@
     /// A sign of life, with the load of the pools that this host gathers for.
     Alive { loads: Vec<(PoolKey, PoolLoad)> },
     /// Whether a request may go to a target that names a rate; told to hosts that asked.
-    Rate { number: u64, answer: RateAnswer },
+    Rate {
+        number: u64,
+        answer: SendPermitReply,
+    },
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use linnet_quarantine::{EndKey, RequestSubject};
-use linnet_rate::{NamedRate, RateWord};
+use linnet_quarantine::{CrashKey, RequestSubject};
+use linnet_rate::{RateLimit, RateObservation};
 
 use super::*;
 use crate::ask::{Prompt, PromptPart, Rank};
@@ -11,7 +11,7 @@
 use crate::load::ReportedLoad;
 use crate::piece::{PieceInput, StageWork};
 use crate::pool_key::PoolPart;
-use crate::rate_turn::RateSubject;
+use crate::send_permit_issuer::SendPermitScope;
 use crate::stage_call::CallPart;
 
 /// Returns the bytes of a message as text.
@@ -91,7 +91,7 @@
 fn suspect() -> SuspectRecord {
     let subject = RequestSubject::new("acme", "GET", ["shop.example", "/once/1"], b"body");
     let mut record = SuspectRecord::new(subject);
-    record.ends.insert(EndKey::new("i-7f3a91c2", 7));
+    record.crashes.insert(CrashKey::new("i-7f3a91c2", 7));
     record
 }
 
@@ -157,22 +157,22 @@
         PieceRequest::Alive,
         PieceRequest::TakeRate {
             number: 306,
-            ask: RateAsk {
-                subject: RateSubject::Target(RateWord {
+            ask: SendPermitRequest {
+                scope: SendPermitScope::Target(RateObservation {
                     target: "i-1".to_owned(),
-                    rate: Some(NamedRate::new(2.5)),
-                    asked_ms: 300,
-                    heard_ms: 200,
+                    rate_limit: Some(RateLimit::new(2.5)),
+                    sent_age_ms: 300,
+                    received_age_ms: 200,
                 }),
-                within_ms: 150,
+                max_wait_ms: 150,
                 more: 1,
             },
         },
         PieceRequest::TakeRate {
             number: 307,
-            ask: RateAsk {
-                subject: RateSubject::Service("engine".to_owned(), NamedRate::new(40.0)),
-                within_ms: 150,
+            ask: SendPermitRequest {
+                scope: SendPermitScope::Service("engine".to_owned(), RateLimit::new(40.0)),
+                max_wait_ms: 150,
                 more: 0,
             },
         },
@@ -219,7 +219,11 @@
         ahead: 70_000,
         expected_ms: 40,
     };
-    let answers = [TurnAnswer::Granted, TurnAnswer::Busy, TurnAnswer::Held];
+    let answers = [
+        RunPermitReply::Granted,
+        RunPermitReply::Busy,
+        RunPermitReply::Held,
+    ];
     let turns = answers.into_iter().map(|answer| PieceReply::Turn {
         number: 305,
         answer,
@@ -254,12 +258,12 @@
         },
         PieceReply::Alive { loads: Vec::new() },
     ];
-    let granted = RateAnswer::Granted {
+    let granted = SendPermitReply::Granted {
         wait_ms: 150,
         more: 1,
         next_ms: 550,
     };
-    let rates = [granted, RateAnswer::Later(700)];
+    let rates = [granted, SendPermitReply::Denied(700)];
     let rates = rates.into_iter().map(|answer| PieceReply::Rate {
         number: 306,
         answer,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -19,8 +19,8 @@
 use crate::forward::take_repeat;
 use crate::graph::RequestResults;
 use crate::rollouts::AnswerQuality;
-use crate::target::Chosen;
-use crate::turn::{RunTurn, take_turn};
+use crate::run_permit::{RunPermit, acquire_run_permit};
+use crate::target::ChosenTarget;
 use crate::upstream::is_break;
 use crate::{AnswerBody, Gateway};
 
@@ -29,7 +29,7 @@
     gateway: Rc<Gateway>,
     ask: Rc<Ask>,
     service: String,
-    chosen: Chosen,
+    chosen: ChosenTarget,
     /// Kept where the stream may have to begin anew elsewhere.
     results: Option<RequestResults>,
     tried: Vec<String>,
@@ -41,7 +41,7 @@
     /// Whether its end has a line in the log.
     ended: bool,
     /// The leave to run that it needed.
-    turn: Option<RunTurn>,
+    turn: Option<RunPermit>,
 }
 
 // The HTTP library drops a stream whose caller has closed the connection.
@@ -59,7 +59,7 @@
         gateway: &Rc<Gateway>,
         ask: &Rc<Ask>,
         service: String,
-        chosen: Chosen,
+        chosen: ChosenTarget,
         results: Option<RequestResults>,
         attempts: u32,
     ) -> Self {
@@ -82,7 +82,7 @@
     }
 
     /// Sets the leave to run that it has.
-    pub(crate) fn with_turn(mut self, turn: Option<RunTurn>) -> Self {
+    pub(crate) fn with_turn(mut self, turn: Option<RunPermit>) -> Self {
         self.turn = turn;
         self
     }
@@ -116,7 +116,7 @@
     async fn note_break(&self) {
         let (service, chosen) = (&self.service, &self.chosen);
         self.gateway
-            .note_break(service, chosen, &self.ask, self.sent)
+            .probe_after_break(service, chosen, &self.ask, self.sent)
             .await;
     }
 
@@ -129,13 +129,13 @@
             .count_answer(service, target, route, AnswerQuality::Failed);
         while self.ask.route.may_repeat()
             && self.attempts < self.ask.route.max_attempts
-            && take_turn(&self.gateway, &self.ask, &mut self.turn)
+            && acquire_run_permit(&self.gateway, &self.ask, &mut self.turn)
                 .await
                 .is_ok()
             && take_repeat(&self.gateway, &self.service)
         {
             self.attempts += 1;
-            self.turn.iter_mut().for_each(RunTurn::note_sending);
+            self.turn.iter_mut().for_each(RunPermit::mark_sent);
             if let (chosen, AttemptEnd::Events(stream)) = self.send_on().await? {
                 self.chosen = chosen;
                 self.sent = Instant::now();
@@ -147,7 +147,7 @@
     }
 
     /// Sends the request to another target, which is to go on after the last event; nothing where there is none.
-    async fn send_on(&mut self) -> Option<(Chosen, AttemptEnd)> {
+    async fn send_on(&mut self) -> Option<(ChosenTarget, AttemptEnd)> {
         loop {
             let (gateway, results) = (&self.gateway, self.results.as_ref());
             let passed = PassedTargets {
@@ -210,7 +210,9 @@
             lease.finish(&headers);
             // The end of a target looks like the end of an answer that ends with its connection.
             if is_framed(&headers) {
-                relay.gateway.note_whole_run(&relay.ask, &relay.chosen.id);
+                relay
+                    .gateway
+                    .record_complete_run(&relay.ask, &relay.chosen.id);
             } else {
                 relay.note_break().await;
             }
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -16,7 +16,7 @@
 use crate::engine::PlaceFacts;
 use crate::piece::PieceFault;
 use crate::stage_call::CallEnd;
-use crate::target::Chosen;
+use crate::target::ChosenTarget;
 use crate::version_split::VersionSplit;
 
 /// Times of prompts and of calls with pieces are counted as a part of what was expected, in hundredths: engines that
@@ -105,7 +105,7 @@
             let targets = gateway.targets.borrow();
             let tally = gateway.rollouts.tally.borrow();
             tally.counts(&gateway.rollouts.book.borrow(), |service, version| {
-                targets.open_beside(service, version)
+                targets.in_flight_at_other_versions(service, version)
             })
         })
     }
@@ -146,7 +146,7 @@
     pub(crate) fn count_attempt(
         &self,
         ask: &Ask,
-        (service, chosen): (&str, &Chosen),
+        (service, chosen): (&str, &ChosenTarget),
         end: &AttemptEnd,
         took: Duration,
         facts: Option<PlaceFacts>,
--- a/crates/gateway/src/send_gate.rs
+++ b/crates/gateway/src/send_gate.rs
@@ -2,9 +2,9 @@
 
 use linnet_clock::BootInstant;
 
-use crate::notice_book::NoticeBook;
-use crate::rate_permit::SendPermit;
-use crate::target_ask::TargetStanding;
+use crate::notice_store::NoticeStore;
+use crate::send_permit::SendPermit;
+use crate::target_restriction::TargetAvailability;
 
 /// What is sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -12,27 +12,27 @@
     /// Something to run.
     Work,
     /// A word about work that it has done, which one that leaves takes as well.
-    Word,
+    Control,
 }
 
 /// The last look before something is sent to a target.
 pub(crate) struct SendGate<'a> {
-    book: &'a NoticeBook,
+    notices: &'a NoticeStore,
     target: &'a str,
     kind: SendKind,
     permit: SendPermit,
-    /// Whether this is the request that tries the target after a back-off.
-    tries: bool,
+    /// Whether this is the request that is_trial the target after a back-off.
+    is_trial: bool,
 }
 
 impl<'a> SendGate<'a> {
-    pub(crate) fn new(book: &'a NoticeBook, target: &'a str, kind: SendKind) -> Self {
+    pub(crate) fn new(notices: &'a NoticeStore, target: &'a str, kind: SendKind) -> Self {
         Self {
-            book,
+            notices,
             target,
             kind,
-            permit: SendPermit::FREE,
-            tries: false,
+            permit: SendPermit::UNRESTRICTED,
+            is_trial: false,
         }
     }
 
@@ -43,22 +43,24 @@
     }
 
     /// Says whether the bytes may be written now. Asked once more for each connection that is tried.
-    pub(crate) fn passes(&mut self) -> bool {
+    pub(crate) fn try_pass(&mut self) -> bool {
         let now = BootInstant::now();
-        let open = match self.book.standing(self.target, now) {
+        let open = match self.notices.availability(self.target, now) {
             // Leave that was taken holds also where there is none for others.
-            TargetStanding::Open | TargetStanding::Paced(_) => {
-                self.book.rates.allows(self.target, self.permit, now)
+            TargetAvailability::Open | TargetAvailability::RateLimited(_) => {
+                self.notices.rates.allows(self.target, self.permit, now)
             }
-            TargetStanding::Leaving => self.kind == SendKind::Word,
+            TargetAvailability::Leaving => self.kind == SendKind::Control,
             // Its own trial holds back only the others.
-            TargetStanding::BackedOff(_) => self.tries && self.book.has_waited(self.target, now),
+            TargetAvailability::BackedOff(_) => {
+                self.is_trial && self.notices.back_off_has_elapsed(self.target, now)
+            }
         };
         if open {
-            self.tries |= self.book.begin_trial(self.target, now);
-            self.book.rates.count_sent(self.target);
+            self.is_trial |= self.notices.begin_trial(self.target, now);
+            self.notices.rates.count_sent(self.target);
         } else {
-            self.book.count_withheld(self.target);
+            self.notices.count_withheld(self.target);
         }
         open
     }
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -19,9 +19,9 @@
 use crate::piece::PieceBatch;
 use crate::piece_message::{PieceReply, PieceRequest};
 use crate::pool_key::PoolKey;
+use crate::run_permit::RunPermitReply;
 use crate::stage_call::{CallEnd, StageCall, StageRelease};
 use crate::stage_client::{ALIVE_PERIOD, IDLE_PERIOD, IDLE_SILENCE_LIMIT, SILENCE_LIMIT};
-use crate::turn::TurnAnswer;
 
 /// Serves the pieces of another entry host until it is lost; what it still waits for is withdrawn.
 ///
@@ -150,9 +150,9 @@
             PieceRequest::Release(release) => self.send_release(release),
             PieceRequest::Unreachable { service, engine } => {
                 let mut targets = self.gateway.targets.borrow_mut();
-                targets.take_unreachable(&service, &engine, Instant::now());
+                targets.apply_peer_unreachable(&service, &engine, Instant::now());
             }
-            PieceRequest::Suspects(records) => self.gateway.take_suspects(&records),
+            PieceRequest::Suspects(records) => self.gateway.merge_suspects(&records),
             PieceRequest::TakeTurn { number, key, id } => self.grant_turn(number, key, &id),
             PieceRequest::EndTurn(number) => self.end_turn(number),
             PieceRequest::Alive => {}
@@ -228,8 +228,8 @@
     }
 
     fn grant_turn(&mut self, number: u64, key: RequestKey, id: &str) {
-        let answer = self.gateway.grant_turn(key, id);
-        if answer == TurnAnswer::Granted {
+        let answer = self.gateway.issue_run_permit(key, id);
+        if answer == RunPermitReply::Granted {
             self.turns.insert(number, key);
         }
         let _ = self.replies.send(PieceReply::Turn { number, answer });
@@ -237,7 +237,7 @@
 
     fn end_turn(&mut self, number: u64) {
         if let Some(key) = self.turns.remove(&number) {
-            self.gateway.suspects.end_turn(key);
+            self.gateway.suspects.end_run(key);
         }
     }
 
@@ -265,7 +265,7 @@
         self.placements.values().for_each(|key| engines.end(*key));
         drop(engines);
         let turns = self.turns.values();
-        turns.for_each(|key| self.gateway.suspects.end_turn(*key));
+        turns.for_each(|key| self.gateway.suspects.end_run(*key));
         let coordinator = &self.gateway.coordinator;
         let expected = self.expectations.values();
         expected.for_each(|key| coordinator.arrived(*key));
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -18,12 +18,12 @@
 use crate::Dialect;
 use crate::dialect::StageItem;
 use crate::load::ReportedLoad;
-use crate::notice::read_notice;
-use crate::notice_book::NoticeBook;
+use crate::notice::parse_notice;
+use crate::notice_store::NoticeStore;
 use crate::piece::{PieceFault, PieceInput, StageWork};
-use crate::rate_permit::SendPermit;
 use crate::send_gate::SendKind;
-use crate::target_ask::TargetStanding;
+use crate::send_permit::SendPermit;
+use crate::target_restriction::TargetAvailability;
 use crate::upstream::{SendError, UpstreamPool};
 
 /// About what a piece takes in the body of a call beside its inputs, in bytes: its names and numbers.
@@ -127,11 +127,11 @@
 pub(crate) struct StageCaller {
     dialect: Dialect,
     pub(crate) upstream: UpstreamPool,
-    notices: Rc<NoticeBook>,
+    notices: Rc<NoticeStore>,
 }
 
 impl StageCaller {
-    pub(crate) fn new(dialect: Dialect, upstream: UpstreamPool, notices: Rc<NoticeBook>) -> Self {
+    pub(crate) fn new(dialect: Dialect, upstream: UpstreamPool, notices: Rc<NoticeStore>) -> Self {
         Self {
             dialect,
             upstream,
@@ -183,8 +183,8 @@
     }
 
     /// Says whether a target takes calls of this host.
-    pub(crate) fn standing(&self, target: &str) -> TargetStanding {
-        self.notices.standing(target, BootInstant::now())
+    pub(crate) fn standing(&self, target: &str) -> TargetAvailability {
+        self.notices.availability(target, BootInstant::now())
     }
 
     /// Tells a target that results are not needed any more. A lost word costs only the time until the
@@ -200,7 +200,7 @@
             return;
         };
         let (target, address) = (&release.target, release.address);
-        let sent = self.exchange(target, address, request, SendKind::Word);
+        let sent = self.exchange(target, address, request, SendKind::Control);
         let _ = timeout(WORD_TIMEOUT, sent).await;
     }
 
@@ -211,7 +211,7 @@
             .header(header::HOST, address.to_string())
             .body(Full::new(Bytes::new()))
             .ok()?;
-        let asked = self.exchange(target, address, request, SendKind::Word);
+        let asked = self.exchange(target, address, request, SendKind::Control);
         let (_, body) = timeout(WORD_TIMEOUT, asked).await.ok()?.ok()?;
         (targets.decode_free_bytes)(&body)
     }
@@ -226,9 +226,14 @@
     ) -> Result<(Parts, Bytes), SendError> {
         let asked = BootInstant::now();
         let permit = match kind {
-            SendKind::Work => self.notices.rates.take_permit(target, CALL_PATIENCE).await,
+            SendKind::Work => {
+                self.notices
+                    .rates
+                    .acquire_permit(target, CALL_PATIENCE)
+                    .await
+            }
             // None is worth a request of those that the target takes.
-            SendKind::Word => Some(SendPermit::FREE),
+            SendKind::Control => Some(SendPermit::UNRESTRICTED),
         };
         let Some(permit) = permit else {
             self.notices.count_withheld(target);
@@ -236,8 +241,8 @@
         };
         let gate = self.notices.gate(target, kind).with_permit(permit);
         let (head, body) = self.upstream.exchange(address, request, gate).await?;
-        let notice = read_notice(&self.dialect, &head, None);
-        self.notices.note(target, notice, asked);
+        let notice = parse_notice(&self.dialect, &head, None);
+        self.notices.record_response(target, notice, asked);
         Ok((head, body))
     }
 }
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -27,7 +27,7 @@
 use crate::piece_message::PieceRequest;
 use crate::pool_key::{PoolKey, PoolMap};
 use crate::rendezvous;
-use crate::target::TargetBook;
+use crate::target::TargetStore;
 
 pub(crate) use guard::{Expectation, Placement};
 pub(crate) use parts::PartWant;
@@ -223,13 +223,13 @@
     }
 
     /// Takes the targets that take work.
-    pub(crate) fn set_targets(&self, book: &TargetBook) {
-        let pools = PoolMap::new(book.all());
+    pub(crate) fn set_targets(&self, book: &TargetStore) {
+        let pools = PoolMap::new(book.iter());
         self.state.borrow_mut().pools = pools;
     }
 
     /// Takes the targets of some services that take work, as others have not changed.
-    pub(crate) fn update_targets(&self, book: &TargetBook, services: &BTreeSet<&str>) {
+    pub(crate) fn update_targets(&self, book: &TargetStore, services: &BTreeSet<&str>) {
         let mut state = self.state.borrow_mut();
         for service in services {
             let targets = book.of_service(service);
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -9,9 +9,9 @@
 use super::{Results, SILENCE_LIMIT};
 use crate::engine::PlaceFacts;
 use crate::piece_message::PieceRequest;
-use crate::rate_turn::RateAnswer;
+use crate::run_permit::RunPermitReply;
+use crate::send_permit_issuer::SendPermitReply;
 use crate::stage_call::CallEnd;
-use crate::turn::TurnAnswer;
 
 /// Where a connection to another entry host stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,9 +41,9 @@
     /// Calls that this host has the other one send.
     pub(super) calling: HashMap<u64, oneshot::Sender<CallEnd>>,
     /// Questions whether a request may run.
-    pub(super) turns: HashMap<u64, oneshot::Sender<TurnAnswer>>,
+    pub(super) turns: HashMap<u64, oneshot::Sender<RunPermitReply>>,
     /// Questions whether a request may go to a target that names a rate.
-    pub(super) rates: HashMap<u64, oneshot::Sender<RateAnswer>>,
+    pub(super) rates: HashMap<u64, oneshot::Sender<SendPermitReply>>,
 }
 
 impl Link {
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -12,14 +12,14 @@
 use crate::engine::{PlaceAsk, PlaceFacts};
 use crate::piece_message::PieceRequest;
 use crate::pool_key::place_key;
-use crate::target::{Chosen, TargetBook};
+use crate::target::{ChosenTarget, TargetStore};
 
 /// How long the host that places prompts may take.
 const PLACE_TIMEOUT: Duration = Duration::from_millis(60);
 
 impl StageClient {
     /// Returns the host that places a prompt: one for the engines of a service, or for a part of them.
-    fn placer_of(&self, targets: &RefCell<TargetBook>, ask: &PlaceAsk) -> Home {
+    fn placer_of(&self, targets: &RefCell<TargetStore>, ask: &PlaceAsk) -> Home {
         let key = {
             let book = targets.borrow();
             place_key(&ask.service, book.hall_counts(&ask.service), &ask.prompt)
@@ -31,9 +31,9 @@
     /// at once this one places it by what it knows itself.
     pub(crate) async fn place(
         &self,
-        targets: &RefCell<TargetBook>,
+        targets: &RefCell<TargetStore>,
         ask: PlaceAsk,
-    ) -> Option<(Chosen, Placement)> {
+    ) -> Option<(ChosenTarget, Placement)> {
         let mut ask = ask;
         if let Home::Remote(address) = self.placer_of(targets, &ask) {
             if let Some((engine, placement)) = self.place_at(address, ask.clone()).await
@@ -74,9 +74,9 @@
     /// the engine where it would go now.
     pub(crate) async fn plan(
         &self,
-        targets: &RefCell<TargetBook>,
+        targets: &RefCell<TargetStore>,
         ask: PlaceAsk,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenTarget> {
         if let Home::Remote(address) = self.placer_of(targets, &ask) {
             let number = self.next_number();
             let service = ask.service.clone();
--- a/crates/gateway/src/stage_client/rate_ask.rs
+++ b/crates/gateway/src/stage_client/rate_ask.rs
@@ -10,8 +10,8 @@
 
 use super::StageClient;
 use crate::piece_message::PieceRequest;
-use crate::rate_turn::{RateAnswer, RateAsk};
 use crate::rendezvous;
+use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest};
 
 /// How long the host that gives leave may take.
 const RATE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -84,7 +84,11 @@
     }
 
     /// Asks another host for leave; without an answer in time there is none for now.
-    pub(crate) async fn ask_rate(&self, address: SocketAddr, ask: RateAsk) -> RateAnswer {
+    pub(crate) async fn ask_rate(
+        &self,
+        address: SocketAddr,
+        ask: SendPermitRequest,
+    ) -> SendPermitReply {
         let number = self.next_number();
         let (done, answer) = oneshot::channel();
         self.send_to(address, PieceRequest::TakeRate { number, ask }, |link| {
@@ -99,11 +103,16 @@
         drop(asked);
         match answer {
             Ok(Ok(answer)) => answer,
-            _ => RateAnswer::UNREACHED,
+            _ => SendPermitReply::UNREACHED,
         }
     }
 
-    pub(super) fn take_rate_answer(&self, address: SocketAddr, number: u64, answer: RateAnswer) {
+    pub(super) fn take_rate_answer(
+        &self,
+        address: SocketAddr,
+        number: u64,
+        answer: SendPermitReply,
+    ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
         if let Some(waiter) = link.and_then(|link| link.rates.remove(&number)) {
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -46,7 +46,7 @@
     let caller = crate::stage_call::StageCaller::new(
         crate::gateway::tests::dialect(),
         crate::upstream::UpstreamPool::default(),
-        Rc::new(crate::notice_book::NoticeBook::new(
+        Rc::new(crate::notice_store::NoticeStore::new(
             recorder.clone(),
             Rc::default(),
         )),
--- a/crates/gateway/src/stage_client/turn_ask.rs
+++ b/crates/gateway/src/stage_client/turn_ask.rs
@@ -12,7 +12,7 @@
 use super::StageClient;
 use crate::piece_message::PieceRequest;
 use crate::rendezvous;
-use crate::turn::TurnAnswer;
+use crate::run_permit::RunPermitReply;
 
 /// How long the host that gives turns may take.
 const TURN_TIMEOUT: Duration = Duration::from_millis(200);
@@ -50,7 +50,7 @@
         address: SocketAddr,
         key: RequestKey,
         id: &str,
-    ) -> (TurnAnswer, u64) {
+    ) -> (RunPermitReply, u64) {
         let number = self.next_number();
         let (done, answer) = oneshot::channel();
         let request = PieceRequest::TakeTurn {
@@ -69,10 +69,10 @@
         };
         let answer = timeout(TURN_TIMEOUT, answer).await;
         let Ok(Ok(answer)) = answer else {
-            return (TurnAnswer::Busy, number);
+            return (RunPermitReply::Busy, number);
         };
         // From here on the turn is given back by whoever has it.
-        asked.taken = answer == TurnAnswer::Granted;
+        asked.taken = answer == RunPermitReply::Granted;
         (answer, number)
     }
 
@@ -88,7 +88,12 @@
         self.send_to(address, PieceRequest::EndTurn(number), |_| {});
     }
 
-    pub(super) fn take_turn_answer(&self, address: SocketAddr, number: u64, answer: TurnAnswer) {
+    pub(super) fn take_turn_answer(
+        &self,
+        address: SocketAddr,
+        number: u64,
+        answer: RunPermitReply,
+    ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
         if let Some(waiter) = link.and_then(|link| link.turns.remove(&number)) {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What this host knows of requests that may end targets.
+//! What this host knows of requests that may crash targets.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashSet};
@@ -7,104 +7,104 @@
 
 use linnet_directory::SuspectSource;
 use linnet_quarantine::{
-    ChangedSuspects, EndKey, RequestKey, RequestStanding, RequestSubject, SuspectBook,
-    SuspectRecord,
+    CrashKey, RequestKey, RequestStatus, RequestSubject, SuspectChanges, SuspectRecord,
+    SuspectStore,
 };
 use linnet_telemetry::EventCode;
 use tokio::sync::watch;
 
 use crate::Gateway;
 use crate::ask::Ask;
-use crate::confinement::RememberedTargets;
-use crate::target::TargetBook;
+use crate::confinement::RecentTargets;
+use crate::target::TargetStore;
 
-/// What this host knows of requests that may end targets.
+/// What this host knows of requests that may crash targets.
 #[derive(Default)]
-pub(crate) struct SuspectWatch {
-    book: RefCell<SuspectBook>,
+pub(crate) struct SuspectTracker {
+    store: RefCell<SuspectStore>,
     changes: watch::Sender<u64>,
     /// Requests that this host lets run now, for all hosts.
-    turns: RefCell<HashSet<RequestKey>>,
+    running: RefCell<HashSet<RequestKey>>,
     /// Accounts whose requests are confined to a share of the targets.
     confined: RefCell<BTreeSet<String>>,
     /// The targets among which their share is chosen.
-    remembered: RefCell<RememberedTargets>,
+    recent_targets: RefCell<RecentTargets>,
 }
 
-impl SuspectWatch {
-    /// Returns a receiver of the number of the newest change.
+impl SuspectTracker {
+    /// Returns a receiver of the revision of the newest change.
     pub(crate) fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Returns the first records that changed after a change number.
-    pub(crate) fn changed_after(&self, number: u64, most: usize) -> ChangedSuspects {
-        let book = self.book.borrow();
-        book.changed_after(number, most, Instant::now())
+    /// Returns the first records that changed after a change revision.
+    pub(crate) fn changed_after(&self, revision: u64, max_count: usize) -> SuspectChanges {
+        let store = self.store.borrow();
+        store.changed_after(revision, max_count, Instant::now())
     }
 
     /// Returns what holds of a request.
-    pub(crate) fn standing(&self, ask: &Ask) -> RequestStanding {
-        if self.book.borrow().is_empty() {
-            return RequestStanding::Free;
+    pub(crate) fn status(&self, ask: &Ask) -> RequestStatus {
+        if self.store.borrow().is_empty() {
+            return RequestStatus::Clear;
         }
-        self.standing_of(ask.subject().key)
+        self.status_of(ask.subject().key)
     }
 
-    pub(crate) fn standing_of(&self, key: RequestKey) -> RequestStanding {
+    pub(crate) fn status_of(&self, key: RequestKey) -> RequestStatus {
         let now = Instant::now();
-        let mut book = self.book.borrow_mut();
-        book.settle(now);
-        let standing = book.standing(key, now);
-        drop(book);
-        self.tell_changes();
-        standing
+        let mut store = self.store.borrow_mut();
+        store.decide_due(now);
+        let status = store.status(key, now);
+        drop(store);
+        self.notify_changes();
+        status
     }
 
-    /// Notes that a target ended while a request ran there; says whether that is news.
-    pub(crate) fn accuse(&self, subject: &RequestSubject, end: EndKey) -> bool {
-        let mut book = self.book.borrow_mut();
-        let news = book.accuse(subject, end, Instant::now());
-        drop(book);
-        self.tell_changes();
-        news
+    /// Notes that a target ended while a request ran there; says whether that is is_new.
+    pub(crate) fn record_crash(&self, subject: &RequestSubject, crash: CrashKey) -> bool {
+        let mut store = self.store.borrow_mut();
+        let is_new = store.record_crash(subject, crash, Instant::now());
+        drop(store);
+        self.notify_changes();
+        is_new
     }
 
     /// Returns what is held against a request.
     pub(crate) fn record(&self, key: RequestKey) -> Option<SuspectRecord> {
-        self.book.borrow().record(key, Instant::now())
+        self.store.borrow().record(key, Instant::now())
     }
 
-    pub(crate) fn note_trial(&self, key: RequestKey) {
-        self.book.borrow_mut().note_trial(key, Instant::now());
-        self.tell_changes();
+    pub(crate) fn record_trial(&self, key: RequestKey) {
+        self.store.borrow_mut().record_trial(key, Instant::now());
+        self.notify_changes();
     }
 
-    pub(crate) fn note_refused(&self, key: RequestKey) {
-        self.book.borrow_mut().note_refused(key, Instant::now());
-        self.tell_changes();
+    pub(crate) fn record_refusal(&self, key: RequestKey) {
+        self.store.borrow_mut().record_refusal(key, Instant::now());
+        self.notify_changes();
     }
 
     /// Returns how many requests are held, and against how many something stands.
     pub(crate) fn counts(&self) -> (usize, usize) {
-        self.book.borrow().counts()
+        self.store.borrow().counts()
     }
 
     /// Counts a request as running; says whether it was not before.
-    pub(crate) fn begin_turn(&self, key: RequestKey) -> bool {
-        self.turns.borrow_mut().insert(key)
+    pub(crate) fn begin_run(&self, key: RequestKey) -> bool {
+        self.running.borrow_mut().insert(key)
     }
 
     /// Notes that it does not run any more.
-    pub(crate) fn end_turn(&self, key: RequestKey) {
-        self.turns.borrow_mut().remove(&key);
+    pub(crate) fn end_run(&self, key: RequestKey) {
+        self.running.borrow_mut().remove(&key);
     }
 
     /// Returns the targets of a service that a request must not use since some accounts are confined to others;
     /// none where no account is.
     pub(crate) fn closed_targets(
         &self,
-        book: &TargetBook,
+        targets: &TargetStore,
         service: &str,
         ask: &Ask,
     ) -> Vec<String> {
@@ -112,51 +112,51 @@
         if confined.is_empty() {
             return Vec::new();
         }
-        let own = ask.account.as_ref();
-        let is_confined = own.is_some_and(|own| confined.contains(own));
-        let remembered = self.remembered.borrow();
-        remembered.closed_targets(book, service, is_confined)
+        let account = ask.account.as_ref();
+        let is_confined = account.is_some_and(|account| confined.contains(account));
+        let recent = self.recent_targets.borrow();
+        recent.closed_targets(targets, service, is_confined)
     }
 
     /// Notes which targets there are, while something stands against a request.
-    fn remember_targets(&self, book: &TargetBook, now: Instant) {
-        let mut remembered = self.remembered.borrow_mut();
-        match self.book.borrow().is_empty() {
-            true => remembered.clear(),
-            false => remembered.note(book, now),
+    fn record_targets(&self, targets: &TargetStore, now: Instant) {
+        let mut recent = self.recent_targets.borrow_mut();
+        match self.store.borrow().is_empty() {
+            true => recent.clear(),
+            false => recent.record(targets, now),
         }
     }
 
     /// Looks which accounts are confined; returns them where that has changed.
-    fn look_for_confined(&self, now: Instant) -> Option<Vec<String>> {
-        let found = self.book.borrow().confined_accounts(now);
+    fn update_confined(&self, now: Instant) -> Option<Vec<String>> {
+        let current = self.store.borrow().confined_accounts(now);
         let mut confined = self.confined.borrow_mut();
-        if *confined == found {
+        if *confined == current {
             return None;
         }
-        confined.clone_from(&found);
-        Some(found.into_iter().collect())
+        confined.clone_from(&current);
+        Some(current.into_iter().collect())
     }
 
     /// Returns the records of requests that came to be held here since this was last asked.
     fn drain_held(&self) -> Vec<SuspectRecord> {
-        self.book.borrow_mut().drain_held(Instant::now())
+        self.store.borrow_mut().drain_held(Instant::now())
     }
 
-    fn tell_changes(&self) {
-        let number = self.book.borrow().number();
+    fn notify_changes(&self) {
+        let revision = self.store.borrow().revision();
         self.changes
-            .send_if_modified(|told| std::mem::replace(told, number) != number);
+            .send_if_modified(|published| std::mem::replace(published, revision) != revision);
     }
 
     /// Decides and forgets what is old; returns the requests that were held until then.
     fn expire(&self, now: Instant) -> Vec<RequestSubject> {
-        let mut book = self.book.borrow_mut();
-        book.settle(now);
-        let past = book.expire(now);
-        drop(book);
-        self.tell_changes();
-        past
+        let mut store = self.store.borrow_mut();
+        store.decide_due(now);
+        let expired = store.expire(now);
+        drop(store);
+        self.notify_changes();
+        expired
     }
 }
 
@@ -168,48 +168,52 @@
             changes: self.suspects.changes(),
             changed_after: Box::new(move |ask| {
                 let changed = gateway.suspects.changed_after(ask.number, ask.most);
-                (changed.records, changed.number)
+                (changed.records, changed.revision)
             }),
         }
     }
 
     /// Notes that a target answered a request whole, which speaks for the request.
-    pub(crate) fn note_whole_run(&self, ask: &Ask, target: &str) {
-        if self.suspects.book.borrow().is_empty() {
+    pub(crate) fn record_complete_run(&self, ask: &Ask, target: &str) {
+        if self.suspects.store.borrow().is_empty() {
             return;
         }
         let subject = ask.subject();
-        if self.suspects.book.borrow_mut().acquit(subject.key) {
+        if self.suspects.store.borrow_mut().clear_request(subject.key) {
             let code = EventCode::RequestAcquitted;
-            self.note_request(code, &ask.id, target, describe(subject));
-            self.suspects.tell_changes();
+            self.note_request(code, &ask.id, target, describe_subject(subject));
+            self.suspects.notify_changes();
         }
     }
 
     /// Takes what another process holds against requests.
-    pub(crate) fn take_suspects(&self, records: &[SuspectRecord]) {
+    pub(crate) fn merge_suspects(&self, records: &[SuspectRecord]) {
         let now = Instant::now();
-        let mut book = self.suspects.book.borrow_mut();
+        let mut store = self.suspects.store.borrow_mut();
         for record in records {
-            book.merge(record, now);
+            store.merge(record, now);
         }
-        drop(book);
-        self.suspects.tell_changes();
+        drop(store);
+        self.suspects.notify_changes();
     }
 
-    /// Decides on requests that may end targets, tells which are held, and forgets what is old.
+    /// Decides on requests that may crash targets, tells which are held, and forgets what is old.
     pub(crate) fn expire_suspects(&self) {
         for record in self.suspects.drain_held() {
-            let detail = format!("{} ends={}", describe(&record.subject), record.ends.len());
+            let detail = format!(
+                "{} ends={}",
+                describe_subject(&record.subject),
+                record.crashes.len()
+            );
             self.note(EventCode::RequestHeld, &detail);
         }
         for subject in self.suspects.expire(Instant::now()) {
-            let detail = format!("{} cause=not seen for long", describe(&subject));
+            let detail = format!("{} cause=not seen for long", describe_subject(&subject));
             self.note(EventCode::RequestReleased, &detail);
         }
         self.suspects
-            .remember_targets(&self.targets.borrow(), Instant::now());
-        if let Some(accounts) = self.suspects.look_for_confined(Instant::now()) {
+            .record_targets(&self.targets.borrow(), Instant::now());
+        if let Some(accounts) = self.suspects.update_confined(Instant::now()) {
             let detail = format!("accounts={}", accounts.join(","));
             self.note(EventCode::AccountsConfined, &detail);
         }
@@ -220,7 +224,7 @@
 }
 
 /// Describes a request for the log.
-pub(crate) fn describe(subject: &RequestSubject) -> String {
+pub(crate) fn describe_subject(subject: &RequestSubject) -> String {
     format!(
         "key={} account={} method={} path={}",
         subject.key, subject.account, subject.method, subject.path
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -1,6 +1,6 @@
 //! The targets that take work, as this host knows them.
 
-mod book;
+mod store;
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,32 +10,32 @@
 use crate::cold::SendShare;
 use crate::target_slowness::TargetSlowness;
 
-pub(crate) use book::TargetBook;
+pub(crate) use store::TargetStore;
 
 /// Failures in a row after which a target gets no work for a while.
-const EJECT_FAILURES: u32 = 2;
+const EJECTION_THRESHOLD: u32 = 2;
 
 /// How long a target is first left alone.
-const EJECT_FIRST: Duration = Duration::from_millis(600);
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(600);
 
 /// The longest time that a target is left alone.
-const EJECT_MOST: Duration = Duration::from_secs(5);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(5);
 
 /// Part of the targets of a service that may be left alone at one time.
-const EJECT_PART: f64 = 0.6;
+const MAX_EJECTED_FRACTION: f64 = 0.6;
 
 /// How long a target that turned a request away is passed over where others are free; doubled with each in a row.
 /// It may name no time to come back, or one that is soon over. Without this two of six targets that refused
 /// all cost a fifth of the requests, by the allowance of repeats (655 of 3,150 in 2 s, mean of three runs).
-const REFUSED_FIRST: Duration = Duration::from_millis(40);
-const MAX_REFUSED_DOUBLINGS: u32 = 4;
+const REFUSAL_COOLDOWN: Duration = Duration::from_millis(40);
+const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
 
 /// What a target of another hall counts beside its load, in parts of its slots: a way there and back of some
 /// milliseconds, and bytes that cross halls.
-const OTHER_HALL_LOAD: f64 = 0.25;
+const REMOTE_HALL_PENALTY: f64 = 0.25;
 
 /// What a cold target counts: it gets work only where the others are full.
-const COLD_LOAD: f64 = 0.5;
+const COLD_PENALTY: f64 = 0.5;
 
 /// A target in work.
 #[derive(Debug, Clone)]
@@ -55,7 +55,7 @@
     ejected_until: Option<Instant>,
     /// Requests in a row that it turned away.
     refusals: u32,
-    refused_until: Option<Instant>,
+    cooldown_until: Option<Instant>,
     cold_until: Option<Instant>,
     slowness: TargetSlowness,
     /// When this host may send to it while it is cold and nobody decides for all hosts.
@@ -76,7 +76,7 @@
             ejections: 0,
             ejected_until: None,
             refusals: 0,
-            refused_until: None,
+            cooldown_until: None,
             cold_until: None,
             slowness: TargetSlowness::default(),
             share: SendShare::default(),
@@ -84,7 +84,7 @@
     }
 
     /// Takes what a record tells of the same start.
-    fn take_record(&mut self, record: &TargetRecord, now: Instant) {
+    fn apply_record(&mut self, record: &TargetRecord, now: Instant) {
         self.address = record.address;
         self.slots = record.slots.max(1);
         self.version.clone_from(&record.version);
@@ -104,8 +104,8 @@
     pub(crate) fn load(&self, other_hall: bool, now: Instant) -> f64 {
         let part = |counts: bool, load: f64| if counts { load } else { 0.0 };
         f64::from(self.in_flight) / f64::from(self.slots)
-            + part(other_hall, OTHER_HALL_LOAD)
-            + part(self.is_cold(now), COLD_LOAD)
+            + part(other_hall, REMOTE_HALL_PENALTY)
+            + part(self.is_cold(now), COLD_PENALTY)
             + self.slowness.load(now)
     }
 
@@ -115,8 +115,8 @@
     }
 
     fn eject(&mut self, now: Instant) {
-        let span = EJECT_FIRST * 2_u32.saturating_pow(self.ejections.min(4));
-        self.ejected_until = Some(now + span.min(EJECT_MOST));
+        let span = BASE_EJECTION_TIME * 2_u32.saturating_pow(self.ejections.min(4));
+        self.ejected_until = Some(now + span.min(MAX_EJECTION_TIME));
         self.ejections += 1;
         self.failures = 0;
     }
@@ -125,28 +125,28 @@
         self.ejected_until.is_some_and(|until| until > now)
     }
 
-    fn note_refused(&mut self, now: Instant) {
-        let doublings = self.refusals.min(MAX_REFUSED_DOUBLINGS);
-        self.refused_until = Some(now + REFUSED_FIRST * 2_u32.pow(doublings));
+    fn record_refusal(&mut self, now: Instant) {
+        let doublings = self.refusals.min(MAX_COOLDOWN_DOUBLINGS);
+        self.cooldown_until = Some(now + REFUSAL_COOLDOWN * 2_u32.pow(doublings));
         self.refusals += 1;
     }
 
     /// Says whether others are to be used rather than it, where there are any.
-    fn is_passed_over(&self, now: Instant) -> bool {
-        self.is_ejected(now) || self.refused_until.is_some_and(|until| until > now)
+    fn is_avoided(&self, now: Instant) -> bool {
+        self.is_ejected(now) || self.cooldown_until.is_some_and(|until| until > now)
     }
 }
 
 /// A target that was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenTarget {
     pub(crate) id: String,
     pub(crate) born: u64,
     pub(crate) address: SocketAddr,
     pub(crate) hall: String,
 }
 
-impl Chosen {
+impl ChosenTarget {
     pub(crate) fn new(target: &Target) -> Self {
         Self {
             id: target.id.clone(),
--- a/crates/gateway/src/target/book.rs
+++ b/crates/gateway/src/target/store.rs
@@ -5,16 +5,16 @@
 use std::time::{Duration, Instant};
 
 use linnet_directory::TargetRecord;
-use linnet_rate::NamedRate;
+use linnet_rate::RateLimit;
 use linnet_routing::RoutingConfig;
 
-use super::{Chosen, EJECT_FAILURES, EJECT_FIRST, EJECT_PART, Target};
+use super::{BASE_EJECTION_TIME, ChosenTarget, EJECTION_THRESHOLD, MAX_EJECTED_FRACTION, Target};
 use crate::cold::ColdRate;
 use crate::version_split::VersionSplit;
 
 /// The targets of every service. Ordered maps, so that runs with the same input choose alike.
 #[derive(Default)]
-pub(crate) struct TargetBook {
+pub(crate) struct TargetStore {
     services: HashMap<String, BTreeMap<String, Target>>,
     /// How many targets each service has in each hall.
     hall_counts: HashMap<String, Vec<(String, u32)>>,
@@ -23,10 +23,10 @@
     /// The services of which a version is rolled out.
     splits: HashMap<String, VersionSplit>,
     /// The rates that targets named, by their identity.
-    rates: HashMap<String, NamedRate>,
+    rate_limits: HashMap<String, RateLimit>,
 }
 
-fn count_halls(records: &[TargetRecord]) -> HashMap<String, Vec<(String, u32)>> {
+fn count_by_service_and_hall(records: &[TargetRecord]) -> HashMap<String, Vec<(String, u32)>> {
     let mut services: HashMap<&str, Vec<&str>> = HashMap::new();
     for record in records {
         services
@@ -36,11 +36,11 @@
     }
     let counted = services.into_iter();
     let counted =
-        counted.map(|(service, halls)| (service.to_owned(), count_halls_of(halls.into_iter())));
+        counted.map(|(service, halls)| (service.to_owned(), count_by_hall(halls.into_iter())));
     counted.collect()
 }
 
-fn count_halls_of<'a>(targets: impl Iterator<Item = &'a str>) -> Vec<(String, u32)> {
+fn count_by_hall<'a>(targets: impl Iterator<Item = &'a str>) -> Vec<(String, u32)> {
     let mut halls: Vec<(String, u32)> = Vec::new();
     for hall in targets {
         match halls.iter_mut().find(|(known, _)| known == hall) {
@@ -51,35 +51,35 @@
     halls
 }
 
-impl TargetBook {
+impl TargetStore {
     /// Takes the list of targets that take work; what is not in it gets no more. Returns the identities of
-    /// those that have started anew.
+    /// those that have started restarted.
     pub(crate) fn replace(&mut self, records: &[TargetRecord], now: Instant) -> Vec<String> {
-        let mut anew = Vec::new();
-        let mut former = std::mem::take(&mut self.services);
+        let mut restarted = Vec::new();
+        let mut previous = std::mem::take(&mut self.services);
         for record in records {
-            let known = former
+            let known = previous
                 .get_mut(&record.service)
                 .and_then(|targets| targets.remove(&record.id));
             let mut target = match known {
                 Some(known) if known.born == record.born => known,
                 // Another start under the same identity has nothing of the one before.
                 Some(_) => {
-                    anew.push(record.id.clone());
+                    restarted.push(record.id.clone());
                     Target::new(record)
                 }
                 None => Target::new(record),
             };
-            target.take_record(record, now);
+            target.apply_record(record, now);
             let service = self.services.entry(record.service.clone()).or_default();
             service.insert(record.id.clone(), target);
         }
-        self.hall_counts = count_halls(records);
-        anew
+        self.hall_counts = count_by_service_and_hall(records);
+        restarted
     }
 
     /// Takes targets that have come or changed, and those that get no more work; all others stay. Returns the
-    /// identities of those that have started anew.
+    /// identities of those that have started restarted.
     pub(crate) fn update(
         &mut self,
         listed: &[TargetRecord],
@@ -89,7 +89,7 @@
         for record in unlisted {
             self.remove(&record.service, &record.id);
         }
-        let mut anew = Vec::new();
+        let mut restarted = Vec::new();
         for record in listed {
             let targets = self.services.entry(record.service.clone()).or_default();
             let target = targets
@@ -97,22 +97,22 @@
                 .or_insert_with(|| Target::new(record));
             // Another start under the same identity has nothing of the one before.
             if target.born != record.born {
-                anew.push(record.id.clone());
+                restarted.push(record.id.clone());
                 *target = Target::new(record);
             }
-            target.take_record(record, now);
+            target.apply_record(record, now);
         }
         let changed = listed.iter().chain(unlisted);
         let services: BTreeSet<&str> = changed.map(|one| one.service.as_str()).collect();
         for service in services {
-            let halls = count_halls_of(self.of_service(service).map(|one| one.hall.as_str()));
+            let halls = count_by_hall(self.of_service(service).map(|one| one.hall.as_str()));
             self.hall_counts.insert(service.to_owned(), halls);
         }
-        anew
+        restarted
     }
 
     /// Returns the service, hall and identity of each target.
-    pub(crate) fn all(&self) -> impl Iterator<Item = (&str, &str, &str)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &str, &str)> {
         let services = self.services.iter();
         services.flat_map(|(service, targets)| {
             let targets = targets.values();
@@ -121,16 +121,16 @@
     }
 
     /// Takes the rate that a target names; nothing where it takes any.
-    pub(crate) fn set_rate(&mut self, id: &str, rate: Option<NamedRate>) {
-        match rate {
-            Some(rate) => self.rates.insert(id.to_owned(), rate),
-            None => self.rates.remove(id),
+    pub(crate) fn set_rate_limit(&mut self, id: &str, limit: Option<RateLimit>) {
+        match limit {
+            Some(limit) => self.rate_limits.insert(id.to_owned(), limit),
+            None => self.rate_limits.remove(id),
         };
     }
 
     /// Returns the rate that a target names; nothing where it takes any.
-    pub(crate) fn rate(&self, id: &str) -> Option<NamedRate> {
-        self.rates.get(id).copied()
+    pub(crate) fn rate_limit(&self, id: &str) -> Option<RateLimit> {
+        self.rate_limits.get(id).copied()
     }
 
     /// Takes the services of a configuration.
@@ -165,7 +165,7 @@
 
     /// Returns the identities of the targets of a service that are cold and get no request of this host
     /// now, which is one of so many that do not know of each other.
-    pub(crate) fn closed_by_cold(
+    pub(crate) fn throttled_cold_targets(
         &mut self,
         service: &str,
         hosts: usize,
@@ -186,13 +186,7 @@
     }
 
     /// Counts a request that this host, one of so many, sends to a target that is cold.
-    pub(crate) fn note_cold_sending(
-        &mut self,
-        service: &str,
-        id: &str,
-        hosts: usize,
-        now: Instant,
-    ) {
+    pub(crate) fn record_cold_send(&mut self, service: &str, id: &str, hosts: usize, now: Instant) {
         let Some(rate) = self.cold_rate(service) else {
             return;
         };
@@ -215,7 +209,7 @@
     }
 
     /// Returns the identities of the targets of a service.
-    pub(crate) fn ids_of(&self, service: &str) -> impl Iterator<Item = &String> {
+    pub(crate) fn ids_of_service(&self, service: &str) -> impl Iterator<Item = &String> {
         let targets = self.services.get(service);
         targets.into_iter().flat_map(BTreeMap::keys)
     }
@@ -232,7 +226,7 @@
     }
 
     /// Returns how many requests of this host are under way at targets of other versions than one.
-    pub(crate) fn open_beside(&self, service: &str, version: &str) -> u32 {
+    pub(crate) fn in_flight_at_other_versions(&self, service: &str, version: &str) -> u32 {
         let others = self
             .of_service(service)
             .filter(|one| one.version != version);
@@ -241,7 +235,7 @@
 
     /// Draws by which version a request of a service is to be served, where one is rolled out: returns the targets of
     /// that side, or all where it has none.
-    fn drawn_side(&self, service: &str) -> Vec<&Target> {
+    fn candidates_of_drawn_side(&self, service: &str) -> Vec<&Target> {
         let all = || self.of_service(service);
         let Some(split) = self.splits.get(service) else {
             return all().collect();
@@ -262,18 +256,18 @@
         services.flat_map(|(service, targets)| targets.keys().map(move |id| (service, id)))
     }
 
-    /// Returns the targets of a service that are not passed over; where all are, those that can be reached, and
-    /// all of them where none can. While a version is rolled out these are of one side, drawn anew each time.
+    /// Returns the targets of a service that are not passed over; where all are, those that can be reachable, and
+    /// all of them where none can. While a version is rolled out these are of one side, drawn restarted each time.
     pub(crate) fn usable(&self, service: &str, now: Instant) -> Vec<&Target> {
-        let side = self.drawn_side(service);
+        let side = self.candidates_of_drawn_side(service);
         let all = || side.iter().copied();
-        let willing: Vec<&Target> = all().filter(|one| !one.is_passed_over(now)).collect();
-        if !willing.is_empty() {
-            return willing;
+        let preferred: Vec<&Target> = all().filter(|one| !one.is_avoided(now)).collect();
+        if !preferred.is_empty() {
+            return preferred;
         }
-        let reached: Vec<&Target> = all().filter(|one| !one.is_ejected(now)).collect();
-        if !reached.is_empty() {
-            return reached;
+        let reachable: Vec<&Target> = all().filter(|one| !one.is_ejected(now)).collect();
+        if !reachable.is_empty() {
+            return reachable;
         }
         all().collect()
     }
@@ -287,19 +281,19 @@
     }
 
     /// Finds a target that takes work.
-    pub(crate) fn find(&self, service: &str, id: &str) -> Option<Chosen> {
+    pub(crate) fn find(&self, service: &str, id: &str) -> Option<ChosenTarget> {
         let target = self.services.get(service)?.get(id)?;
-        Some(Chosen::new(target))
+        Some(ChosenTarget::new(target))
     }
 
     /// Finds a target whose service is not known, and its service.
-    pub(crate) fn find_anywhere(&self, id: &str) -> Option<(&str, &Target)> {
+    pub(crate) fn find_by_id(&self, id: &str) -> Option<(&str, &Target)> {
         let mut services = self.services.iter();
         services.find_map(|(service, targets)| Some((service.as_str(), targets.get(id)?)))
     }
 
     /// Says whether a target takes work.
-    pub(crate) fn has(&self, service: &str, id: &str) -> bool {
+    pub(crate) fn contains(&self, service: &str, id: &str) -> bool {
         let targets = self.services.get(service);
         targets.is_some_and(|targets| targets.contains_key(id))
     }
@@ -316,7 +310,7 @@
     }
 
     /// Learns from the time that a plain request took, whether it was answered or given up.
-    pub(crate) fn learn_time(
+    pub(crate) fn record_duration(
         &mut self,
         service: &str,
         id: &str,
@@ -325,12 +319,12 @@
         now: Instant,
     ) {
         if let Some(target) = self.find_mut(service, id) {
-            target.slowness.learn(took, objective, now);
+            target.slowness.record(took, objective, now);
         }
     }
 
     /// Notes a usable answer.
-    pub(crate) fn note_success(&mut self, service: &str, id: &str) {
+    pub(crate) fn record_success(&mut self, service: &str, id: &str) {
         if let Some(target) = self.find_mut(service, id) {
             target.failures = 0;
             target.ejections = 0;
@@ -339,15 +333,15 @@
     }
 
     /// Notes that a target turned a request away. Any of its answers but that ends the row.
-    pub(crate) fn note_refused(&mut self, service: &str, id: &str, now: Instant) {
+    pub(crate) fn record_refusal(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id) {
-            target.note_refused(now);
+            target.record_refusal(now);
         }
     }
 
-    /// Notes that a target could not be reached. That is no matter of chance, so it is left alone at
-    /// once, and as many others as cannot be reached either.
-    pub(crate) fn note_unreachable(&mut self, service: &str, id: &str, now: Instant) {
+    /// Notes that a target could not be reachable. That is no matter of chance, so it is left alone at
+    /// once, and as many others as cannot be reachable either.
+    pub(crate) fn record_unreachable(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id) {
             target.eject(now);
         }
@@ -355,33 +349,33 @@
 
     /// Takes the word of another host that it could not reach a target. The target is passed over for a
     /// short while, in which this host does not find that out for itself.
-    pub(crate) fn take_unreachable(&mut self, service: &str, id: &str, now: Instant) {
+    pub(crate) fn apply_peer_unreachable(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id)
             && !target.is_ejected(now)
         {
-            target.ejected_until = Some(now + EJECT_FIRST);
+            target.ejected_until = Some(now + BASE_EJECTION_TIME);
         }
     }
 
     /// Returns the targets of a service that are passed over now.
-    pub(crate) fn passed_over(&self, service: &str, now: Instant) -> impl Iterator<Item = &Target> {
+    pub(crate) fn avoided(&self, service: &str, now: Instant) -> impl Iterator<Item = &Target> {
         let targets = self.of_service(service);
-        targets.filter(move |target| target.is_passed_over(now))
+        targets.filter(move |target| target.is_avoided(now))
     }
 
     /// Notes a failure; says whether the target is left alone from now on.
-    pub(crate) fn note_failure(&mut self, service: &str, id: &str, now: Instant) -> bool {
+    pub(crate) fn record_failure(&mut self, service: &str, id: &str, now: Instant) -> bool {
         let all = self.of_service(service).count();
         let ejected = self
             .of_service(service)
             .filter(|one| one.is_ejected(now))
             .count();
-        let may_eject = ((ejected + 1) as f64) <= all as f64 * EJECT_PART;
+        let may_eject = ((ejected + 1) as f64) <= all as f64 * MAX_EJECTED_FRACTION;
         let Some(target) = self.find_mut(service, id) else {
             return false;
         };
         target.failures += 1;
-        if target.failures < EJECT_FAILURES || !may_eject {
+        if target.failures < EJECTION_THRESHOLD || !may_eject {
             return false;
         }
         target.eject(now);
--- a/crates/gateway/src/target/tests.rs
+++ b/crates/gateway/src/target/tests.rs
@@ -20,158 +20,161 @@
     }
 }
 
-/// A book with targets `t-0`, `t-1` and so on.
-pub(crate) fn book(count: u16) -> TargetBook {
+/// A store with targets `t-0`, `t-1` and so on.
+pub(crate) fn store_with(count: u16) -> TargetStore {
     let records: Vec<TargetRecord> = (0..count)
         .map(|number| record(&format!("t-{number}"), 1_000 + number))
         .collect();
-    let mut book = TargetBook::default();
-    book.replace(&records, Instant::now());
-    book
+    let mut store = TargetStore::default();
+    store.replace(&records, Instant::now());
+    store
 }
 
-fn usable(book: &TargetBook, now: Instant) -> Vec<String> {
-    let usable = book.usable(SERVICE, now).into_iter();
+fn usable(store: &TargetStore, now: Instant) -> Vec<String> {
+    let usable = store.usable(SERVICE, now).into_iter();
     usable.map(|target| target.id.clone()).collect()
 }
 
 #[test]
 fn two_failures_in_a_row_eject_a_target_and_a_success_between_them_does_not() {
-    let (mut book, now) = (book(3), Instant::now());
-    assert!(!book.note_failure(SERVICE, "t-0", now));
-    book.note_success(SERVICE, "t-0");
-    assert!(!book.note_failure(SERVICE, "t-0", now));
-    assert_eq!(usable(&book, now), ["t-0", "t-1", "t-2"]);
-    assert!(book.note_failure(SERVICE, "t-0", now));
-    assert_eq!(usable(&book, now), ["t-1", "t-2"]);
+    let (mut store, now) = (store_with(3), Instant::now());
+    assert!(!store.record_failure(SERVICE, "t-0", now));
+    store.record_success(SERVICE, "t-0");
+    assert!(!store.record_failure(SERVICE, "t-0", now));
+    assert_eq!(usable(&store, now), ["t-0", "t-1", "t-2"]);
+    assert!(store.record_failure(SERVICE, "t-0", now));
+    assert_eq!(usable(&store, now), ["t-1", "t-2"]);
 }
 
 #[test]
-fn an_ejected_target_comes_back_and_stays_away_longer_each_time() {
-    let (mut book, start) = (book(3), Instant::now());
+fn an_ejected_target_returns_after_a_time_that_grows_with_each_ejection() {
+    let (mut store, start) = (store_with(3), Instant::now());
     let mut now = start;
     let mut spans = Vec::new();
     for _ in 0..6 {
-        while !book.note_failure(SERVICE, "t-0", now) {}
+        while !store.record_failure(SERVICE, "t-0", now) {}
         let left = now;
-        while usable(&book, now).len() < 3 {
+        while usable(&store, now).len() < 3 {
             now += Duration::from_millis(100);
         }
         spans.push(now - left);
     }
-    assert_eq!(spans[0], EJECT_FIRST);
+    assert_eq!(spans[0], BASE_EJECTION_TIME);
     assert!(spans.is_sorted(), "{spans:?}");
-    assert_eq!(spans[5], EJECT_MOST);
-    book.note_success(SERVICE, "t-0");
-    while !book.note_failure(SERVICE, "t-0", now) {}
-    assert_eq!(usable(&book, now + EJECT_FIRST).len(), 3);
+    assert_eq!(spans[5], MAX_EJECTION_TIME);
+    store.record_success(SERVICE, "t-0");
+    while !store.record_failure(SERVICE, "t-0", now) {}
+    assert_eq!(usable(&store, now + BASE_EJECTION_TIME).len(), 3);
 }
 
 #[test]
-fn failures_eject_no_more_than_the_capped_part_of_a_service() {
-    let (mut book, now) = (book(5), Instant::now());
+fn failures_eject_at_most_a_fixed_fraction_of_a_service() {
+    let (mut store, now) = (store_with(5), Instant::now());
     for number in 0..5 {
         let id = format!("t-{number}");
-        book.note_failure(SERVICE, &id, now);
-        book.note_failure(SERVICE, &id, now);
+        store.record_failure(SERVICE, &id, now);
+        store.record_failure(SERVICE, &id, now);
     }
-    assert_eq!(usable(&book, now), ["t-3", "t-4"]);
+    assert_eq!(usable(&store, now), ["t-3", "t-4"]);
 }
 
 #[test]
-fn unreachable_targets_are_left_at_once_whatever_their_part_and_all_are_used_where_none_is_left() {
-    let (mut book, now) = (book(3), Instant::now());
-    book.note_unreachable(SERVICE, "t-0", now);
-    book.note_unreachable(SERVICE, "t-1", now);
-    assert_eq!(usable(&book, now), ["t-2"]);
-    book.note_unreachable(SERVICE, "t-2", now);
-    assert_eq!(usable(&book, now), ["t-0", "t-1", "t-2"]);
+fn unreachable_targets_are_ejected_at_once_without_a_cap_and_all_are_used_if_none_remains() {
+    let (mut store, now) = (store_with(3), Instant::now());
+    store.record_unreachable(SERVICE, "t-0", now);
+    store.record_unreachable(SERVICE, "t-1", now);
+    assert_eq!(usable(&store, now), ["t-2"]);
+    store.record_unreachable(SERVICE, "t-2", now);
+    assert_eq!(usable(&store, now), ["t-0", "t-1", "t-2"]);
 }
 
 #[test]
-fn a_new_list_keeps_what_is_known_of_targets_that_stay_and_forgets_those_that_went() {
-    let (mut book, now) = (book(2), Instant::now());
-    book.note_unreachable(SERVICE, "t-0", now);
-    book.find_mut(SERVICE, "t-0").unwrap().in_flight = 3;
-    book.replace(
+fn a_new_list_keeps_the_state_of_listed_targets_and_drops_the_rest() {
+    let (mut store, now) = (store_with(2), Instant::now());
+    store.record_unreachable(SERVICE, "t-0", now);
+    store.find_mut(SERVICE, "t-0").unwrap().in_flight = 3;
+    store.replace(
         &[record("t-0", 1_000), record("t-2", 1_002)],
         Instant::now(),
     );
-    assert_eq!(usable(&book, now), ["t-2"]);
-    assert_eq!(book.find_mut(SERVICE, "t-0").unwrap().in_flight, 3);
-    assert!(book.find(SERVICE, "t-1").is_none());
+    assert_eq!(usable(&store, now), ["t-2"]);
+    assert_eq!(store.find_mut(SERVICE, "t-0").unwrap().in_flight, 3);
+    assert!(store.find(SERVICE, "t-1").is_none());
     // A target that went and came back is another start: nothing is known of it.
-    book.replace(&[record("t-2", 1_002)], Instant::now());
-    book.replace(
+    store.replace(&[record("t-2", 1_002)], Instant::now());
+    store.replace(
         &[record("t-0", 1_000), record("t-2", 1_002)],
         Instant::now(),
     );
-    assert_eq!(usable(&book, now), ["t-0", "t-2"]);
+    assert_eq!(usable(&store, now), ["t-0", "t-2"]);
 }
 
 #[test]
-fn a_target_that_proved_to_be_another_start_is_taken_out() {
-    let mut book = book(2);
+fn a_target_found_to_be_another_incarnation_is_removed() {
+    let mut store = store_with(2);
     assert_eq!(
-        book.hall_at(SERVICE, "127.0.0.1:1001").as_deref(),
+        store.hall_at(SERVICE, "127.0.0.1:1001").as_deref(),
         Some("hall-0")
     );
-    book.remove(SERVICE, "t-1");
-    assert!(book.find(SERVICE, "t-1").is_none());
-    assert_eq!(book.hall_at(SERVICE, "127.0.0.1:1001"), None);
+    store.remove(SERVICE, "t-1");
+    assert!(store.find(SERVICE, "t-1").is_none());
+    assert_eq!(store.hall_at(SERVICE, "127.0.0.1:1001"), None);
 }
 
 #[test]
-fn a_target_that_another_host_could_not_reach_is_passed_over_for_a_short_while() {
-    let (mut book, now) = (book(3), Instant::now());
-    let ejected = |book: &TargetBook, now| -> Vec<String> {
-        let ejected = book.passed_over(SERVICE, now);
+fn a_target_unreachable_from_another_host_is_avoided_briefly() {
+    let (mut store, now) = (store_with(3), Instant::now());
+    let ejected = |store: &TargetStore, now| -> Vec<String> {
+        let ejected = store.avoided(SERVICE, now);
         ejected.map(|target| target.id.clone()).collect()
     };
     for _ in 0..20 {
-        book.take_unreachable(SERVICE, "t-1", now);
+        store.apply_peer_unreachable(SERVICE, "t-1", now);
     }
-    assert_eq!(ejected(&book, now), ["t-1"]);
-    assert_eq!(book.usable(SERVICE, now).len(), 2);
-    let later = now + EJECT_FIRST;
+    assert_eq!(ejected(&store, now), ["t-1"]);
+    assert_eq!(store.usable(SERVICE, now).len(), 2);
+    let later = now + BASE_EJECTION_TIME;
     assert!(
-        ejected(&book, later).is_empty(),
+        ejected(&store, later).is_empty(),
         "however often it was told"
     );
-    book.note_unreachable(SERVICE, "t-2", later);
-    assert_eq!(ejected(&book, later), ["t-2"]);
+    store.record_unreachable(SERVICE, "t-2", later);
+    assert_eq!(ejected(&store, later), ["t-2"]);
 }
 
 #[test]
-fn a_target_that_turns_requests_away_is_passed_over_longer_each_time_until_it_takes_one() {
-    let (mut book, start) = (book(3), Instant::now());
+fn the_cooldown_of_a_refusing_target_doubles_until_it_accepts_a_request() {
+    let (mut store, start) = (store_with(3), Instant::now());
     let mut now = start;
     let mut spans = Vec::new();
     for _ in 0..7 {
-        book.note_refused(SERVICE, "t-0", now);
+        store.record_refusal(SERVICE, "t-0", now);
         let refused = now;
-        while usable(&book, now).len() < 3 {
+        while usable(&store, now).len() < 3 {
             now += Duration::from_millis(10);
         }
         spans.push(now - refused);
     }
-    assert_eq!(spans[0], REFUSED_FIRST);
+    assert_eq!(spans[0], REFUSAL_COOLDOWN);
     assert!(spans.is_sorted(), "{spans:?}");
-    assert_eq!(spans[6], REFUSED_FIRST * 2_u32.pow(MAX_REFUSED_DOUBLINGS));
-    book.note_success(SERVICE, "t-0");
-    book.note_refused(SERVICE, "t-0", now);
-    assert_eq!(usable(&book, now + REFUSED_FIRST).len(), 3);
+    assert_eq!(
+        spans[6],
+        REFUSAL_COOLDOWN * 2_u32.pow(MAX_COOLDOWN_DOUBLINGS)
+    );
+    store.record_success(SERVICE, "t-0");
+    store.record_refusal(SERVICE, "t-0", now);
+    assert_eq!(usable(&store, now + REFUSAL_COOLDOWN).len(), 3);
 }
 
 #[test]
-fn where_all_turn_requests_away_those_that_can_be_reached_are_used() {
-    let (mut book, now) = (book(3), Instant::now());
-    book.note_unreachable(SERVICE, "t-0", now);
-    book.note_refused(SERVICE, "t-1", now);
-    assert_eq!(usable(&book, now), ["t-2"]);
-    book.note_refused(SERVICE, "t-2", now);
-    assert_eq!(usable(&book, now), ["t-1", "t-2"]);
-    book.note_unreachable(SERVICE, "t-1", now);
-    book.note_unreachable(SERVICE, "t-2", now);
-    assert_eq!(usable(&book, now), ["t-0", "t-1", "t-2"]);
+fn reachable_targets_are_used_if_all_refuse() {
+    let (mut store, now) = (store_with(3), Instant::now());
+    store.record_unreachable(SERVICE, "t-0", now);
+    store.record_refusal(SERVICE, "t-1", now);
+    assert_eq!(usable(&store, now), ["t-2"]);
+    store.record_refusal(SERVICE, "t-2", now);
+    assert_eq!(usable(&store, now), ["t-1", "t-2"]);
+    store.record_unreachable(SERVICE, "t-1", now);
+    store.record_unreachable(SERVICE, "t-2", now);
+    assert_eq!(usable(&store, now), ["t-0", "t-1", "t-2"]);
 }
--- a/crates/gateway/src/target_slowness/tests.rs
+++ b/crates/gateway/src/target_slowness/tests.rs
@@ -6,20 +6,20 @@
 const OTHER_HALL: f64 = 0.25;
 
 #[test]
-fn a_target_within_its_objective_counts_nothing() {
+fn a_target_within_its_objective_adds_no_load() {
     let now = Instant::now();
     let mut slowness = TargetSlowness::default();
     for took in [5, 40, 119] {
-        slowness.learn(Duration::from_millis(took), OBJECTIVE, now);
+        slowness.record(Duration::from_millis(took), OBJECTIVE, now);
         assert_eq!(slowness.load(now), 0.0);
     }
 }
 
 #[test]
-fn one_slow_request_sends_the_next_elsewhere_for_a_while() {
+fn one_slow_request_diverts_requests_for_a_while() {
     let now = Instant::now();
     let mut slowness = TargetSlowness::default();
-    slowness.learn(Duration::from_millis(900), OBJECTIVE, now);
+    slowness.record(Duration::from_millis(900), OBJECTIVE, now);
     assert!(slowness.load(now) > OTHER_HALL);
     assert!(slowness.load(now + Duration::from_secs(4)) > OTHER_HALL);
     assert!(slowness.load(now + Duration::from_secs(20)) < OTHER_HALL);
@@ -38,7 +38,7 @@
             all += 1;
             if slowness.load(now) + 0.05 * random.f64() < OTHER_HALL {
                 slow += 1;
-                slowness.learn(Duration::from_millis(600), OBJECTIVE, now);
+                slowness.record(Duration::from_millis(600), OBJECTIVE, now);
             }
         }
     }
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn times_and_objectives_that_make_no_sense_are_bounded() {
+fn extreme_durations_and_objectives_are_bounded() {
     let now = Instant::now();
     let mut slowness = TargetSlowness::default();
-    slowness.learn(Duration::MAX, OBJECTIVE, now);
-    slowness.learn(OBJECTIVE, Duration::ZERO, now);
-    assert!(slowness.load(now) <= MOST_RATIO * TWICE_LOAD);
+    slowness.record(Duration::MAX, OBJECTIVE, now);
+    slowness.record(OBJECTIVE, Duration::ZERO, now);
+    assert!(slowness.load(now) <= MAX_RATIO * LOAD_PER_EXCESS);
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -143,7 +143,7 @@
         mut gate: SendGate<'_>,
     ) -> Result<(Response<Incoming>, Lease), SendError> {
         while let Some(mut connection) = self.take_resting(address) {
-            if !gate.passes() {
+            if !gate.try_pass() {
                 self.rest(address, connection);
                 return Err(SendError::Withheld);
             }
@@ -157,7 +157,7 @@
             }
         }
         let mut connection = self.open(address).await?;
-        if !gate.passes() {
+        if !gate.try_pass() {
             self.rest(address, connection);
             return Err(SendError::Withheld);
         }
--- a/crates/quarantine/src/key.rs
+++ b/crates/quarantine/src/key.rs
@@ -14,10 +14,10 @@
 pub struct RequestKey([u8; KEY_BYTES]);
 
 impl RequestKey {
-    /// Creates the key of a request. `place` is its host and path as the caller sent them.
-    pub fn new(account: &str, method: &str, place: [&str; 2], body: &[u8]) -> Self {
+    /// Creates the key of a request. `host_and_path` is its host and path as the caller sent them.
+    pub fn new(account: &str, method: &str, host_and_path: [&str; 2], body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
-        for part in [account, method, place[0], place[1]] {
+        for part in [account, method, host_and_path[0], host_and_path[1]] {
             // With its length, so that no two lists of parts read alike.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
@@ -53,9 +53,9 @@
 
 /// One end of one start of a target. Hosts that see the same end name it alike.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct EndKey([u8; 8]);
+pub struct CrashKey([u8; 8]);
 
-impl EndKey {
+impl CrashKey {
     /// Creates the key of the end of a target that started at `born`, in Unix milliseconds; 0 where a target
     /// has another identity at each start.
     pub fn new(target: &str, born: u64) -> Self {
@@ -66,7 +66,7 @@
     }
 }
 
-impl fmt::Debug for EndKey {
+impl fmt::Debug for CrashKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -2,32 +2,32 @@
 //! with them.
 //!
 //! - [`RequestKey`] is what all sendings of one request have in common, whoever takes them.
-//! - [`EndKey`] names one end of one start of a target.
+//! - [`CrashKey`] names one end of one start of a target.
 //! - [`SuspectRecord`] holds the ends under which a request was in flight. Records of different hosts merge
 //!   into one, in any order, so hosts need no agreement to know the same.
-//! - [`SuspectBook`] keeps the records of a process and says what holds of a request: its
-//!   [`RequestStanding`].
+//! - [`SuspectStore`] keeps the records of a process and says what holds of a request: its
+//!   [`RequestStatus`].
 //! - [`HeldLine`] is what operators are told of one.
 //!
 //! Nothing here reads a clock or sends anything.
 
-mod book;
-mod guilt;
+mod attribution;
 mod key;
 mod line;
 mod record;
+mod store;
 
-pub use book::{ChangedSuspects, MAX_SUSPECTS, SuspectBook};
-pub use guilt::HOLDING_ENDS;
-pub use key::{EndKey, RequestKey};
+pub use attribution::HOLD_CRASHES;
+pub use key::{CrashKey, RequestKey};
 pub use line::{HELD_PATH, HeldLine};
 pub use record::{RequestSubject, SuspectRecord};
+pub use store::{MAX_SUSPECTS, SuspectChanges, SuspectStore};
 
 /// What holds of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestStanding {
+pub enum RequestStatus {
     /// It runs like any other.
-    Free,
+    Clear,
     /// Two targets or more ended while it ran there and it has not run whole since: it runs once at a time in
     /// the fleet, away from others.
     Suspect,
--- a/crates/quarantine/src/line.rs
+++ b/crates/quarantine/src/line.rs
@@ -38,7 +38,7 @@
             method: subject.method,
             path: subject.path,
             held: record.held,
-            ends: record.ends.len(),
+            ends: record.crashes.len(),
             trials: record.trials,
             age_ms: record.age_ms,
         }
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -4,16 +4,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{EndKey, HOLDING_ENDS, RequestKey};
+use crate::{CrashKey, HOLD_CRASHES, RequestKey};
 
 /// The longest path that is kept of a request, in bytes.
 const MAX_PATH_BYTES: usize = 256;
 
 /// Ends from which on a request concerns every host.
-const SHARED_ENDS: usize = 2;
+const SHARED_CRASHES: usize = 2;
 
-/// The ends that are kept of one request. Far fewer decide; a record stays below a kilobyte.
-const MAX_ENDS: usize = 32;
+/// The crashes that are kept of one request. Far fewer decide; a record stays below a kilobyte.
+const MAX_CRASHES: usize = 32;
 
 /// How a request reads to an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,15 +30,15 @@
 
 impl RequestSubject {
     /// Creates the subject of a request at a host and path.
-    pub fn new(account: &str, method: &str, place: [&str; 2], body: &[u8]) -> Self {
-        let mut path = place.concat();
-        let mut end = path.len().min(MAX_PATH_BYTES);
-        while !path.is_char_boundary(end) {
-            end -= 1;
+    pub fn new(account: &str, method: &str, host_and_path: [&str; 2], body: &[u8]) -> Self {
+        let mut path = host_and_path.concat();
+        let mut crash = path.len().min(MAX_PATH_BYTES);
+        while !path.is_char_boundary(crash) {
+            crash -= 1;
         }
-        path.truncate(end);
+        path.truncate(crash);
         Self {
-            key: RequestKey::new(account, method, place, body),
+            key: RequestKey::new(account, method, host_and_path, body),
             account: account.to_owned(),
             method: method.to_owned(),
             path,
@@ -59,7 +59,7 @@
     }
 
     /// Takes the rest where only the key was known; says whether that was so.
-    pub(crate) fn take_name(&mut self, other: &Self) -> bool {
+    pub(crate) fn fill_in(&mut self, other: &Self) -> bool {
         let unnamed = self.method.is_empty() && !other.method.is_empty();
         if unnamed {
             self.clone_from(other);
@@ -71,24 +71,24 @@
 /// What is held against one request.
 ///
 /// Records of two hosts merge into the same one whatever the order: a later round wins, and within a round
-/// the ends are united and the counts are the greater ones.
+/// the crashes are united and the counts are the greater ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
     /// The request.
     pub subject: RequestSubject,
-    /// Rises when what was held against it before does not count any more: it ran whole, an end proved to be
+    /// Rises when what was held against it before does not count any more: it ran whole, an crash proved to be
     /// none, or an operator released it.
     pub round: u32,
     /// Ends of targets while it ran there.
-    pub ends: BTreeSet<EndKey>,
+    pub crashes: BTreeSet<CrashKey>,
     /// Whether it was found to be the cause. Stays within a round.
     pub held: bool,
     /// Trials that were begun since.
     pub trials: u32,
-    /// Whether two ends stood against it at any time, so that it concerns every host. What ran at one target that
-    /// ended is mostly innocent, and only those that look for a second end need to know of it.
+    /// Whether two crashes stood against it at any time, so that it concerns every host. What ran at one target that
+    /// ended is mostly innocent, and only those that look for a second crash need to know of it.
     pub shared: bool,
-    /// How long ago the last end, trial or refusal was, in milliseconds, when the record was told.
+    /// How long ago the last crash, trial or refusal was, in milliseconds, when the record was told.
     pub age_ms: u64,
 }
 
@@ -98,7 +98,7 @@
         Self {
             subject,
             round: 0,
-            ends: BTreeSet::new(),
+            crashes: BTreeSet::new(),
             held: false,
             trials: 0,
             shared: false,
@@ -106,47 +106,47 @@
         }
     }
 
-    /// Says whether it may have been found, or may be found now, to be the cause of ends.
-    pub(crate) fn may_be_cause(&self) -> bool {
-        self.held || self.ends.len() >= HOLDING_ENDS
+    /// Says whether it may have been found, or may be found now, to be the cause of crashes.
+    pub(crate) fn is_candidate(&self) -> bool {
+        self.held || self.crashes.len() >= HOLD_CRASHES
     }
 
-    /// Adds an end; says whether it was new.
-    pub(crate) fn add_end(&mut self, end: EndKey) -> bool {
-        let is_new = self.ends.len() < MAX_ENDS && self.ends.insert(end);
-        self.shared |= self.ends.len() >= SHARED_ENDS;
+    /// Adds an crash; says whether it was new.
+    pub(crate) fn add_crash(&mut self, crash: CrashKey) -> bool {
+        let is_new = self.crashes.len() < MAX_CRASHES && self.crashes.insert(crash);
+        self.shared |= self.crashes.len() >= SHARED_CRASHES;
         is_new
     }
 
-    /// Begins a round in which only these ends count.
-    pub(crate) fn begin_round(&mut self, ends: BTreeSet<EndKey>) {
+    /// Begins a round in which only these crashes count.
+    pub(crate) fn begin_round(&mut self, crashes: BTreeSet<CrashKey>) {
         self.round += 1;
-        self.ends = ends;
+        self.crashes = crashes;
         self.held = false;
         self.trials = 0;
     }
 
     /// Takes what another host holds against the same request; says whether that changed anything.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let mut told_more = self.subject.take_name(&other.subject);
-        told_more |= other.shared && !self.shared;
+        let mut changed = self.subject.fill_in(&other.subject);
+        changed |= other.shared && !self.shared;
         self.shared |= other.shared;
         if other.round < self.round {
-            return told_more;
+            return changed;
         }
         if other.round > self.round {
             self.round = other.round;
-            self.ends.clone_from(&other.ends);
+            self.crashes.clone_from(&other.crashes);
             self.held = other.held;
             self.trials = other.trials;
             return true;
         }
-        let (ends, held, trials) = (self.ends.len(), self.held, self.trials);
-        for end in &other.ends {
-            self.add_end(*end);
+        let (crashes, held, trials) = (self.crashes.len(), self.held, self.trials);
+        for crash in &other.crashes {
+            self.add_crash(*crash);
         }
         self.held |= other.held;
         self.trials = self.trials.max(other.trials);
-        told_more || (ends, held, trials) != (self.ends.len(), self.held, self.trials)
+        changed || (crashes, held, trials) != (self.crashes.len(), self.held, self.trials)
     }
 }
--- /dev/null
+++ b/crates/quarantine/src/store.rs
@@ -0,0 +1,422 @@
+//! The records of a process.
+
+mod retention;
+
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::time::{Duration, Instant};
+
+pub use retention::MAX_SUSPECTS;
+
+use crate::attribution::{Candidate, HOLD_CRASHES, attribute_crashes, unattributed};
+use crate::{CrashKey, RequestKey, RequestStatus, RequestSubject, SuspectRecord};
+
+/// Ends after which a request runs once at a time. With one alone it is as likely as anything else that ran
+/// there, and a popular request would wait for itself after each crash of any target.
+const ISOLATE_CRASHES: usize = 2;
+
+/// How long after the last crash or trial the first, second and later trials are due. An innocent request that
+/// was held in a series of lost targets is free again after the first; the guilty one crashes one target at
+/// each.
+const TRIAL_DELAYS: [Duration; 3] = [
+    Duration::from_secs(2),
+    Duration::from_secs(20),
+    Duration::from_secs(1_800),
+];
+
+/// How long after its last crash it is decided whether a request is the cause: by then other hosts have received
+/// what they had running there. A word reaches all hosts within some 20 ms on a fleet of 12, and within 0.35
+/// ms for each entry host on a large one.
+const DECISION_DELAY: Duration = Duration::from_millis(150);
+
+/// Requests of one account that came to be held within a span, from which on the account's requests are confined to
+/// a share of the targets. One that is refused soon crashes three targets; a caller that sends ever new ones would
+/// crash three for each.
+const CONFINE_HELD_REQUESTS: usize = 5;
+const CONFINE_WINDOW: Duration = Duration::from_secs(60);
+
+/// How often a refusal is received to others, so that a request that keeps coming is remembered.
+const REFUSAL_PUBLISH_INTERVAL: Duration = Duration::from_secs(60);
+
+struct Suspect {
+    record: SuspectRecord,
+    /// When the last crash, trial or refusal was.
+    last_seen: Instant,
+    /// When the last crash or trial was.
+    last_crash_or_trial: Instant,
+    /// When it is decided whether it is the cause; nothing where that is decided.
+    decision_at: Option<Instant>,
+    /// Number of the change that last changed it.
+    revision: u64,
+}
+
+/// Records that changed, in the order of their changes.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct SuspectChanges {
+    /// The records.
+    pub records: Vec<SuspectRecord>,
+    /// The number of the last change that they bring their reader to.
+    pub revision: u64,
+}
+
+/// The records of a process, by request.
+#[derive(Default)]
+pub struct SuspectStore {
+    suspects: HashMap<RequestKey, Suspect>,
+    by_revision: BTreeMap<u64, RequestKey>,
+    revision: u64,
+    /// The request that explains an crash.
+    attributed: BTreeMap<CrashKey, RequestKey>,
+    /// Requests that came to be held here and were not received of by [`SuspectStore::drain_held`] yet.
+    newly_held: Vec<RequestKey>,
+    /// When the next request is decided on.
+    next_decision: Option<Instant>,
+}
+
+impl SuspectStore {
+    /// Creates an empty book.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Says whether nothing is held against any request.
+    pub fn is_empty(&self) -> bool {
+        self.suspects.is_empty()
+    }
+
+    /// Returns the number of the newest change.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Returns what holds of a request.
+    pub fn status(&self, key: RequestKey, now: Instant) -> RequestStatus {
+        let Some(suspect) = self.suspects.get(&key) else {
+            return RequestStatus::Clear;
+        };
+        if suspect.record.held {
+            let trials = suspect.record.trials as usize;
+            let wait = TRIAL_DELAYS[trials.min(TRIAL_DELAYS.len() - 1)];
+            let elapsed = now.saturating_duration_since(suspect.last_crash_or_trial);
+            return RequestStatus::Held {
+                trial_due: elapsed >= wait,
+            };
+        }
+        if suspect.decision_at.is_some() {
+            return RequestStatus::Undecided;
+        }
+        if unattributed(&suspect.record, &self.attributed).len() >= ISOLATE_CRASHES {
+            return RequestStatus::Suspect;
+        }
+        RequestStatus::Clear
+    }
+
+    /// Notes that a target ended while a request ran there; says whether that is news.
+    pub fn record_crash(
+        &mut self,
+        subject: &RequestSubject,
+        crash: CrashKey,
+        now: Instant,
+    ) -> bool {
+        self.evict_for(subject);
+        let suspect = self.suspect(subject, now);
+        suspect.record.subject.fill_in(subject);
+        if !suspect.record.add_crash(crash) {
+            return false;
+        }
+        suspect.last_seen = now;
+        suspect.last_crash_or_trial = now;
+        self.mark_changed(subject.key);
+        self.schedule_decision(subject.key, now);
+        true
+    }
+
+    /// Decides on the requests on which it is time to. To be called before a with_crashes is asked for.
+    pub fn decide_due(&mut self, now: Instant) {
+        if self.next_decision.is_some_and(|at| at <= now) {
+            for suspect in self.suspects.values_mut() {
+                suspect.decision_at = suspect.decision_at.filter(|at| *at > now);
+            }
+            let all = self.suspects.values();
+            self.next_decision = all.filter_map(|one| one.decision_at).min();
+            self.reattribute();
+        }
+    }
+
+    /// Notes that a request ran whole; says whether anything was held against it.
+    pub fn clear_request(&mut self, key: RequestKey) -> bool {
+        let suspect = self.suspects.get_mut(&key);
+        let Some(suspect) = suspect.filter(|one| !one.record.crashes.is_empty()) else {
+            return false;
+        };
+        let was_candidate = suspect.record.is_candidate();
+        suspect.record.begin_round(BTreeSet::new());
+        suspect.decision_at = None;
+        self.mark_changed(key);
+        if was_candidate {
+            self.reattribute();
+        }
+        true
+    }
+
+    /// Notes that a target which was taken as ended runs on; returns the requests that it was held against.
+    pub fn retract_crash(&mut self, crash: CrashKey) -> Vec<RequestKey> {
+        let suspects = self.suspects.values_mut();
+        let suspects = suspects.filter(|one| one.record.crashes.contains(&crash));
+        let mut affected = Vec::new();
+        for suspect in suspects {
+            let mut crashes = suspect.record.crashes.clone();
+            crashes.remove(&crash);
+            suspect.record.begin_round(crashes);
+            suspect.decision_at = None;
+            affected.push(suspect.record.subject.key);
+        }
+        affected.sort_unstable();
+        affected.iter().for_each(|key| self.mark_changed(*key));
+        if !affected.is_empty() {
+            self.reattribute();
+        }
+        affected
+    }
+
+    /// Returns the crashes that are held against any request.
+    pub fn known_crashes(&self) -> HashSet<CrashKey> {
+        let all = self.suspects.values();
+        all.flat_map(|one| one.record.crashes.iter().copied())
+            .collect()
+    }
+
+    /// Notes that a held request is run once more.
+    pub fn record_trial(&mut self, key: RequestKey, now: Instant) {
+        let Some(suspect) = self.suspects.get_mut(&key) else {
+            return;
+        };
+        suspect.record.trials += 1;
+        suspect.last_seen = now;
+        suspect.last_crash_or_trial = now;
+        self.mark_changed(key);
+    }
+
+    /// Notes that a held request was refused, which keeps it in memory.
+    pub fn record_refusal(&mut self, key: RequestKey, now: Instant) {
+        let Some(suspect) = self.suspects.get_mut(&key) else {
+            return;
+        };
+        let elapsed = now.saturating_duration_since(suspect.last_seen);
+        if elapsed >= REFUSAL_PUBLISH_INTERVAL {
+            suspect.last_seen = now;
+            self.mark_changed(key);
+        }
+    }
+
+    /// Takes the record of another process; says whether it changed what is known here.
+    pub fn merge(&mut self, received: &SuspectRecord, now: Instant) -> bool {
+        let key = received.subject.key;
+        let age = Duration::from_millis(received.age_ms);
+        let at = now.checked_sub(age).unwrap_or(now);
+        self.evict_for(&received.subject);
+        let known = self.suspects.contains_key(&key);
+        let suspect = self.suspect(&received.subject, at);
+        let was_candidate = suspect.record.is_candidate();
+        let crashes = suspect.record.crashes.len();
+        let was_held = suspect.record.held;
+        let refreshed = at.saturating_duration_since(suspect.last_seen) >= REFUSAL_PUBLISH_INTERVAL;
+        let changed = suspect.record.merge(received);
+        if changed {
+            suspect.last_crash_or_trial = suspect.last_crash_or_trial.max(at);
+        }
+        suspect.last_seen = suspect.last_seen.max(at);
+        if known && !changed && !refreshed {
+            return false;
+        }
+        let has_new_crash = suspect.record.crashes.len() > crashes;
+        if suspect.record.held && !was_held {
+            self.newly_held.push(key);
+        }
+        self.mark_changed(key);
+        if was_candidate || received.held {
+            self.reattribute();
+        }
+        if has_new_crash {
+            self.schedule_decision(key, now);
+        }
+        true
+    }
+
+    /// Returns the first records that changed after a change number, so many at max_count.
+    pub fn changed_after(
+        &self,
+        after_revision: u64,
+        max_count: usize,
+        now: Instant,
+    ) -> SuspectChanges {
+        self.filtered_after(after_revision, max_count, now, |_| true)
+    }
+
+    /// Says whether a request concerns every host.
+    pub fn is_shared(&self, key: RequestKey) -> bool {
+        let suspect = self.suspects.get(&key);
+        suspect.is_some_and(|one| one.record.shared)
+    }
+
+    /// Does the same with those that concern every host. A host that has 300 others beside it would get 9,000
+    /// records of innocent requests, 2 MB, when a seventh of 3,000 targets ended at once.
+    pub fn shared_after(
+        &self,
+        after_revision: u64,
+        max_count: usize,
+        now: Instant,
+    ) -> SuspectChanges {
+        self.filtered_after(after_revision, max_count, now, |record| record.shared)
+    }
+
+    fn filtered_after(
+        &self,
+        after_revision: u64,
+        max_count: usize,
+        now: Instant,
+        is_wanted: impl Fn(&SuspectRecord) -> bool,
+    ) -> SuspectChanges {
+        let after = self.by_revision.range(after_revision.saturating_add(1)..);
+        let after = after.filter_map(|(revision, key)| Some((*revision, self.suspects.get(key)?)));
+        let wanted = after
+            .filter(|(_, one)| is_wanted(&one.record))
+            .take(max_count);
+        let found: Vec<(u64, &Suspect)> = wanted.collect();
+        let is_last_part = found.len() < max_count;
+        let last = found
+            .last()
+            .map_or(after_revision, |(revision, _)| *revision);
+        SuspectChanges {
+            records: found.iter().map(|(_, one)| one.to_record(now)).collect(),
+            revision: if is_last_part {
+                self.revision.max(after_revision)
+            } else {
+                last
+            },
+        }
+    }
+
+    /// Returns the record of a request as it is received now.
+    pub fn record(&self, key: RequestKey, now: Instant) -> Option<SuspectRecord> {
+        Some(self.suspects.get(&key)?.to_record(now))
+    }
+
+    /// Returns the records of requests that came to be held here since this was last asked.
+    pub fn drain_held(&mut self, now: Instant) -> Vec<SuspectRecord> {
+        let keys = std::mem::take(&mut self.newly_held);
+        let records = keys.into_iter().filter_map(|key| self.record(key, now));
+        records.filter(|one| one.held).collect()
+    }
+
+    /// Returns every record, also those against which nothing stands any more.
+    pub fn all_records(&self, now: Instant) -> Vec<SuspectRecord> {
+        self.suspects
+            .values()
+            .map(|one| one.to_record(now))
+            .collect()
+    }
+
+    /// Returns every record against which anything stands, the held ones first.
+    pub fn records(&self, now: Instant) -> Vec<SuspectRecord> {
+        let with_crashes = self.suspects.values();
+        let with_crashes = with_crashes.filter(|one| !one.record.crashes.is_empty());
+        let mut records: Vec<SuspectRecord> = with_crashes.map(|one| one.to_record(now)).collect();
+        records.sort_by_key(|one| (!one.held, one.subject.key));
+        records
+    }
+
+    /// Returns the accounts that have sent so many requests which crash targets lately that their requests are
+    /// confined to a share of the targets.
+    pub fn confined_accounts(&self, now: Instant) -> BTreeSet<String> {
+        let mut counts: HashMap<&str, usize> = HashMap::new();
+        let held = self.suspects.values().filter(|one| one.record.held);
+        for one in held {
+            if now.saturating_duration_since(one.last_crash_or_trial) < CONFINE_WINDOW {
+                *counts.entry(&one.record.subject.account).or_default() += 1;
+            }
+        }
+        let confined = counts.into_iter();
+        // An empty name is that of requests of all callers without an account.
+        let confined =
+            confined.filter(|(name, held)| *held >= CONFINE_HELD_REQUESTS && !name.is_empty());
+        confined.map(|(name, _)| name.to_owned()).collect()
+    }
+
+    /// Returns how many requests are held, and against how many anything stands.
+    pub fn counts(&self) -> (usize, usize) {
+        let all = || self.suspects.values().map(|one| &one.record);
+        let suspects = all().filter(|one| !one.crashes.is_empty());
+        (all().filter(|one| one.held).count(), suspects.count())
+    }
+
+    fn suspect(&mut self, subject: &RequestSubject, at: Instant) -> &mut Suspect {
+        let fresh = || Suspect {
+            record: SuspectRecord::new(subject.clone()),
+            last_seen: at,
+            last_crash_or_trial: at,
+            decision_at: None,
+            revision: 0,
+        };
+        self.suspects.entry(subject.key).or_insert_with(fresh)
+    }
+
+    fn mark_changed(&mut self, key: RequestKey) {
+        let Some(suspect) = self.suspects.get_mut(&key) else {
+            return;
+        };
+        self.by_revision.remove(&suspect.revision);
+        self.revision += 1;
+        suspect.revision = self.revision;
+        self.by_revision.insert(self.revision, key);
+    }
+
+    /// Has a request that has has_new_crash an crash decided on a moment later.
+    fn schedule_decision(&mut self, key: RequestKey, now: Instant) {
+        let attributed = &self.attributed;
+        let suspect = self.suspects.get_mut(&key);
+        let may_be_held = |one: &&mut Suspect| {
+            !one.record.held && unattributed(&one.record, attributed).len() >= HOLD_CRASHES
+        };
+        if let Some(suspect) = suspect.filter(may_be_held) {
+            let at = now + DECISION_DELAY;
+            suspect.decision_at = Some(at);
+            self.next_decision = Some(self.next_decision.map_or(at, |next| next.min(at)));
+        }
+        // What it explains is not open for others any more.
+        if self.suspects.get(&key).is_some_and(|one| one.record.held) {
+            self.reattribute();
+        }
+    }
+
+    /// Works out anew which requests are held.
+    fn reattribute(&mut self) {
+        let all = self.suspects.values();
+        let candidates = all.filter(|one| one.record.is_candidate());
+        let candidates = candidates.map(|one| Candidate {
+            record: &one.record,
+            decided: one.decision_at.is_none(),
+        });
+        self.attributed = attribute_crashes(candidates.collect());
+        let causes: BTreeSet<RequestKey> = self.attributed.values().copied().collect();
+        for key in causes {
+            let suspect = self.suspects.get_mut(&key);
+            let Some(suspect) = suspect.filter(|one| !one.record.held) else {
+                continue;
+            };
+            suspect.record.held = true;
+            self.newly_held.push(key);
+            self.mark_changed(key);
+        }
+    }
+}
+
+impl Suspect {
+    fn to_record(&self, now: Instant) -> SuspectRecord {
+        let mut record = self.record.clone();
+        record.age_ms = now.saturating_duration_since(self.last_seen).as_millis() as u64;
+        record
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/rate/src/lib.rs
+++ b/crates/rate/src/lib.rs
@@ -1,12 +1,12 @@
 //! The rate at which a target takes requests from all entry hosts together: how it is named, which of several words of it
 //! holds, and how requests are paced by it.
 
-mod book;
-mod named;
+mod limit;
+mod observation;
 mod pacer;
-mod word;
+mod store;
 
-pub use book::{ChangedRates, RateBook, RateChange, StartChange};
-pub use named::{NamedRate, RateFault, read_rate};
+pub use limit::{RateLimit, RateParseError, parse_rate_limit};
+pub use observation::RateObservation;
 pub use pacer::RatePacer;
-pub use word::RateWord;
+pub use store::{IncarnationEffect, RateChange, RateChanges, RateStore};
--- a/crates/rate/src/named/tests.rs
+++ b/crates/rate/src/limit/tests.rs
@@ -13,16 +13,24 @@
         ("0.00001", 0.001),
         ("99999999999999999999", 1_000_000.0),
     ] {
-        assert_eq!(read_rate(text).unwrap().per_second(), per_second, "{text}");
+        assert_eq!(
+            parse_rate_limit(text).unwrap().per_second(),
+            per_second,
+            "{text}"
+        );
     }
 }
 
 #[test]
-fn what_is_no_decimal_number_is_refused() {
+fn non_decimal_and_negative_rates_are_rejected() {
     for text in [
         "", " ", "nan", "inf", "1e300", "two", "1,5", "1 2", "--1", ".",
     ] {
-        assert_eq!(read_rate(text), Err(RateFault::NoNumber), "{text}");
+        assert_eq!(
+            parse_rate_limit(text),
+            Err(RateParseError::NotDecimal),
+            "{text}"
+        );
     }
-    assert_eq!(read_rate("-1"), Err(RateFault::Negative));
+    assert_eq!(parse_rate_limit("-1"), Err(RateParseError::Negative));
 }
--- a/crates/rate/src/pacer/tests.rs
+++ b/crates/rate/src/pacer/tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 /// Returns how many requests go in each window of four seconds at most, where callers always want more.
-fn most_in_window(per_second: f64, within: Duration) -> (usize, usize) {
+fn most_in_window(per_second: f64, max_wait: Duration) -> (usize, usize) {
     let begin = BootInstant::now();
-    let mut pacer = RatePacer::new(NamedRate::new(per_second), begin);
+    let mut pacer = RatePacer::new(RateLimit::new(per_second), begin);
     let span = Duration::from_secs(60).max(Duration::from_secs_f64(20.0 / per_second));
     let step = Duration::from_micros(500).max(span / 400_000);
     let mut sent: Vec<Duration> = Vec::new();
     let mut at = Duration::ZERO;
     while at < span {
-        while let Ok(wait) = pacer.reserve(begin + at, within) {
+        while let Ok(wait) = pacer.reserve(begin + at, max_wait) {
             sent.push(at + wait);
         }
         at += step;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn no_window_has_more_than_the_rate_and_one_and_the_rate_is_used() {
+fn any_window_holds_at_most_the_rate_plus_one_and_the_rate_is_used() {
     for per_second in [0.2, 1.0, 2.0, 7.5, 50.0] {
         let (most, used) = most_in_window(per_second, Duration::from_millis(150));
         let allowed = (per_second * 4.0).ceil() as usize + 1;
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn a_pacer_that_rested_saves_nothing_up() {
+fn an_idle_pacer_accumulates_no_burst() {
     let now = BootInstant::now();
-    let mut pacer = RatePacer::new(NamedRate::new(2.0), now);
+    let mut pacer = RatePacer::new(RateLimit::new(2.0), now);
     let later = now + Duration::from_secs(60);
     assert_eq!(pacer.reserve(later, Duration::ZERO), Ok(Duration::ZERO));
     assert_eq!(
@@ -50,29 +50,29 @@
 }
 
 #[test]
-fn a_rate_of_nothing_lets_one_request_try_now_and_then() {
+fn a_zero_rate_allows_one_request_per_max_interval() {
     let now = BootInstant::now();
-    let mut pacer = RatePacer::new(NamedRate::new(0.0), now);
-    assert_eq!(pacer.reserve(now, Duration::ZERO), Err(MOST_INTERVAL));
-    let later = now + MOST_INTERVAL;
+    let mut pacer = RatePacer::new(RateLimit::new(0.0), now);
+    assert_eq!(pacer.reserve(now, Duration::ZERO), Err(MAX_INTERVAL));
+    let later = now + MAX_INTERVAL;
     assert_eq!(pacer.reserve(later, Duration::ZERO), Ok(Duration::ZERO));
 }
 
 #[test]
-fn a_rate_that_rises_holds_at_once() {
+fn a_raised_rate_takes_effect_at_once() {
     let now = BootInstant::now();
-    let mut pacer = RatePacer::new(NamedRate::new(0.1), now);
-    pacer.set_rate(NamedRate::new(10.0), now);
-    assert_eq!(pacer.wait(now), Duration::from_millis(100));
+    let mut pacer = RatePacer::new(RateLimit::new(0.1), now);
+    pacer.set_rate(RateLimit::new(10.0), now);
+    assert_eq!(pacer.time_until_next(now), Duration::from_millis(100));
 }
 
 #[test]
-fn many_requests_are_reserved_at_once_only_where_the_rate_is_high() {
+fn batches_are_reserved_only_at_high_rates() {
     let now = BootInstant::now();
     let span = Duration::from_millis(20);
-    let mut fast = RatePacer::new(NamedRate::new(5_000.0), now);
-    assert_eq!(fast.reserve_more(1_000, span), 100);
-    assert_eq!(fast.wait(now), Duration::from_micros(20_200));
-    let mut slow = RatePacer::new(NamedRate::new(10.0), now);
-    assert_eq!(slow.reserve_more(1_000, span), 0);
+    let mut fast = RatePacer::new(RateLimit::new(5_000.0), now);
+    assert_eq!(fast.reserve_batch(1_000, span), 100);
+    assert_eq!(fast.time_until_next(now), Duration::from_micros(20_200));
+    let mut slow = RatePacer::new(RateLimit::new(10.0), now);
+    assert_eq!(slow.reserve_batch(1_000, span), 0);
 }
