--- a/crates/quarantine/src/attribution.rs
+++ b/crates/quarantine/src/attribution.rs
@@ -1,28 +1,31 @@
-//! Which of the requests that ran at targets when they ended is the cause.
+//! Attribution of target crashes to the requests that caused them.
 //!
-//! At each crash most of those in flight are innocent, and one that was cut off comes again at another target
-//! while the guilty one does so too. So a request is found to be the cause only by crashes that no other one
-//! explains: of two that were there at the same crashes neither is, until one of them crashes a target alone.
+//! Most requests in flight at a crash are innocent, and an interrupted one is retried at another
+//! target just as the causing one is. A request is therefore found to be the cause only by crashes
+//! that no other request explains: of two requests that were present at the same crashes neither
+//! is, until one of them crashes a target without the other.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{CrashKey, RequestKey, SuspectRecord};
 
-/// Ends of targets after which a request is held. One crash is chance for all that ran there, two may be: a
-/// request that was cut off is sent to a second target at once, and targets crash in numbers.
+/// Target crashes after which a request is held. One crash is chance for all requests that ran
+/// there, and two may be: an interrupted request is retried at a second target at once, and targets
+/// may crash in numbers.
 pub const HOLD_CRASHES: usize = 3;
 
-/// A request that may be a cause.
+/// A request that may be the cause of crashes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate<'a> {
     pub(crate) record: &'a SuspectRecord,
-    /// Whether all is known of its crashes that will be. Until then it only casts doubt on others.
+    /// Whether all hosts have had time to report its crashes. Until then it only keeps other
+    /// requests from being found to be the cause.
     pub(crate) decided: bool,
 }
 
-/// Returns, for each crash that is attributed, the request that explains it: those that are held already, and
-/// those that are found to be causes now.
+/// Returns the request to which each crash is attributed: requests that are held already, and those
+/// that are found to be causes now.
 pub(crate) fn attribute_crashes(
     mut candidates: Vec<Candidate<'_>>,
 ) -> BTreeMap<CrashKey, RequestKey> {
@@ -52,7 +55,7 @@
     attributed
 }
 
-/// Returns the crashes of a request that no other one explains.
+/// Returns the crashes of a request that are not attributed to another one.
 pub(crate) fn unattributed(
     record: &SuspectRecord,
     attributed: &BTreeMap<CrashKey, RequestKey>,
@@ -64,7 +67,7 @@
     own_or_unattributed.copied().collect()
 }
 
-/// Says whether another request was there at all of these crashes.
+/// Returns whether another request was present at all of the given crashes.
 fn is_explained_by_another(
     record: &SuspectRecord,
     crashes: &BTreeSet<CrashKey>,
--- a/crates/quarantine/src/key.rs
+++ b/crates/quarantine/src/key.rs
@@ -1,24 +1,25 @@
-//! What names a request across hosts, and the end of a target.
+//! Keys that identify a request, and the crash of a target, across hosts.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a request key: two requests of a fleet have one by chance in no time that matters.
+/// Bytes of a request key; collisions are negligible at this size.
 const KEY_BYTES: usize = 16;
 
-/// What all sendings of a request have in common: its account, method, host, path and body. The identity
-/// that a caller gives to one sending is not among them, nor are other headers, since the same request comes
-/// again with other ones. Requests of two accounts never have the same key.
+/// Identifies a request across its retries: a hash of account, method, host, path and body. The
+/// request ID of a single sending and other headers are not included, since retries by the caller
+/// carry different ones. Requests of two accounts never have the same key.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestKey([u8; KEY_BYTES]);
 
 impl RequestKey {
-    /// Creates the key of a request. `host_and_path` is its host and path as the caller sent them.
+    /// Creates the key of a request from its account, method, host and path as the caller sent
+    /// them, and body.
     pub fn new(account: &str, method: &str, host_and_path: [&str; 2], body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [account, method, host_and_path[0], host_and_path[1]] {
-            // With its length, so that no two lists of parts read alike.
+            // The length prefix keeps different lists of parts distinct.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
@@ -26,7 +27,7 @@
         Self(first_bytes(&hasher))
     }
 
-    /// Reads a key as [`fmt::Display`] writes it; nothing where it is none.
+    /// Parses a key in the format of its [`fmt::Display`]; returns `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != KEY_BYTES * 2 || !text.is_ascii() {
             return None;
@@ -51,13 +52,13 @@
     }
 }
 
-/// One end of one start of a target. Hosts that see the same end name it alike.
+/// Identifies the crash of one incarnation of a target. All hosts derive the same key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashKey([u8; 8]);
 
 impl CrashKey {
-    /// Creates the key of the end of a target that started at `born`, in Unix milliseconds; 0 where a target
-    /// has another identity at each start.
+    /// Creates the key of the crash of a target incarnation that started at `born`, in Unix
+    /// milliseconds; 0 for targets whose incarnations have different IDs.
     pub fn new(target: &str, born: u64) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&born.to_le_bytes());
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,15 +1,15 @@
-//! Requests that may end the targets that run them: who is accused, on what evidence, and what is done
-//! with them.
+//! Quarantine of requests that may crash the targets that run them: the evidence against a request,
+//! and what follows from it.
 //!
-//! - [`RequestKey`] is what all sendings of one request have in common, whoever takes them.
-//! - [`CrashKey`] names one end of one start of a target.
-//! - [`SuspectRecord`] holds the ends under which a request was in flight. Records of different hosts merge
-//!   into one, in any order, so hosts need no agreement to know the same.
-//! - [`SuspectStore`] keeps the records of a process and says what holds of a request: its
-//!   [`RequestStatus`].
-//! - [`HeldLine`] is what operators are told of one.
+//! - [`RequestKey`] identifies a request across its retries and the hosts that receive it.
+//! - [`CrashKey`] identifies the crash of one incarnation of a target.
+//! - [`SuspectRecord`] holds the crashes during which a request was in flight. Records of different
+//!   hosts merge in any order, so hosts converge without an agreement protocol.
+//! - [`SuspectStore`] keeps the records of a process and derives the [`RequestStatus`] of a
+//!   request.
+//! - [`HeldLine`] describes a suspect request to operators.
 //!
-//! Nothing here reads a clock or sends anything.
+//! This crate reads no clock and sends nothing.
 
 mod attribution;
 mod key;
@@ -23,20 +23,20 @@
 pub use record::{RequestSubject, SuspectRecord};
 pub use store::{MAX_SUSPECTS, SuspectChanges, SuspectStore};
 
-/// What holds of a request.
+/// How a request is to be treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// It runs like any other.
+    /// The request runs without restriction.
     Clear,
-    /// Two targets or more ended while it ran there and it has not run whole since: it runs once at a time in
-    /// the fleet, away from others.
+    /// At least two targets crashed while it ran there, and it has not completed since. It runs
+    /// once at a time in the fleet, apart from other requests.
     Suspect,
-    /// It would be held, but what else ran at the targets may not be known here yet. It does not run until
-    /// that is settled, a moment later.
+    /// It may become held, but other hosts may not have reported yet what else ran at the targets.
+    /// It waits for the decision, which follows shortly.
     Undecided,
-    /// It ends the targets that run it, as far as is known: it is refused.
+    /// It is found to crash the targets that run it, and is refused.
     Held {
-        /// Whether it may be run once more to see whether that still holds.
+        /// Whether it may run once as a trial, to find out whether it still crashes targets.
         trial_due: bool,
     },
 }
--- a/crates/quarantine/src/line.rs
+++ b/crates/quarantine/src/line.rs
@@ -1,30 +1,31 @@
-//! What operators are told of a request against which something stands.
+//! Description of a suspect request for operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::SuspectRecord;
 
-/// Where control hosts list what is held; a key after it names one request, which DELETE releases.
+/// Path at which control hosts list suspect requests. `DELETE` with a request key appended releases
+/// one.
 pub const HELD_PATH: &str = "/-/held-requests";
 
-/// A request against which something stands, as operators read it.
+/// A suspect request as shown to operators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeldLine {
-    /// Its key, as it is given to release it.
+    /// Request key; releases the request.
     pub key: String,
-    /// The account that sent it.
+    /// Client account that sent it.
     pub account: String,
-    /// Its method.
+    /// Request method.
     pub method: String,
-    /// Its path.
+    /// Host and path of the request.
     pub path: String,
-    /// Whether it is refused; otherwise it is only suspect.
+    /// Whether it is refused; otherwise it is only a suspect.
     pub held: bool,
-    /// Targets that ended while it ran.
+    /// Number of targets that crashed while it ran there.
     pub ends: usize,
-    /// How often it was tried since it is held.
+    /// Number of trials since it is held.
     pub trials: u32,
-    /// How long ago the last end, trial or refusal was, in milliseconds.
+    /// Time since the last crash, trial or refusal, in milliseconds.
     pub age_ms: u64,
 }
 
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -1,4 +1,4 @@
-//! What is held against one request.
+//! The evidence against one request.
 
 use std::collections::BTreeSet;
 
@@ -6,37 +6,38 @@
 
 use crate::{CrashKey, HOLD_CRASHES, RequestKey};
 
-/// The longest path that is kept of a request, in bytes.
+/// Longest path that is kept of a request, in bytes.
 const MAX_PATH_BYTES: usize = 256;
 
-/// Ends from which on a request concerns every host.
+/// Number of crashes from which on a request is of interest to every host.
 const SHARED_CRASHES: usize = 2;
 
-/// The crashes that are kept of one request. Far fewer decide; a record stays below a kilobyte.
+/// Most crashes that are kept of one request. Decisions need far fewer, and a record stays below a
+/// kilobyte.
 const MAX_CRASHES: usize = 32;
 
-/// How a request reads to an operator.
+/// Description of a request for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestSubject {
-    /// Its key.
+    /// Request key.
     pub key: RequestKey,
-    /// The client account; empty where the route asks for none.
+    /// Client account; empty if the route requires none.
     pub account: String,
-    /// Its method.
+    /// Request method.
     pub method: String,
-    /// Host and path, cut where they are long.
+    /// Host and path, truncated to `MAX_PATH_BYTES` bytes.
     pub path: String,
 }
 
 impl RequestSubject {
-    /// Creates the subject of a request at a host and path.
+    /// Creates the subject of a request.
     pub fn new(account: &str, method: &str, host_and_path: [&str; 2], body: &[u8]) -> Self {
         let mut path = host_and_path.concat();
-        let mut crash = path.len().min(MAX_PATH_BYTES);
-        while !path.is_char_boundary(crash) {
-            crash -= 1;
+        let mut length = path.len().min(MAX_PATH_BYTES);
+        while !path.is_char_boundary(length) {
+            length -= 1;
         }
-        path.truncate(crash);
+        path.truncate(length);
         Self {
             key: RequestKey::new(account, method, host_and_path, body),
             account: account.to_owned(),
@@ -47,8 +48,8 @@
 }
 
 impl RequestSubject {
-    /// Creates the subject of a request of which only the key is known here. A record takes the rest from
-    /// whoever knows it.
+    /// Creates the subject of a request of which only the key is known here. Merging with the
+    /// record of a host that knows the rest completes it.
     pub fn unnamed(key: RequestKey) -> Self {
         Self {
             key,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes the rest where only the key was known; says whether that was so.
+    /// Completes a subject of which only the key was known; returns whether it did.
     pub(crate) fn fill_in(&mut self, other: &Self) -> bool {
         let unnamed = self.method.is_empty() && !other.method.is_empty();
         if unnamed {
@@ -68,32 +69,33 @@
     }
 }
 
-/// What is held against one request.
+/// The evidence against one request.
 ///
-/// Records of two hosts merge into the same one whatever the order: a later round wins, and within a round
-/// the crashes are united and the counts are the greater ones.
+/// Records of two hosts merge into the same one in any order: the later round wins, and within a
+/// round the crashes are united and the greater counts are kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
     /// The request.
     pub subject: RequestSubject,
-    /// Rises when what was held against it before does not count any more: it ran whole, an crash proved to be
-    /// none, or an operator released it.
+    /// Increases when the previous evidence is discarded: the request completed, a crash was
+    /// retracted, or an operator released the request.
     pub round: u32,
-    /// Ends of targets while it ran there.
+    /// Crashes of targets while the request ran there.
     pub crashes: BTreeSet<CrashKey>,
-    /// Whether it was found to be the cause. Stays within a round.
+    /// Whether the request was found to be the cause. Does not change back within a round.
     pub held: bool,
-    /// Trials that were begun since.
+    /// Number of trials since the request is held.
     pub trials: u32,
-    /// Whether two crashes stood against it at any time, so that it concerns every host. What ran at one target that
-    /// ended is mostly innocent, and only those that look for a second crash need to know of it.
+    /// Whether two crashes were recorded at any time, so that the request is of interest to every
+    /// host. Most requests with a single crash are innocent, and only hosts that look for a second
+    /// crash need them.
     pub shared: bool,
-    /// How long ago the last crash, trial or refusal was, in milliseconds, when the record was told.
+    /// Time from the last crash, trial or refusal until the record was sent, in milliseconds.
     pub age_ms: u64,
 }
 
 impl SuspectRecord {
-    /// Creates a record that holds nothing against a request.
+    /// Creates a record without any evidence.
     pub fn new(subject: RequestSubject) -> Self {
         Self {
             subject,
@@ -106,19 +108,19 @@
         }
     }
 
-    /// Says whether it may have been found, or may be found now, to be the cause of crashes.
+    /// Returns whether the request is held, or has enough crashes to be found the cause.
     pub(crate) fn is_candidate(&self) -> bool {
         self.held || self.crashes.len() >= HOLD_CRASHES
     }
 
-    /// Adds an crash; says whether it was new.
+    /// Adds a crash; returns whether it was new.
     pub(crate) fn add_crash(&mut self, crash: CrashKey) -> bool {
         let is_new = self.crashes.len() < MAX_CRASHES && self.crashes.insert(crash);
         self.shared |= self.crashes.len() >= SHARED_CRASHES;
         is_new
     }
 
-    /// Begins a round in which only these crashes count.
+    /// Begins a round in which only the given crashes count.
     pub(crate) fn begin_round(&mut self, crashes: BTreeSet<CrashKey>) {
         self.round += 1;
         self.crashes = crashes;
@@ -126,7 +128,8 @@
         self.trials = 0;
     }
 
-    /// Takes what another host holds against the same request; says whether that changed anything.
+    /// Merges the record of another host for the same request; returns whether that changed
+    /// anything.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = self.subject.fill_in(&other.subject);
         changed |= other.shared && !self.shared;
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -1,4 +1,4 @@
-//! The records of a process.
+//! The suspect records of a process.
 
 mod retention;
 
@@ -10,42 +10,44 @@
 use crate::attribution::{Candidate, HOLD_CRASHES, attribute_crashes, unattributed};
 use crate::{CrashKey, RequestKey, RequestStatus, RequestSubject, SuspectRecord};
 
-/// Ends after which a request runs once at a time. With one alone it is as likely as anything else that ran
-/// there, and a popular request would wait for itself after each crash of any target.
+/// Target crashes after which a request runs only once at a time. After a single crash it is no
+/// more likely to be the cause than any other request that ran there, and isolating it would
+/// serialize popular requests after each crash of a target.
 const ISOLATE_CRASHES: usize = 2;
 
-/// How long after the last crash or trial the first, second and later trials are due. An innocent request that
-/// was held in a series of lost targets is free again after the first; the guilty one crashes one target at
-/// each.
+/// Delay from the last crash or trial to the first, second and all later trials. An innocent
+/// request that was held during a series of crashes is released by the first trial; a request that
+/// is the cause crashes one target at each.
 const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(20),
     Duration::from_secs(1_800),
 ];
 
-/// How long after its last crash it is decided whether a request is the cause: by then other hosts have received
-/// what they had running there. A word reaches all hosts within some 20 ms on a fleet of 12, and within 0.35
-/// ms for each entry host on a large one.
+/// Delay from the last crash of a request to the decision whether it is the cause. By then other
+/// hosts have reported what ran at the target: a message reaches all hosts within 20 ms in a fleet
+/// of 12, and within 0.35 ms per entry host in a large one.
 const DECISION_DELAY: Duration = Duration::from_millis(150);
 
-/// Requests of one account that came to be held within a span, from which on the account's requests are confined to
-/// a share of the targets. One that is refused soon crashes three targets; a caller that sends ever new ones would
-/// crash three for each.
+/// The requests of an account are confined to a share of the targets once this many of them were
+/// held within [`CONFINE_WINDOW`]. Each request crashes three targets before it is held, so an
+/// account that keeps sending new ones would crash three for each.
 const CONFINE_HELD_REQUESTS: usize = 5;
 const CONFINE_WINDOW: Duration = Duration::from_secs(60);
 
-/// How often a refusal is received to others, so that a request that keeps coming is remembered.
+/// How often the refusal of a request is published, so that hosts keep the record while the request
+/// keeps coming.
 const REFUSAL_PUBLISH_INTERVAL: Duration = Duration::from_secs(60);
 
 struct Suspect {
     record: SuspectRecord,
-    /// When the last crash, trial or refusal was.
+    /// The time of the last crash, trial or refusal.
     last_seen: Instant,
-    /// When the last crash or trial was.
+    /// The time of the last crash or trial.
     last_crash_or_trial: Instant,
-    /// When it is decided whether it is the cause; nothing where that is decided.
+    /// When it is decided whether the request is the cause; `None` once that is decided.
     decision_at: Option<Instant>,
-    /// Number of the change that last changed it.
+    /// The revision of the last change.
     revision: u64,
 }
 
@@ -54,41 +56,41 @@
 pub struct SuspectChanges {
     /// The records.
     pub records: Vec<SuspectRecord>,
-    /// The number of the last change that they bring their reader to.
+    /// The revision up to which the reader has seen all changes after merging them.
     pub revision: u64,
 }
 
-/// The records of a process, by request.
+/// The suspect records of a process, by request.
 #[derive(Default)]
 pub struct SuspectStore {
     suspects: HashMap<RequestKey, Suspect>,
     by_revision: BTreeMap<u64, RequestKey>,
     revision: u64,
-    /// The request that explains an crash.
+    /// The request to which each crash is attributed.
     attributed: BTreeMap<CrashKey, RequestKey>,
-    /// Requests that came to be held here and were not received of by [`SuspectStore::drain_held`] yet.
+    /// Requests that became held and were not returned by [`SuspectStore::drain_held`] yet.
     newly_held: Vec<RequestKey>,
-    /// When the next request is decided on.
+    /// The time of the next decision.
     next_decision: Option<Instant>,
 }
 
 impl SuspectStore {
-    /// Creates an empty book.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Says whether nothing is held against any request.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns the number of the newest change.
+    /// Returns the latest revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns what holds of a request.
+    /// Returns the status of a request.
     pub fn status(&self, key: RequestKey, now: Instant) -> RequestStatus {
         let Some(suspect) = self.suspects.get(&key) else {
             return RequestStatus::Clear;
@@ -110,7 +112,8 @@
         RequestStatus::Clear
     }
 
-    /// Notes that a target ended while a request ran there; says whether that is news.
+    /// Records that a target crashed while a request ran there; returns whether the crash is new
+    /// for the request.
     pub fn record_crash(
         &mut self,
         subject: &RequestSubject,
@@ -130,7 +133,7 @@
         true
     }
 
-    /// Decides on the requests on which it is time to. To be called before a with_crashes is asked for.
+    /// Makes the decisions that are due. Call this before [`SuspectStore::status`].
     pub fn decide_due(&mut self, now: Instant) {
         if self.next_decision.is_some_and(|at| at <= now) {
             for suspect in self.suspects.values_mut() {
@@ -142,7 +145,8 @@
         }
     }
 
-    /// Notes that a request ran whole; says whether anything was held against it.
+    /// Discards the crashes of a request, which ran to completion or was released; returns whether
+    /// there were any.
     pub fn clear_request(&mut self, key: RequestKey) -> bool {
         let suspect = self.suspects.get_mut(&key);
         let Some(suspect) = suspect.filter(|one| !one.record.crashes.is_empty()) else {
@@ -158,7 +162,8 @@
         true
     }
 
-    /// Notes that a target which was taken as ended runs on; returns the requests that it was held against.
+    /// Discards a crash that did not happen, since the target still runs; returns the affected
+    /// requests.
     pub fn retract_crash(&mut self, crash: CrashKey) -> Vec<RequestKey> {
         let suspects = self.suspects.values_mut();
         let suspects = suspects.filter(|one| one.record.crashes.contains(&crash));
@@ -178,14 +183,14 @@
         affected
     }
 
-    /// Returns the crashes that are held against any request.
+    /// Returns the crashes that are recorded for any request.
     pub fn known_crashes(&self) -> HashSet<CrashKey> {
         let all = self.suspects.values();
         all.flat_map(|one| one.record.crashes.iter().copied())
             .collect()
     }
 
-    /// Notes that a held request is run once more.
+    /// Records that a held request runs as a trial.
     pub fn record_trial(&mut self, key: RequestKey, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&key) else {
             return;
@@ -196,7 +201,7 @@
         self.mark_changed(key);
     }
 
-    /// Notes that a held request was refused, which keeps it in memory.
+    /// Records that a held request was refused, which extends the retention of its record.
     pub fn record_refusal(&mut self, key: RequestKey, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&key) else {
             return;
@@ -208,7 +213,7 @@
         }
     }
 
-    /// Takes the record of another process; says whether it changed what is known here.
+    /// Merges a record of another process; returns whether it changed or refreshed the record here.
     pub fn merge(&mut self, received: &SuspectRecord, now: Instant) -> bool {
         let key = received.subject.key;
         let age = Duration::from_millis(received.age_ms);
@@ -242,7 +247,7 @@
         true
     }
 
-    /// Returns the first records that changed after a change number, so many at max_count.
+    /// Returns at most `max_count` records that changed after a revision, the oldest change first.
     pub fn changed_after(
         &self,
         after_revision: u64,
@@ -252,14 +257,15 @@
         self.filtered_after(after_revision, max_count, now, |_| true)
     }
 
-    /// Says whether a request concerns every host.
+    /// Returns whether a request is of interest to every host.
     pub fn is_shared(&self, key: RequestKey) -> bool {
         let suspect = self.suspects.get(&key);
         suspect.is_some_and(|one| one.record.shared)
     }
 
-    /// Does the same with those that concern every host. A host that has 300 others beside it would get 9,000
-    /// records of innocent requests, 2 MB, when a seventh of 3,000 targets ended at once.
+    /// Returns the changed records that are of interest to every host. A host in a fleet of 300
+    /// would otherwise receive 9,000 records of innocent requests, 2 MB, when a seventh of 3,000
+    /// targets crash at once.
     pub fn shared_after(
         &self,
         after_revision: u64,
@@ -296,19 +302,19 @@
         }
     }
 
-    /// Returns the record of a request as it is received now.
+    /// Returns the record of a request, with its present age.
     pub fn record(&self, key: RequestKey, now: Instant) -> Option<SuspectRecord> {
         Some(self.suspects.get(&key)?.to_record(now))
     }
 
-    /// Returns the records of requests that came to be held here since this was last asked.
+    /// Returns the records of requests that became held since the last call.
     pub fn drain_held(&mut self, now: Instant) -> Vec<SuspectRecord> {
         let keys = std::mem::take(&mut self.newly_held);
         let records = keys.into_iter().filter_map(|key| self.record(key, now));
         records.filter(|one| one.held).collect()
     }
 
-    /// Returns every record, also those against which nothing stands any more.
+    /// Returns all records, also those without crashes.
     pub fn all_records(&self, now: Instant) -> Vec<SuspectRecord> {
         self.suspects
             .values()
@@ -316,7 +322,7 @@
             .collect()
     }
 
-    /// Returns every record against which anything stands, the held ones first.
+    /// Returns the records with crashes, the held ones first.
     pub fn records(&self, now: Instant) -> Vec<SuspectRecord> {
         let with_crashes = self.suspects.values();
         let with_crashes = with_crashes.filter(|one| !one.record.crashes.is_empty());
@@ -325,8 +331,8 @@
         records
     }
 
-    /// Returns the accounts that have sent so many requests which crash targets lately that their requests are
-    /// confined to a share of the targets.
+    /// Returns the accounts whose requests are confined to a share of the targets, since many of
+    /// them were held recently.
     pub fn confined_accounts(&self, now: Instant) -> BTreeSet<String> {
         let mut counts: HashMap<&str, usize> = HashMap::new();
         let held = self.suspects.values().filter(|one| one.record.held);
@@ -336,13 +342,13 @@
             }
         }
         let confined = counts.into_iter();
-        // An empty name is that of requests of all callers without an account.
+        // All requests without an account share the empty name.
         let confined =
             confined.filter(|(name, held)| *held >= CONFINE_HELD_REQUESTS && !name.is_empty());
         confined.map(|(name, _)| name.to_owned()).collect()
     }
 
-    /// Returns how many requests are held, and against how many anything stands.
+    /// Returns how many requests are held, and how many have crashes recorded.
     pub fn counts(&self) -> (usize, usize) {
         let all = || self.suspects.values().map(|one| &one.record);
         let suspects = all().filter(|one| !one.crashes.is_empty());
@@ -370,7 +376,7 @@
         self.by_revision.insert(self.revision, key);
     }
 
-    /// Has a request that has has_new_crash an crash decided on a moment later.
+    /// Schedules a decision on a request with a new crash, if it has enough crashes to be held.
     fn schedule_decision(&mut self, key: RequestKey, now: Instant) {
         let attributed = &self.attributed;
         let suspect = self.suspects.get_mut(&key);
@@ -382,13 +388,13 @@
             suspect.decision_at = Some(at);
             self.next_decision = Some(self.next_decision.map_or(at, |next| next.min(at)));
         }
-        // What it explains is not open for others any more.
+        // The new crash of a held request is attributed to it, which may clear other requests.
         if self.suspects.get(&key).is_some_and(|one| one.record.held) {
             self.reattribute();
         }
     }
 
-    /// Works out anew which requests are held.
+    /// Attributes all crashes again, and holds the requests that are found to be causes.
     fn reattribute(&mut self) {
         let all = self.suspects.values();
         let candidates = all.filter(|one| one.record.is_candidate());
--- a/crates/quarantine/src/store/retention.rs
+++ b/crates/quarantine/src/store/retention.rs
@@ -1,4 +1,4 @@
-//! How many records are retention, and for how long.
+//! Capacity and retention of the suspect records.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -6,20 +6,21 @@
 use super::{Suspect, SuspectStore};
 use crate::{RequestKey, RequestSubject, SuspectRecord};
 
-/// Requests that are retention. Where more are accused those of the account with the largest go first, so that one
-/// account which sends ever new ones does not push out those of others. A record takes about 400 bytes.
+/// Most requests that are kept. Beyond that, records of the account with the most records are
+/// evicted first, so that one account that keeps sending new requests does not displace those of
+/// others. A record takes about 400 bytes.
 pub const MAX_SUSPECTS: usize = 4_096;
 
-/// Records that go at once where there is no more room, so that looking for the weakest is rare.
+/// Records that are evicted at once, so that the search for the weakest evidence is rare.
 const EVICTION_BATCH: usize = 128;
 
-/// How long a request that is not held is remembered after the last end, and one that is held after it was
-/// last refused. A caller that comes again later than that ends a few targets more, once.
+/// How long a record is kept: after the last crash if the request is not held, after the last
+/// refusal if it is. A held request that returns later crashes a few more targets once.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(3_600);
 const HELD_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
 impl SuspectStore {
-    /// Forgets what is old; returns the requests that were held until then.
+    /// Removes expired records; returns the requests that were held until then.
     pub fn expire(&mut self, now: Instant) -> Vec<RequestSubject> {
         let is_expired = |one: &Suspect| {
             let retention = if one.record.held {
@@ -39,7 +40,7 @@
         held.map(|one| one.subject).collect()
     }
 
-    /// Makes room for a request that is not known yet.
+    /// Evicts records if the store is full and a request is new to it.
     pub(super) fn evict_for(&mut self, subject: &RequestSubject) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&subject.key) {
             return;
--- a/crates/quarantine/src/store/tests.rs
+++ b/crates/quarantine/src/store/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// After the last wait before a trial.
+/// Longer than the last trial delay.
 const HOUR: Duration = Duration::from_secs(3_600);
 
 fn subject(account: &str, path: &str) -> RequestSubject {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns what holds of a request once that is decided.
+/// Returns the status of a request after the decision.
 fn decided(store: &mut SuspectStore, subject: &RequestSubject, now: Instant) -> RequestStatus {
     store.decide_due(now + DECISION_DELAY);
     store.status(subject.key, now + DECISION_DELAY)
@@ -44,7 +44,7 @@
         RequestSubject::new("a", "GET", ["shop.example", "/x"], b"body"),
         RequestSubject::new("a", "POST", ["else.example", "/x"], b"body"),
         RequestSubject::new("a", "POST", ["shop.example", "/x"], b"other"),
-        // The same letters in other parts.
+        // The same characters, split differently.
         RequestSubject::new("aPOST", "", ["shop.example", "/x"], b"body"),
     ];
     for other in others {
@@ -60,7 +60,7 @@
     let mut store = SuspectStore::new();
     record_crashes(&mut store, &cause, &[1], now);
     assert_eq!(store.status(cause.key, now), RequestStatus::Clear);
-    // The same end, changed twice.
+    // The same crash, recorded twice.
     record_crashes(&mut store, &cause, &[1, 2], now);
     assert_eq!(store.status(cause.key, now), RequestStatus::Suspect);
     record_crashes(&mut store, &cause, &[3], now);
@@ -78,7 +78,7 @@
     record_crashes(&mut store, &cause, &[1, 2, 3], now);
     assert_eq!(decided(&mut store, &cause, now), REFUSED);
     assert_eq!(store.status(bystander.key, now), RequestStatus::Clear);
-    // Also when it is cut off once more.
+    // Also when it is interrupted once more.
     record_crashes(&mut store, &bystander, &[4], now);
     record_crashes(&mut store, &cause, &[4], now);
     assert_eq!(store.status(bystander.key, now), RequestStatus::Clear);
@@ -110,12 +110,12 @@
     assert!(store.clear_request(popular.key));
     assert!(
         !store.clear_request(popular.key),
-        "nothing is left to acquit of"
+        "nothing is left to clear"
     );
     assert!(!store.merge(&before, now), "an older round");
     assert_eq!(store.status(popular.key, now), RequestStatus::Clear);
     assert!(store.records(now).is_empty());
-    // The acquittal reaches a host that has held it since.
+    // The acquittal reaches a host that has held the request since.
     let mut other = SuspectStore::new();
     record_crashes(&mut other, &popular, &[1, 2, 3], now);
     assert_eq!(decided(&mut other, &popular, now), REFUSED);
@@ -142,7 +142,7 @@
     let (start, cause) = (Instant::now(), subject("a", "/x"));
     let mut store = SuspectStore::new();
     record_crashes(&mut store, &cause, &[1, 2, 3], start);
-    // It comes ten times a second for five minutes, and each trial crashes a target.
+    // The request arrives ten times a second for five minutes, and each trial crashes a target.
     let mut trials = 0;
     for tick in 0..3_000 {
         let now = start + Duration::from_millis(100) * tick;
@@ -230,7 +230,7 @@
             .records
             .is_empty()
     );
-    // That it was cleared is changed as well.
+    // Cleared records are shared as well.
     store.clear_request(innocent.key);
     store.clear_request(cause.key);
     let cleared = store.shared_after(shared.revision, 10, now).records;
@@ -238,7 +238,7 @@
     assert!(cleared[0].subject == cause && cleared[0].crashes.is_empty());
 }
 
-/// Hosts that tell each other in any order, some of it twice, end with the same.
+/// Hosts that exchange records in any order, some repeatedly, converge.
 #[test]
 fn hosts_converge_whatever_the_order_of_exchange() {
     let now = Instant::now();
--- a/crates/rate/src/lib.rs
+++ b/crates/rate/src/lib.rs
@@ -1,5 +1,5 @@
-//! The rate at which a target takes requests from all entry hosts together: how it is named, which of several words of it
-//! holds, and how requests are paced by it.
+//! Rate limits that targets advertise for the requests of all entry hosts together: parsing them,
+//! deciding which of several observations applies, and pacing requests accordingly.
 
 mod limit;
 mod observation;
--- a/crates/rate/src/observation.rs
+++ b/crates/rate/src/observation.rs
@@ -1,4 +1,4 @@
-//! What an answer said of the rate of its target.
+//! A rate limit observed in a response of a target.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 
 use crate::RateLimit;
 
-/// What an answer said of the rate of its target, as processes tell it each other: ages in place of moments, since
-/// their clocks differ.
+/// A rate limit observed in a response of a target, in the form that processes exchange. It holds
+/// ages instead of times, since the clocks of processes differ.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateObservation {
     /// The target.
     pub target: String,
-    /// The rate that it named; nothing where it named none.
+    /// The limit that the response carried; `None` if it carried none.
     pub rate_limit: Option<RateLimit>,
-    /// Milliseconds since the request was sent that was answered.
+    /// Age of the answered request when the observation was sent on, in milliseconds.
     pub sent_age_ms: u64,
-    /// Milliseconds since the answer came.
+    /// Age of the response when the observation was sent on, in milliseconds.
     pub received_age_ms: u64,
 }
 
-/// A observation with the moments between which the target said it.
+/// An observation with the times between which the target sent the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TimedObservation {
     pub(crate) rate_limit: Option<RateLimit>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Says whether it was surely said after another one.
+    /// Returns whether this observation was certainly made after another one.
     pub(crate) fn is_after(&self, other: &Self) -> bool {
         self.sent_at > other.received_at
     }
--- a/crates/rate/src/pacer.rs
+++ b/crates/rate/src/pacer.rs
@@ -1,4 +1,4 @@
-//! When the next_at request may go to a target by its rate.
+//! Pacing of requests to a target with a rate limit.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 
 use crate::RateLimit;
 
-/// The longest time between two requests, however low the rate: without any a target could not say that it takes more.
+/// The longest time between two requests, however low the limit: a target that received none could
+/// not advertise a higher limit.
 const MAX_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Spaces requests evenly by the rate of their target. It saves nothing up while no request comes.
+/// Spaces requests evenly according to a rate limit. Idle time does not accumulate into a burst.
 #[derive(Debug, Clone, Copy)]
 pub struct RatePacer {
     rate: RateLimit,
@@ -23,7 +24,8 @@
 }
 
 impl RatePacer {
-    /// Creates a pacer whose first request may go after one interval: others may have sent one just now.
+    /// Creates a pacer whose first request may be sent after one interval, since another host may
+    /// have sent one just now.
     pub fn new(rate: RateLimit, now: BootInstant) -> Self {
         Self {
             rate,
@@ -31,17 +33,17 @@
         }
     }
 
-    /// Returns the time until the next_at request may go.
+    /// Returns the time until the next request may be sent.
     pub fn time_until_next(&self, now: BootInstant) -> Duration {
         self.next_at - now
     }
 
-    /// Lets no request go before a moment.
+    /// Delays the next request until the given time at least.
     pub fn delay_until(&mut self, until: BootInstant) {
         self.next_at = self.next_at.max(until);
     }
 
-    /// Takes the rate that holds now.
+    /// Changes the rate limit. A higher one takes effect at once.
     pub fn set_rate(&mut self, rate: RateLimit, now: BootInstant) {
         if self.rate != rate {
             self.rate = rate;
@@ -49,11 +51,12 @@
         }
     }
 
-    /// Reserves the next_at request, where it may go max_wait a span; returns when.
+    /// Reserves the next request if it may be sent within `max_wait`; returns the time until then.
     ///
     /// # Errors
     ///
-    /// The time until it may go, where that is longer. Nothing is reserved then.
+    /// The time until the request may be sent, if that is longer than `max_wait`. Nothing is
+    /// reserved in that case.
     pub fn reserve(&mut self, now: BootInstant, max_wait: Duration) -> Result<Duration, Duration> {
         let wait = self.time_until_next(now);
         if wait > max_wait {
@@ -63,7 +66,8 @@
         Ok(wait)
     }
 
-    /// Reserves further requests at once; returns how many, `max_count` or those of a span at max_count.
+    /// Reserves further requests at once; returns how many: at most `max_count`, and at most as
+    /// many as the limit allows in a time span.
     pub fn reserve_batch(&mut self, max_count: u32, span: Duration) -> u32 {
         let interval = interval(self.rate);
         let per_span = span.as_secs_f64() / interval.as_secs_f64().max(f64::MIN_POSITIVE);
@@ -72,7 +76,7 @@
         count
     }
 
-    /// Says whether nothing was reserved for a span.
+    /// Returns whether the last reservation is older than a time span.
     pub fn is_idle(&self, span: Duration, now: BootInstant) -> bool {
         now - self.next_at > span
     }
--- a/crates/rate/src/pacer/tests.rs
+++ b/crates/rate/src/pacer/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Returns how many requests go in each window of four seconds at most, where callers always want more.
+/// Returns the greatest number of requests in any window of four seconds under constant demand, and
+/// the used percentage of the rate.
 fn most_in_window(per_second: f64, max_wait: Duration) -> (usize, usize) {
     let begin = BootInstant::now();
     let mut pacer = RatePacer::new(RateLimit::new(per_second), begin);
--- a/crates/rate/src/store.rs
+++ b/crates/rate/src/store.rs
@@ -1,4 +1,4 @@
-//! The rates that targets named, as one process knows them.
+//! The rate limits of targets, as one process knows them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,71 +8,75 @@
 use crate::observation::TimedObservation;
 use crate::{RateLimit, RateObservation};
 
-/// How long a rate holds after the target was last heard to name it. A target that is not asked says nothing.
+/// How long a limit applies after the last response that carried it. A target that receives no
+/// requests sends no responses.
 const LIMIT_RETENTION: Duration = Duration::from_secs(600);
 
-/// How long it is remembered that a target names no rate any more, so that an older observation does not bring it back.
+/// How long the absence of a limit is remembered, so that an older observation does not restore it.
 const LIFTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How often a rate that goes on to be named is published again, so that it does not end at processes that get no answers.
+/// How often a limit that targets keep sending is published again, so that it does not expire at
+/// processes that receive no responses themselves.
 const REPUBLISH_INTERVAL: Duration = Duration::from_secs(120);
 
-/// What a observation changed.
+/// The effect of an observation on the limit of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateChange {
-    /// Nothing that holds.
+    /// The limit is the same as before.
     Unchanged,
-    /// The target takes another rate than before; nothing where it took any.
+    /// The target has another limit than before.
     Limited {
-        /// The rate before.
+        /// The limit before; `None` if there was none.
         previous: Option<RateLimit>,
-        /// The rate now.
+        /// The limit now.
         current: RateLimit,
     },
-    /// The target takes any rate again.
+    /// The target has no limit any more.
     Lifted {
-        /// The rate before.
+        /// The limit before.
         previous: RateLimit,
     },
 }
 
-/// Words that changed, in the order of their changes.
+/// Observations that changed, in the order of their changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RateChanges {
-    /// The words.
+    /// The observations.
     pub observations: Vec<RateObservation>,
-    /// The number of the last change that they bring their reader to.
+    /// The revision up to which the reader has seen all changes after applying them.
     pub revision: u64,
 }
 
-/// How what is known of a target stands to its present start.
+/// The effect of a target incarnation on the stored observation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationEffect {
-    /// It is the start that was known.
+    /// The incarnation was known already.
     Unchanged,
-    /// It is a newer one, and what is known was said by it.
+    /// The incarnation is newer, and the stored observation comes from it.
     Retained,
-    /// It is a newer one, which owes nothing; the rate that a previous one named is forgotten.
+    /// The incarnation is newer than the stored observation, which was removed. Holds the limit
+    /// that it carried.
     Discarded(Option<RateLimit>),
 }
 
 #[derive(Debug)]
 struct RateEntry {
     observation: TimedObservation,
-    /// Number of the last change.
+    /// The revision of the last change.
     revision: u64,
-    /// Whether this process tells others of it, beside those that have lost everything.
+    /// Whether this process publishes the entry to others. Readers without any state get all
+    /// entries.
     publishes: bool,
-    /// When the start began that is known to run, in Unix milliseconds.
+    /// Start time of the latest known incarnation of the target, in Unix milliseconds.
     born: u64,
-    /// When it was last published, or published here.
+    /// When the entry was last published, by this process or another one.
     published_at: BootInstant,
 }
 
-/// The rates that targets named.
+/// The rate limits of targets.
 ///
-/// Invariant: a observation that was surely said after another one replaces it; of two whose order is not sure the lower rate
-/// holds, and any rate before none.
+/// Invariant: an observation that was certainly made after another one replaces it. If the order of
+/// two is uncertain, the lower limit applies, and any limit takes precedence over none.
 #[derive(Debug, Default)]
 pub struct RateStore {
     entries: HashMap<String, RateEntry>,
@@ -81,33 +85,34 @@
 }
 
 impl RateStore {
-    /// Creates an empty book.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Says whether no target names a rate, nor did a while ago.
+    /// Returns whether the store has no entries, not even of limits that were lifted a while ago.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the number of the newest change.
+    /// Returns the latest revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the rate that holds for a target; nothing where it takes any.
+    /// Returns the limit of a target; `None` if it accepts any rate.
     pub fn rate_limit(&self, target: &str) -> Option<RateLimit> {
         self.entries.get(target)?.observation.rate_limit
     }
 
-    /// Returns the targets that name a rate.
+    /// Returns the targets that have a limit, with it.
     pub fn limits(&self) -> impl Iterator<Item = (&str, RateLimit)> {
         let entries = self.entries.iter();
         entries.filter_map(|(target, entry)| Some((target.as_str(), entry.observation.rate_limit?)))
     }
 
-    /// Takes a observation that others should be published of where it is news.
+    /// Records an observation, and publishes it to others if it changes the limit or is due to be
+    /// published again.
     pub fn record_observed(
         &mut self,
         observation: &RateObservation,
@@ -123,7 +128,9 @@
         change
     }
 
-    /// Takes a observation that this process passes on to others; says whether there is something to tell.
+    /// Records an observation that this process forwards to others; returns whether there is
+    /// something to forward. An observation that contradicts the stored one causes the stored one
+    /// to be sent again.
     pub fn relay(&mut self, observation: &RateObservation, now: BootInstant) -> bool {
         let before = self.revision;
         self.record_observed(observation, now);
@@ -136,7 +143,8 @@
         self.revision > before
     }
 
-    /// Takes a observation from a process that tells the others itself. Where this one knows better it tells that.
+    /// Records an observation from a process that publishes it to the others itself. If the stored
+    /// observation takes precedence, that one is published instead.
     pub fn record_received(
         &mut self,
         observation: &RateObservation,
@@ -158,8 +166,8 @@
         change
     }
 
-    /// Looks at the start of a target that runs, which began at a Unix millisecond. What a previous one named is
-    /// forgotten; `unix_ms` is the time of day.
+    /// Records an incarnation of a target that started at the Unix millisecond `born`, and removes
+    /// an observation that was made before it. `unix_ms` is the current time.
     pub fn record_incarnation(
         &mut self,
         target: &str,
@@ -185,7 +193,7 @@
         IncarnationEffect::Discarded(previous)
     }
 
-    /// Has a observation published again to those that may have forgotten it.
+    /// Publishes an observation again, for processes that may have removed it.
     pub fn republish(&mut self, target: &str, now: BootInstant) {
         self.mark_for_publication(target, now);
     }
@@ -242,8 +250,9 @@
         self.by_revision.insert(self.revision, target.to_owned());
     }
 
-    /// Returns the first words that changed after a change number, so many at max_count: those of which this process tells
-    /// others, or all of them for one that may know nothing.
+    /// Returns at most `max_count` observations that changed after a revision, the oldest change
+    /// first: those that this process publishes, or all of them for a reader that may have no
+    /// state.
     pub fn changed_after(
         &self,
         after_revision: u64,
@@ -278,7 +287,7 @@
         }
     }
 
-    /// Returns what is known of one target, to be published to another process.
+    /// Returns the stored observation of one target, in the form that is sent to other processes.
     pub fn observation(&self, target: &str, now: BootInstant) -> Option<RateObservation> {
         Some(
             self.entries
@@ -288,19 +297,19 @@
         )
     }
 
-    /// Forgets a target, since another start has followed that owes nothing.
+    /// Removes the entry of a target.
     pub fn remove(&mut self, target: &str) {
         if let Some(entry) = self.entries.remove(target) {
             self.by_revision.remove(&entry.revision);
         }
     }
 
-    /// Returns when a target was last heard to name a rate, or to name none.
+    /// Returns when the last response of a target was received, with or without a limit.
     pub fn last_observed(&self, target: &str) -> Option<BootInstant> {
         Some(self.entries.get(target)?.observation.received_at)
     }
 
-    /// Forgets what is old; returns the targets whose rate ended by that.
+    /// Removes expired entries; returns the targets whose limit expired, with it.
     pub fn expire(&mut self, now: BootInstant) -> Vec<(String, RateLimit)> {
         let mut ended = Vec::new();
         let by_revision = &mut self.by_revision;
@@ -309,7 +318,7 @@
                 Some(_) => LIMIT_RETENTION,
                 None => LIFTED_RETENTION,
             };
-            // What is published again and again is heard by others.
+            // A limit that is published repeatedly is still received by some process.
             let last = entry.observation.received_at.max(entry.published_at);
             let kept = now - last < span;
             if !kept {
@@ -327,7 +336,7 @@
     }
 }
 
-/// Joins two words whose order is not sure.
+/// Merges two observations whose order is uncertain.
 fn merge_concurrent(one: TimedObservation, other: TimedObservation) -> TimedObservation {
     match (one.rate_limit, other.rate_limit) {
         (_, None) => one,
--- a/crates/rate/src/store/tests.rs
+++ b/crates/rate/src/store/tests.rs
@@ -130,11 +130,15 @@
     assert!(store.relay(&limited, now));
     assert!(!store.relay(&limited, now));
     assert!(store.relay(&observed(None, 40, 10), now));
-    assert!(store.relay(&limited, now), "an older word is contradicted");
+    assert!(
+        store.relay(&limited, now),
+        "an older observation is contradicted"
+    );
     assert_eq!(store.rate_limit("t-0"), None);
 }
 
-/// Processes that get the same observations in any order, and tell each other, come to the same.
+/// Processes that record the same observations in any order, and exchange them, hold the same
+/// limit.
 #[test]
 fn stores_that_exchange_observations_converge() {
     for seed in 0..500 {
