--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -1,4 +1,4 @@
-//! The targets that take work, as this host knows them.
+//! The targets that accept work, as this host knows them.
 
 mod store;
 
@@ -12,53 +12,55 @@
 
 pub(crate) use store::TargetStore;
 
-/// Failures in a row after which a target gets no work for a while.
+/// Consecutive failures after which a target is ejected for a while.
 const EJECTION_THRESHOLD: u32 = 2;
 
-/// How long a target is first left alone.
+/// Duration of the first ejection of a target; doubled with each further one.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(600);
 
-/// The longest time that a target is left alone.
+/// Longest duration of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// Part of the targets of a service that may be left alone at one time.
+/// Largest fraction of the targets of a service that failures may eject at the same time.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 
-/// How long a target that turned a request away is passed over where others are free; doubled with each in a row.
-/// It may name no time to come back, or one that is soon over. Without this two of six targets that refused
-/// all cost a fifth of the requests, by the allowance of repeats (655 of 3,150 in 2 s, mean of three runs).
+/// How long a target that refused a request is avoided while others are available; doubled with
+/// each consecutive refusal. A refusal may carry no Retry-After time, or a short one. Without the
+/// cooldown, two of six targets that refused everything cost a fifth of the requests (655 of 3,150
+/// in 2 s), since these exhausted the retry budget.
 const REFUSAL_COOLDOWN: Duration = Duration::from_millis(40);
 const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
 
-/// What a target of another hall counts beside its load, in parts of its slots: a way there and back of some
-/// milliseconds, and bytes that cross halls.
+/// Load that a target in another hall counts in addition, as a fraction of its slots, for a round
+/// trip of some milliseconds and for bytes that cross halls.
 const REMOTE_HALL_PENALTY: f64 = 0.25;
 
-/// What a cold target counts: it gets work only where the others are full.
+/// Load that a cold target counts in addition: it receives work only when the others are full.
 const COLD_PENALTY: f64 = 0.5;
 
-/// A target in work.
+/// A target that accepts work.
 #[derive(Debug, Clone)]
 pub(crate) struct Target {
     pub(crate) id: String,
-    /// When this start of it began; see [`TargetRecord::born`].
+    /// Start time of this incarnation, see [`TargetRecord::born`].
     pub(crate) born: u64,
     pub(crate) address: SocketAddr,
     pub(crate) hall: String,
     pub(crate) slots: u32,
-    /// The version of its software; empty where it is not known.
+    /// The software version; empty if unknown.
     pub(crate) version: String,
-    /// Requests of this host that are in flight there.
+    /// Requests of this host that are in flight at the target.
     pub(crate) in_flight: u32,
     failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
-    /// Requests in a row that it turned away.
+    /// Consecutive refusals.
     refusals: u32,
     cooldown_until: Option<Instant>,
     cold_until: Option<Instant>,
     slowness: TargetSlowness,
-    /// When this host may send to it while it is cold and nobody decides for all hosts.
+    /// This host's share of the rate of the target while it is cold and no single host paces it for
+    /// all.
     share: SendShare,
 }
 
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes what a record tells of the same start.
+    /// Applies a record of the same incarnation.
     fn apply_record(&mut self, record: &TargetRecord, now: Instant) {
         self.address = record.address;
         self.slots = record.slots.max(1);
@@ -91,7 +93,7 @@
         self.set_cold(record.cold_ms, now);
     }
 
-    /// Takes how much longer it is cold. It keeps its share of what it gets then until it is warm.
+    /// Sets how much longer the target is cold. Its share is kept until it is warm.
     fn set_cold(&mut self, cold_ms: u32, now: Instant) {
         self.cold_until = (cold_ms > 0).then(|| now + Duration::from_millis(u64::from(cold_ms)));
         if cold_ms == 0 {
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Returns what it costs to send it one more request, in parts of its slots; `other_hall` says whether
-    /// it lies in another hall than this host.
+    /// Returns the load that one more request counts at the target, as a fraction of its slots.
+    /// `other_hall` tells whether it is in another hall than this host.
     pub(crate) fn load(&self, other_hall: bool, now: Instant) -> f64 {
         let part = |counts: bool, load: f64| if counts { load } else { 0.0 };
         f64::from(self.in_flight) / f64::from(self.slots)
@@ -109,7 +111,7 @@
             + self.slowness.load(now)
     }
 
-    /// Says whether it is cold.
+    /// Returns whether the target is cold.
     pub(crate) fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| until > now)
     }
@@ -131,13 +133,13 @@
         self.refusals += 1;
     }
 
-    /// Says whether others are to be used rather than it, where there are any.
+    /// Returns whether other targets are to be preferred, if there are any.
     fn is_avoided(&self, now: Instant) -> bool {
         self.is_ejected(now) || self.cooldown_until.is_some_and(|until| until > now)
     }
 }
 
-/// A target that was chosen.
+/// A target that was chosen for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ChosenTarget {
     pub(crate) id: String,
--- a/crates/gateway/src/target/store.rs
+++ b/crates/gateway/src/target/store.rs
@@ -12,17 +12,17 @@
 use crate::cold::ColdRate;
 use crate::version_split::VersionSplit;
 
-/// The targets of every service. Ordered maps, so that runs with the same input choose alike.
+/// The targets of every service. The maps are ordered, so that equal inputs lead to equal choices.
 #[derive(Default)]
 pub(crate) struct TargetStore {
     services: HashMap<String, BTreeMap<String, Target>>,
-    /// How many targets each service has in each hall.
+    /// The number of targets of each service in each hall.
     hall_counts: HashMap<String, Vec<(String, u32)>>,
-    /// What cold targets of a service bear, where that is less than others do.
+    /// The rate that cold targets of a service sustain, if that is less than others do.
     cold_rates: HashMap<String, ColdRate>,
-    /// The services of which a version is rolled out.
+    /// The services with a rollout in progress.
     splits: HashMap<String, VersionSplit>,
-    /// The rates that targets named, by their identity.
+    /// Rate limits of targets, by target ID.
     rate_limits: HashMap<String, RateLimit>,
 }
 
@@ -52,8 +52,8 @@
 }
 
 impl TargetStore {
-    /// Takes the list of targets that take work; what is not in it gets no more. Returns the identities of
-    /// those that have started restarted.
+    /// Replaces the list of targets that accept work. Returns the IDs of those with a new
+    /// incarnation.
     pub(crate) fn replace(&mut self, records: &[TargetRecord], now: Instant) -> Vec<String> {
         let mut restarted = Vec::new();
         let mut previous = std::mem::take(&mut self.services);
@@ -63,7 +63,7 @@
                 .and_then(|targets| targets.remove(&record.id));
             let mut target = match known {
                 Some(known) if known.born == record.born => known,
-                // Another start under the same identity has nothing of the one before.
+                // A new incarnation under the same ID begins without any state.
                 Some(_) => {
                     restarted.push(record.id.clone());
                     Target::new(record)
@@ -78,8 +78,8 @@
         restarted
     }
 
-    /// Takes targets that have come or changed, and those that get no more work; all others stay. Returns the
-    /// identities of those that have started restarted.
+    /// Adds or changes the `listed` targets and removes the `unlisted` ones. Returns the IDs of
+    /// those with a new incarnation.
     pub(crate) fn update(
         &mut self,
         listed: &[TargetRecord],
@@ -95,7 +95,7 @@
             let target = targets
                 .entry(record.id.clone())
                 .or_insert_with(|| Target::new(record));
-            // Another start under the same identity has nothing of the one before.
+            // A new incarnation under the same ID begins without any state.
             if target.born != record.born {
                 restarted.push(record.id.clone());
                 *target = Target::new(record);
@@ -111,7 +111,7 @@
         restarted
     }
 
-    /// Returns the service, hall and identity of each target.
+    /// Returns service, hall and ID of each target.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &str, &str)> {
         let services = self.services.iter();
         services.flat_map(|(service, targets)| {
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Takes the rate that a target names; nothing where it takes any.
+    /// Sets or removes the rate limit of a target.
     pub(crate) fn set_rate_limit(&mut self, id: &str, limit: Option<RateLimit>) {
         match limit {
             Some(limit) => self.rate_limits.insert(id.to_owned(), limit),
@@ -128,12 +128,12 @@
         };
     }
 
-    /// Returns the rate that a target names; nothing where it takes any.
+    /// Returns the rate limit of a target; `None` if it accepts any rate.
     pub(crate) fn rate_limit(&self, id: &str) -> Option<RateLimit> {
         self.rate_limits.get(id).copied()
     }
 
-    /// Takes the services of a configuration.
+    /// Applies the services of a configuration.
     pub(crate) fn set_services(&mut self, config: &RoutingConfig) {
         let rates = config.services.iter().filter_map(|service| {
             let rate = ColdRate::new(service.cold_per_s)?;
@@ -142,19 +142,20 @@
         self.cold_rates = rates.collect();
     }
 
-    /// Returns what a cold target of a service bears; nothing where that is as much as others do.
+    /// Returns the rate that a cold target of a service sustains; `None` if cold targets are not
+    /// limited.
     pub(crate) fn cold_rate(&self, service: &str) -> Option<ColdRate> {
         self.cold_rates.get(service).copied()
     }
 
-    /// Says whether a target is cold.
+    /// Returns whether a target is cold.
     pub(crate) fn is_cold(&self, service: &str, id: &str, now: Instant) -> bool {
         let targets = self.services.get(service);
         let target = targets.and_then(|targets| targets.get(id));
         target.is_some_and(|target| target.is_cold(now))
     }
 
-    /// Returns the targets of a service that are cold and bear less than others then.
+    /// Returns the cold targets of a service; none if cold targets are not limited.
     pub(crate) fn cold_targets(&self, service: &str, now: Instant) -> Vec<String> {
         if self.cold_rate(service).is_none() {
             return Vec::new();
@@ -163,8 +164,8 @@
         cold.map(|target| target.id.clone()).collect()
     }
 
-    /// Returns the identities of the targets of a service that are cold and get no request of this host
-    /// now, which is one of so many that do not know of each other.
+    /// Returns the IDs of the cold targets of a service that have no capacity for a request of this
+    /// host now. This host is one of `hosts` that share the capacity without coordination.
     pub(crate) fn throttled_cold_targets(
         &mut self,
         service: &str,
@@ -185,7 +186,7 @@
         closed.collect()
     }
 
-    /// Counts a request that this host, one of so many, sends to a target that is cold.
+    /// Records a request that this host, one of `hosts`, sends to a target, if it is cold.
     pub(crate) fn record_cold_send(&mut self, service: &str, id: &str, hosts: usize, now: Instant) {
         let Some(rate) = self.cold_rate(service) else {
             return;
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Returns how many targets of a service took work in each hall when the list came.
+    /// Returns the number of targets of a service in each hall, as of the latest list.
     pub(crate) fn hall_counts(&self, service: &str) -> &[(String, u32)] {
         self.hall_counts.get(service).map_or(&[], Vec::as_slice)
     }
@@ -208,24 +209,25 @@
             .flat_map(BTreeMap::values)
     }
 
-    /// Returns the identities of the targets of a service.
+    /// Returns the IDs of the targets of a service.
     pub(crate) fn ids_of_service(&self, service: &str) -> impl Iterator<Item = &String> {
         let targets = self.services.get(service);
         targets.into_iter().flat_map(BTreeMap::keys)
     }
 
-    /// Takes the services of which a version is rolled out.
+    /// Sets the services with a rollout in progress.
     pub(crate) fn set_splits(&mut self, splits: HashMap<String, VersionSplit>) {
         self.splits = splits;
     }
 
-    /// Returns the version of a target; nothing where it is not known.
+    /// Returns the version of a target; empty if unknown, `None` if there is no such target.
     pub(crate) fn version_of(&self, service: &str, id: &str) -> Option<&str> {
         let target = self.services.get(service)?.get(id)?;
         Some(&target.version)
     }
 
-    /// Returns how many requests of this host are under way at targets of other versions than one.
+    /// Returns the number of requests of this host in flight at targets of other versions than the
+    /// given one.
     pub(crate) fn in_flight_at_other_versions(&self, service: &str, version: &str) -> u32 {
         let others = self
             .of_service(service)
@@ -233,8 +235,8 @@
         others.map(|target| target.in_flight).sum()
     }
 
-    /// Draws by which version a request of a service is to be served, where one is rolled out: returns the targets of
-    /// that side, or all where it has none.
+    /// Draws the side of a rollout for a request of a service, and returns the targets of that
+    /// side, or all targets if the side has none.
     fn candidates_of_drawn_side(&self, service: &str) -> Vec<&Target> {
         let all = || self.of_service(service);
         let Some(split) = self.splits.get(service) else {
@@ -250,14 +252,15 @@
         }
     }
 
-    /// Returns the identities of all targets, each with its service.
+    /// Returns all target IDs with their service.
     pub(crate) fn all_ids(&self) -> impl Iterator<Item = (&String, &String)> {
         let services = self.services.iter();
         services.flat_map(|(service, targets)| targets.keys().map(move |id| (service, id)))
     }
 
-    /// Returns the targets of a service that are not passed over; where all are, those that can be reachable, and
-    /// all of them where none can. While a version is rolled out these are of one side, drawn restarted each time.
+    /// Returns the targets of a service that are not avoided; if all are avoided, those that are
+    /// not ejected, and if all are ejected, all of them. During a rollout, the targets are of one
+    /// side, drawn anew for each call.
     pub(crate) fn usable(&self, service: &str, now: Instant) -> Vec<&Target> {
         let side = self.candidates_of_drawn_side(service);
         let all = || side.iter().copied();
@@ -272,7 +275,7 @@
         all().collect()
     }
 
-    /// Returns the hall of the target at an address, as `IP:PORT`.
+    /// Returns the hall of the target at an address, written as `IP:PORT`.
     pub(crate) fn hall_at(&self, service: &str, address: &str) -> Option<String> {
         let address: SocketAddr = address.parse().ok()?;
         let mut targets = self.of_service(service);
@@ -280,19 +283,19 @@
         Some(target.hall.clone())
     }
 
-    /// Finds a target that takes work.
+    /// Finds a target by service and ID.
     pub(crate) fn find(&self, service: &str, id: &str) -> Option<ChosenTarget> {
         let target = self.services.get(service)?.get(id)?;
         Some(ChosenTarget::new(target))
     }
 
-    /// Finds a target whose service is not known, and its service.
+    /// Finds a target by ID alone; returns it with its service.
     pub(crate) fn find_by_id(&self, id: &str) -> Option<(&str, &Target)> {
         let mut services = self.services.iter();
         services.find_map(|(service, targets)| Some((service.as_str(), targets.get(id)?)))
     }
 
-    /// Says whether a target takes work.
+    /// Returns whether a target accepts work.
     pub(crate) fn contains(&self, service: &str, id: &str) -> bool {
         let targets = self.services.get(service);
         targets.is_some_and(|targets| targets.contains_key(id))
@@ -302,14 +305,14 @@
         self.services.get_mut(service)?.get_mut(id)
     }
 
-    /// Takes a target out that proved to be another start than was meant.
+    /// Removes a target, for example one that was found to be another incarnation.
     pub(crate) fn remove(&mut self, service: &str, id: &str) {
         if let Some(targets) = self.services.get_mut(service) {
             targets.remove(id);
         }
     }
 
-    /// Learns from the time that a plain request took, whether it was answered or given up.
+    /// Records the duration of a non-streaming request, whether it was answered or given up.
     pub(crate) fn record_duration(
         &mut self,
         service: &str,
@@ -323,7 +326,7 @@
         }
     }
 
-    /// Notes a usable answer.
+    /// Records a usable response, which ends the ejections and refusals in a row.
     pub(crate) fn record_success(&mut self, service: &str, id: &str) {
         if let Some(target) = self.find_mut(service, id) {
             target.failures = 0;
@@ -332,23 +335,23 @@
         }
     }
 
-    /// Notes that a target turned a request away. Any of its answers but that ends the row.
+    /// Records that a target refused a request. Any other response ends the consecutive refusals.
     pub(crate) fn record_refusal(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id) {
             target.record_refusal(now);
         }
     }
 
-    /// Notes that a target could not be reachable. That is no matter of chance, so it is left alone at
-    /// once, and as many others as cannot be reachable either.
+    /// Records that a target could not be reached. Unlike other failures this is not a matter of
+    /// chance, so the target is ejected at once, without a cap on the number of ejected targets.
     pub(crate) fn record_unreachable(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id) {
             target.eject(now);
         }
     }
 
-    /// Takes the word of another host that it could not reach a target. The target is passed over for a
-    /// short while, in which this host does not find that out for itself.
+    /// Records that another host could not reach a target. The target is ejected for the base time,
+    /// so that this host does not have to find out for itself.
     pub(crate) fn apply_peer_unreachable(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id)
             && !target.is_ejected(now)
@@ -357,13 +360,13 @@
         }
     }
 
-    /// Returns the targets of a service that are passed over now.
+    /// Returns the targets of a service that are avoided now.
     pub(crate) fn avoided(&self, service: &str, now: Instant) -> impl Iterator<Item = &Target> {
         let targets = self.of_service(service);
         targets.filter(move |target| target.is_avoided(now))
     }
 
-    /// Notes a failure; says whether the target is left alone from now on.
+    /// Records a failure; returns whether the target is ejected now.
     pub(crate) fn record_failure(&mut self, service: &str, id: &str, now: Instant) -> bool {
         let all = self.of_service(service).count();
         let ejected = self
--- a/crates/gateway/src/target/tests.rs
+++ b/crates/gateway/src/target/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A store with targets `t-0`, `t-1` and so on.
+/// Creates a store with targets `t-0`, `t-1` and so on.
 pub(crate) fn store_with(count: u16) -> TargetStore {
     let records: Vec<TargetRecord> = (0..count)
         .map(|number| record(&format!("t-{number}"), 1_000 + number))
@@ -100,7 +100,7 @@
     assert_eq!(usable(&store, now), ["t-2"]);
     assert_eq!(store.find_mut(SERVICE, "t-0").unwrap().in_flight, 3);
     assert!(store.find(SERVICE, "t-1").is_none());
-    // A target that went and came back is another start: nothing is known of it.
+    // A target that was removed and came back is a new incarnation: it has no state.
     store.replace(&[record("t-2", 1_002)], Instant::now());
     store.replace(
         &[record("t-0", 1_000), record("t-2", 1_002)],
@@ -136,7 +136,7 @@
     let later = now + BASE_EJECTION_TIME;
     assert!(
         ejected(&store, later).is_empty(),
-        "however often it was told"
+        "however often it was reported"
     );
     store.record_unreachable(SERVICE, "t-2", later);
     assert_eq!(ejected(&store, later), ["t-2"]);
--- a/crates/gateway/src/target_crash.rs
+++ b/crates/gateway/src/target_crash.rs
@@ -1,8 +1,10 @@
-//! How a host finds that a target has ended, and whom it accuses.
+//! Detection of crashed targets, and of the requests that may have caused the crash.
 //!
-//! A connection that breaks is no evidence: targets break answers off, connections are reset, halls are interrupted.
-//! So the target is called anew. Where nothing listens any more it has ended, and all that this host had
-//! running there is accused. Where no answer comes, its next start tells.
+//! A broken connection alone is no evidence of a crash: targets abort responses, connections are
+//! reset, and links between halls fail. So the host probes the target with a new connection. If the
+//! connection is refused, the target has crashed, and all requests that this host had in flight
+//! there become suspects. If the probe times out, a later incarnation of the target is the
+//! evidence.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,20 +23,21 @@
 use crate::target::{ChosenTarget, TargetStore};
 use crate::upstream::ProbeOutcome;
 
-/// How long a request waits to hear whether its target has ended, before it is sent to another one. A target
-/// that listens or has ended answers within a round trip between halls, some 2 ms; one that does not
-/// answer says nothing.
+/// How long a request waits for the result of the probe before it is sent to another target. A
+/// target that listens or has crashed answers a probe within a round trip between halls, some 2 ms;
+/// a timeout tells nothing.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// How long an crash is known here, for requests that hear of their broken connection later than others.
+/// How long a crash is remembered for requests that notice their broken connection later than
+/// others.
 const CRASH_RETENTION: Duration = Duration::from_secs(5);
 
-/// How long the next start of a target that did not answer is waited for.
+/// How long the restart of an unresponsive target is awaited.
 const RESTART_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A request that was in flight at a target when its connection broke.
 struct InterruptedRequest {
-    /// The identity of this sending, for the log.
+    /// The request ID of this sending, for the log.
     id: String,
     subject: RequestSubject,
     ran: Duration,
@@ -42,16 +45,16 @@
 
 /// What is known of the crash of a target.
 enum CrashState {
-    /// The target is being called.
+    /// The probe is in progress.
     Probing {
         interrupted: Vec<InterruptedRequest>,
         waiting: Vec<oneshot::Sender<()>>,
     },
-    /// It has ended.
+    /// The target has crashed, as of this time.
     Crashed(Instant),
 }
 
-/// A target that broke its connections and did not answer.
+/// A target whose connections broke and whose probe timed out.
 struct UnresponsiveTarget {
     service: String,
     chosen: ChosenTarget,
@@ -59,7 +62,7 @@
     since: Instant,
 }
 
-/// The states of targets that this host knows or looks for.
+/// Crashes of targets that this host knows of or is probing for.
 #[derive(Default)]
 pub(crate) struct CrashTracker {
     states: RefCell<HashMap<CrashKey, CrashState>>,
@@ -67,7 +70,7 @@
 }
 
 impl CrashTracker {
-    /// Forgets what is old.
+    /// Removes expired entries.
     pub(crate) fn expire(&self, now: Instant) {
         self.states.borrow_mut().retain(|_, state| match state {
             CrashState::Probing { .. } => true,
@@ -77,7 +80,7 @@
         unresponsive.retain(|one| now.saturating_duration_since(one.since) < RESTART_TIMEOUT);
     }
 
-    /// Takes those unresponsive targets out of which the list of targets has another start.
+    /// Removes and returns the unresponsive targets of which a newer incarnation is listed.
     fn take_restarted(&self, targets: &TargetStore) -> Vec<UnresponsiveTarget> {
         let mut unresponsive = self.unresponsive.borrow_mut();
         let all = std::mem::take(&mut *unresponsive).into_iter();
@@ -95,8 +98,8 @@
 }
 
 impl Gateway {
-    /// Notes that a target broke the connection while a request was in flight there, and finds out whether
-    /// the target has ended. Returns when that is known, or cannot be known soon.
+    /// Handles a connection that broke while a request was in flight at a target: finds out whether
+    /// the target has crashed. Returns once that is known or the probe takes too long.
     pub(crate) async fn probe_after_break(
         self: &Rc<Self>,
         service: &str,
@@ -104,7 +107,7 @@
         ask: &Ask,
         sent: Instant,
     ) {
-        // A target that was withdrawn states its connections itself.
+        // A target that was withdrawn closes its connections itself.
         let Some(known) = self.targets.borrow().find(service, &chosen.id) else {
             return;
         };
@@ -120,12 +123,12 @@
         let Some(probe_done) = self.join_probe(service, chosen, interrupted) else {
             return;
         };
-        // What the probe finds later counts all the same.
+        // The result of the probe is applied even if it arrives later.
         let _ = timeout(PROBE_TIMEOUT, probe_done).await;
     }
 
-    /// Adds a request to those that hear of the call to a target; the first one begins it. Returns nothing
-    /// where the target is known to have ended.
+    /// Adds a request to those that the probe of a target concerns; the first one starts the probe.
+    /// Returns `None` if the target is known to have crashed.
     fn join_probe(
         self: &Rc<Self>,
         service: &str,
@@ -154,7 +157,7 @@
                     waiting: vec![done],
                 };
                 states.insert(crash, state);
-                // Goes on where the caller leaves meanwhile.
+                // Continues even if the caller disconnects.
                 let (service, chosen) = (service.to_owned(), chosen.clone());
                 ntex::rt::spawn(probe_target(self.clone(), service, chosen, crash));
             }
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Notes that a target has ended while these requests ran there.
+    /// Records that a target has crashed while the given requests were in flight there.
     fn record_target_crash(
         &self,
         service: &str,
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Notes that a target of a stage pool ended under a call with pieces of some requests.
+    /// Records that a target of a stage pool crashed during a call with pieces of some requests.
     pub(crate) fn record_stage_crash(&self, call: &DueCall) {
         let mut interrupted: Vec<InterruptedRequest> = Vec::new();
         for piece in &call.pieces {
@@ -264,7 +267,7 @@
         self.record_target_crash(&call.pool.service, &chosen, crash, &interrupted);
     }
 
-    /// Accuses the requests that were interrupted off by targets which did not answer and have started anew.
+    /// Records the crashes of unresponsive targets that have restarted.
     pub(crate) fn record_restarts(&self) {
         let restarted = self.ends.take_restarted(&self.targets.borrow());
         for one in restarted {
--- a/crates/gateway/src/target_crash/tests.rs
+++ b/crates/gateway/src/target_crash/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// A target that broke its connections and did not answer when it was called.
+/// Creates a tracker with a target whose connections broke and whose probe timed out.
 fn unresponsive_target(since: Instant) -> CrashTracker {
     let chosen = listed(&[born(5, "t", 1_000)]).find(SERVICE, "t").unwrap();
     let tracker = CrashTracker::default();
@@ -34,13 +34,13 @@
 #[test]
 fn a_new_incarnation_of_an_unresponsive_target_proves_its_crash() {
     let now = Instant::now();
-    // Its next start, under its identity or another one at its address.
+    // A newer incarnation, under the same ID or under another one at the same address.
     for next in [born(6, "t", 1_000), born(6, "u", 1_000)] {
         let tracker = unresponsive_target(now);
         assert_eq!(tracker.take_restarted(&listed(&[next])).len(), 1);
         assert!(tracker.unresponsive.borrow().is_empty());
     }
-    // The same start, behind a interrupted that has healed; one elsewhere; nobody any more.
+    // The same incarnation after a network fault, a target at another address, and no target.
     for other in [
         vec![born(5, "t", 1_000)],
         vec![born(6, "u", 1_001)],
--- a/crates/gateway/src/target_restriction.rs
+++ b/crates/gateway/src/target_restriction.rs
@@ -1,91 +1,94 @@
-//! What one start of a target has asked of this host.
+//! The restrictions that one incarnation of a target has asked this host to observe.
 
 use std::time::{Duration, SystemTime};
 
 use linnet_clock::BootInstant;
 use linnet_telemetry::{NoticeLine, NoticeStanding};
 
-/// By how much longer than it asked a target is left alone, drawn anew each time, as a part of the time and
-/// at most: hosts that were answered in one moment should not all come back in one.
+/// Random extension of a back-off, as a fraction of its duration and as an upper bound, so that
+/// hosts which were refused at the same time do not return at the same time.
 const JITTER_FRACTION: f64 = 0.1;
 const MAX_JITTER: Duration = Duration::from_millis(250);
 
-/// How long the answer to the first request after a back-off is waited for before a second one may go. Until
-/// one has come, the target gets one at a time.
+/// How long the response to the first request after a back-off is awaited before a second one may
+/// be sent. Until a response arrives, the target receives one request at a time.
 pub(crate) const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long after its end a back-off is remembered where no request comes that could try the target.
+/// How long an elapsed back-off is kept if no request arrives that could try the target.
 pub(crate) const UNTRIED_RETENTION: Duration = Duration::from_secs(2);
 
-/// How long it is remembered that a target leaves after it was last in the list of those that take work. A
-/// heartbeat that comes late may put it there again.
+/// How long a leaving target is remembered after it was last listed as accepting work. A late
+/// heartbeat may list it again.
 pub(crate) const LEAVING_RETENTION: Duration = Duration::from_secs(600);
 
-/// How long a leaving target that may be a former start is taken for the one in the list, see
-/// [`TargetRestriction::applies_to_incarnation`]. One that leaves says so again in its next answer.
+/// How long a leaving mark is applied to a listed incarnation that may not be the one that is
+/// leaving, see [`TargetRestriction::applies_to_incarnation`]. A leaving target repeats that it
+/// leaves in its next response.
 pub(crate) const UNCERTAIN_RETENTION: Duration = Duration::from_secs(30);
 
-/// Whether a target gets requests of this host.
+/// Whether a target may receive requests of this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TargetAvailability {
-    /// It does.
+    /// It may.
     Open,
-    /// Not for so long.
+    /// Not for this long, since it asked for a back-off.
     BackedOff(Duration),
-    /// It names a rate, by which there is no leave for so long.
+    /// Its rate limit leaves no permit for this long.
     RateLimited(Duration),
-    /// No new work any more.
+    /// It is leaving, and receives no new work.
     Leaving,
 }
 
-/// The time for which a target wants no requests.
+/// A period in which a target accepts no requests.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BackOff {
     since: BootInstant,
     until: BootInstant,
-    /// Sendings that were held back.
+    /// Number of requests that were withheld.
     pub(crate) withheld: u64,
-    /// When the request was sent that tries whether the target takes requests again.
+    /// When the trial request was sent that finds out whether the target accepts requests again.
     trial_sent: Option<BootInstant>,
 }
 
 impl BackOff {
-    /// Returns how much longer it lasts for others than the request that tries.
+    /// Returns how much longer it lasts for requests other than the trial.
     fn left(&self, now: BootInstant) -> Duration {
         let trial_ends = self.trial_sent.map(|at| at + TRIAL_TIMEOUT);
         self.until.max(trial_ends.unwrap_or_default()) - now
     }
 
-    /// Says whether the time that the target asked for is over.
+    /// Returns whether the period that the target asked for has elapsed.
     pub(crate) fn has_elapsed(&self, now: BootInstant) -> bool {
         self.until <= now
     }
 
-    /// Returns how long it has elapsed.
+    /// Returns the time since it began.
     pub(crate) fn elapsed(&self, now: BootInstant) -> Duration {
         now - self.since
     }
 
-    /// Counts the request that tries the target.
+    /// Records that the trial request is sent.
     pub(crate) fn begin_trial(&mut self, now: BootInstant) {
         self.trial_sent = Some(now);
     }
 }
 
-/// What one start of a target has asked.
+/// The restrictions that one incarnation of a target has asked for.
 #[derive(Debug, Clone)]
 pub(crate) struct TargetRestriction {
-    /// Its service; empty where it is in no list of targets.
+    /// The service of the target; empty if the target is not listed.
     pub(crate) service: String,
-    /// When that start began, see [`linnet_directory::TargetRecord::born`]; nothing until the target is in a list.
+    /// Start time of that incarnation, see [`linnet_directory::TargetRecord::born`]; `None` until
+    /// the target is listed.
     born: Option<u64>,
     pub(crate) back_off: Option<BackOff>,
     pub(crate) leaving: bool,
-    /// When it was last known to be in the list of targets that take work.
+    /// When the target was last known to be listed as accepting work.
     last_listed: BootInstant,
-    /// The Unix millisecond at which it asked last.
+    /// When the target last asked for something, in Unix milliseconds.
     last_asked_ms: u64,
-    /// Until when it is taken for the start in the list where that is not certain.
+    /// If set, the listed incarnation may not be the one that asked, and it is taken for leaving
+    /// only until this time.
     uncertain_until: Option<BootInstant>,
 }
 
@@ -102,14 +105,14 @@
         }
     }
 
-    /// Notes that the target asks for something now.
+    /// Records that the target asks for something now.
     pub(crate) fn mark_asked(&mut self) {
         self.last_asked_ms = unix_ms();
         self.uncertain_until = None;
     }
 
-    /// Takes a time without requests; returns how much of the former one was left. Each answer asks for a time
-    /// of its own, and the latest end counts.
+    /// Extends the back-off; returns how much of the previous one was left. Each response asks for
+    /// a period of its own, and the latest end applies.
     pub(crate) fn extend_back_off(&mut self, wait: Duration, now: BootInstant) -> Duration {
         let jitter = wait.mul_f64(JITTER_FRACTION).min(MAX_JITTER);
         let until = now + wait + jitter.mul_f64(fastrand::f64());
@@ -128,12 +131,13 @@
         previous_left
     }
 
-    /// Says whether what was asked holds for the start in the list, which began at `born`.
+    /// Returns whether the restrictions apply to the listed incarnation, which started at `born`.
     ///
-    /// A target answers before its registration has reached this host, which then takes it for the start before:
-    /// with starts 90 ms ahead of their registration, hosts forgot what the new one had said and sent it more. A
-    /// start that began before the word was said may be the one that said it. Clocks differ, so this is not
-    /// believed for long.
+    /// A target may respond before this host receives the registration of its new incarnation, and
+    /// the response is then taken for one of the previous incarnation. With responses 90 ms ahead
+    /// of the registration, hosts dropped the restrictions of the new incarnation and sent it more
+    /// requests. So a restriction is kept if the listed incarnation started before the target asked
+    /// for it. Since clocks differ, a leaving mark is kept for [`UNCERTAIN_RETENTION`] only.
     pub(crate) fn applies_to_incarnation(&mut self, born: u64, now: BootInstant) -> bool {
         self.last_listed = now;
         if born <= *self.born.get_or_insert(born) {
@@ -144,21 +148,22 @@
         born <= self.last_asked_ms
     }
 
-    /// Forgets that it leaves where that is old or in doubt.
+    /// Clears the leaving mark if it is old, or uncertain for too long.
     pub(crate) fn expire_leaving(&mut self, is_listed: bool, now: BootInstant) {
         let recent = is_listed || now - self.last_listed < LEAVING_RETENTION;
         let certain = self.uncertain_until.is_none_or(|until| until > now);
         self.leaving &= recent && certain;
     }
 
-    /// Takes the back-off out where it is over and nothing has trial_sent the target.
+    /// Removes and returns the back-off if it has elapsed and no request has tried the target
+    /// since.
     pub(crate) fn take_untried(&mut self, now: BootInstant) -> Option<BackOff> {
         let is_old =
             |one: &mut BackOff| one.left(now).is_zero() && now - one.until > UNTRIED_RETENTION;
         self.back_off.take_if(is_old)
     }
 
-    /// Says whether the target gets requests of this host.
+    /// Returns whether the target may receive requests of this host.
     pub(crate) fn availability(&self, now: BootInstant) -> TargetAvailability {
         if self.leaving {
             return TargetAvailability::Leaving;
@@ -171,7 +176,7 @@
         }
     }
 
-    /// Returns what operators are told of it.
+    /// Describes the restrictions for operators.
     pub(crate) fn line(&self, target: &str, now: BootInstant) -> NoticeLine {
         let (standing, left) = match self.availability(now) {
             TargetAvailability::Open | TargetAvailability::RateLimited(_) => {
@@ -192,7 +197,7 @@
     }
 }
 
-/// Returns the milliseconds since 1970.
+/// Returns the current time in Unix milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
--- a/crates/gateway/src/target_slowness.rs
+++ b/crates/gateway/src/target_slowness.rs
@@ -1,26 +1,27 @@
-//! How much slower a target of a plain service is than its requests want, as one host learns it.
+//! How far the response times of a target of a plain service exceed the objective, as observed by
+//! one host.
 //!
-//! It answers a load in which one of a few targets turns slow: a host has one request or none there at any
-//! moment, so what it has in flight tells it nothing, and the target of its own hall got nearly all of its
-//! requests however long they took.
+//! This handles one of a few targets becoming slow: a host has at most one request in flight there
+//! at any time, so the in-flight count does not show it, and the target in the host's own hall kept
+//! receiving nearly all of its requests however long they took.
 
 use std::time::{Duration, Instant};
 
-/// Weight of a new time. One slow request is enough to try another target next: a host sends one or two a
-/// second to a service.
+/// Weight of a new duration. One slow request is enough to try another target next, since a host
+/// sends only one or two requests a second to a service.
 const SMOOTHING_FACTOR: f64 = 0.5;
 
-/// The most that one time says, as a multiple of the objective.
+/// Upper bound of one observed duration, as a multiple of the objective.
 const MAX_RATIO: f64 = 8.0;
 
-/// How long it takes until most of what was recorded_at is forgotten, so that the target is tried again.
+/// Time constant of the exponential decay, after which the target is tried again.
 const DECAY_TIME: Duration = Duration::from_secs(4);
 
-/// What a target counts that takes twice its objective, in parts of its slots: more than one of another
-/// hall does.
+/// Load of a target that takes twice its objective, as a fraction of its slots: more than a target
+/// in another hall counts.
 const LOAD_PER_EXCESS: f64 = 0.5;
 
-/// The time that requests took of late, as a multiple of their objective beyond the first.
+/// The recent response times, as a multiple of the objective in excess of 1.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct TargetSlowness {
     excess: f64,
@@ -28,7 +29,7 @@
 }
 
 impl TargetSlowness {
-    /// Takes the time of one request, answered or given up.
+    /// Records the duration of one request, answered or given up.
     pub(crate) fn record(&mut self, took: Duration, objective: Duration, now: Instant) {
         if objective.is_zero() {
             return;
@@ -40,7 +41,7 @@
         self.recorded_at = Some(now);
     }
 
-    /// Returns what the target counts for it, in parts of its slots.
+    /// Returns the load that the slowness counts, as a fraction of the slots.
     pub(crate) fn load(&self, now: Instant) -> f64 {
         self.excess_at(now) * LOAD_PER_EXCESS
     }
--- a/crates/gateway/src/target_slowness/tests.rs
+++ b/crates/gateway/src/target_slowness/tests.rs
@@ -2,7 +2,8 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(120);
 
-/// Load of a target in another hall, beside which that of the own one is chosen.
+/// Load of a target in another hall, which is chosen once the load of the one in the own hall is
+/// higher.
 const OTHER_HALL: f64 = 0.25;
 
 #[test]
@@ -25,7 +26,8 @@
     assert!(slowness.load(now + Duration::from_secs(20)) < OTHER_HALL);
 }
 
-/// 88 hosts with 1.5 requests a second each; of three targets the one in the own hall turns slow.
+/// 88 hosts with 1.5 requests a second each; of three targets, the one in the hosts' own hall
+/// becomes slow.
 #[test]
 fn a_slow_target_gets_few_requests() {
     let (mut slow, mut all) = (0, 0);
@@ -42,7 +44,7 @@
             }
         }
     }
-    println!("{slow} of {all} requests go to the slow target; all of them where nothing is learnt");
+    println!("{slow} of {all} requests go to the slow target; all of them without the slowness");
     assert!(slow * 5 < all, "{slow} of {all}");
 }
 
