--- a/crates/gateway/src/confinement.rs
+++ b/crates/gateway/src/confinement.rs
@@ -1,7 +1,8 @@
-//! Keeping the requests of accounts that send ever new requests which end targets away from those of others.
+//! Confinement of the requests of accounts that keep sending new requests which crash targets.
 //!
-//! Such accounts share a few targets of each service, the same ones at every host, and all others use the
-//! rest. So only these targets end, and only the requests of those accounts end with them.
+//! These accounts share a few targets of each service, the same ones at every host, and all other
+//! accounts use the rest. So only these targets crash, and only requests of these accounts are
+//! interrupted by it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -9,24 +10,26 @@
 use crate::rendezvous::ScoreKey;
 use crate::target::TargetStore;
 
-/// Part of the targets of a service that confined accounts use; one at least, and none where there is only one.
+/// Fraction of the targets of a service that confined accounts use: at least one target, and none
+/// if there is only one.
 const CONFINED_FRACTION: f64 = 1.0 / 6.0;
 
-/// What the targets are ranked by for it.
+/// Label of the hash by which the targets are ranked.
 const RANKING_LABEL: &str = "confined accounts";
 
-/// How long a target counts that is not listed any more. One that ends time and again is silent for moments; with the
-/// share worked out from the others alone it moved to one of theirs.
+/// How long a target that is not listed any more is still counted. A target that crashes repeatedly
+/// is not listed for moments. If the share were then chosen from the listed targets alone, it would
+/// move to targets of the other accounts.
 const TARGET_RETENTION: Duration = Duration::from_secs(30);
 
-/// The targets of each service that are listed, or were until a while ago.
+/// The targets of each service that are listed, or were recently.
 #[derive(Default)]
 pub(crate) struct RecentTargets {
     services: HashMap<String, BTreeMap<String, Instant>>,
 }
 
 impl RecentTargets {
-    /// Takes the targets that are listed now.
+    /// Records the targets that are listed now.
     pub(crate) fn record(&mut self, targets: &TargetStore, now: Instant) {
         for (service, id) in targets.all_ids() {
             let known = self.services.entry(service.clone()).or_default();
@@ -37,13 +40,13 @@
         }
     }
 
-    /// Forgets all of them.
+    /// Removes all targets.
     pub(crate) fn clear(&mut self) {
         self.services.clear();
     }
 
-    /// Returns the targets of a service that a request must not use: those outside of the share of confined accounts
-    /// for one of theirs, and those within it for any other.
+    /// Returns the targets of a service that a request must not use: for a confined account those
+    /// outside of the share, for any other account those within it.
     pub(crate) fn closed_targets(
         &self,
         targets: &TargetStore,
--- a/crates/gateway/src/confinement/tests.rs
+++ b/crates/gateway/src/confinement/tests.rs
@@ -11,7 +11,7 @@
         let store = store_with(targets);
         let mut closed = closed_targets(&store, SERVICE, true);
         let for_others = closed_targets(&store, SERVICE, false);
-        // Each target is open for the ones or the others.
+        // Each target is open either to confined accounts or to the others.
         assert_eq!(for_others.len(), (usize::from(targets) / 6).max(1));
         closed.extend(for_others);
         closed.sort_unstable();
@@ -22,7 +22,7 @@
     assert!(closed_targets(&store_with(1), SERVICE, false).is_empty());
 }
 
-/// A target that ends time and again is not listed for moments.
+/// A target that crashes repeatedly is not listed for moments.
 #[test]
 fn the_share_of_confined_accounts_is_stable_while_its_target_is_not_listed() {
     let now = Instant::now();
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that are at work at a target.
+//! Counting of requests in flight at a target.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,13 +8,14 @@
 use crate::Gateway;
 use crate::ask::Ask;
 
-/// Counts a request at its target until it is dropped.
+/// Counts a request as in flight at its target until it is dropped.
 pub(crate) struct InFlightGuard {
     gateway: Rc<Gateway>,
     service: String,
     id: String,
     sent: Instant,
-    /// The objective of a plain request, whose time says how slow the target is, also where it is given up.
+    /// The objective of a non-streaming request, with which its duration is compared, answered or
+    /// given up.
     objective: Option<Duration>,
 }
 
@@ -33,12 +34,12 @@
         }
     }
 
-    /// Notes that the request is sent now; before, it waited for leave.
+    /// Records that the request is sent now, after waiting for a permit.
     pub(crate) fn mark_sent(&mut self) {
         self.sent = Instant::now();
     }
 
-    /// Lets the time say nothing of the target, which did not get the request.
+    /// Excludes the duration from the slowness of the target, which did not receive the request.
     pub(crate) fn discard_timing(&mut self) {
         self.objective = None;
     }
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -1,5 +1,5 @@
-//! What a target says of itself in the head of an answer: that it wants no requests for a while, that it takes
-//! so many a second, or that it leaves.
+//! What a target states about itself in the headers of a response: that it accepts no requests for
+//! a while, its rate limit, or that it is leaving.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,57 +10,59 @@
 
 use crate::Dialect;
 
-/// The longest back-off that is taken, so that a target which writes a number without meaning is not lost
-/// until its next start.
+/// Longest back-off that is applied, so that a nonsensical value does not exclude a target until
+/// its next incarnation.
 const MAX_BACK_OFF: Duration = Duration::from_secs(3_600);
 
-/// What the head of an answer says of the target.
+/// What the headers of a response state about the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct TargetNotice {
-    /// For how long it wants nothing from this host; it turned a request away.
+    /// How long the target accepts nothing from this host. Set only if it refused the request.
     pub(crate) back_off: Option<Duration>,
-    /// Whether it leaves, and so takes no new work.
+    /// Whether the target is leaving, and so accepts no new work.
     pub(crate) leaving: bool,
-    /// What it says of the rate at which it takes requests.
+    /// What the headers state about the rate limit of the target.
     pub(crate) rate_limit: RateNotice,
 }
 
-/// What the head of an answer says of the rate at which its target takes requests from all hosts together.
+/// What the headers of a response state about the rate limit of the target, which counts the
+/// requests of all hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum RateNotice {
-    /// Nothing: the head is not this target's word.
+    /// Nothing: the headers are not to be attributed to this target.
     #[default]
     Ignored,
-    /// It takes any rate.
+    /// The target accepts any rate.
     Unlimited,
-    /// It takes this one.
+    /// The target has this limit.
     Limited(RateLimit),
-    /// It names one that cannot be read, which changes nothing.
+    /// The limit cannot be parsed; the known limit stays.
     Invalid,
 }
 
 impl TargetNotice {
-    /// Says whether the target asks for something that keeps work from it.
+    /// Returns whether the target asks to receive no work, for a while or for good.
     pub(crate) fn stops_work(&self) -> bool {
         self.back_off.is_some() || self.leaving
     }
 }
 
-/// Why a time to come back cannot be read.
+/// Why a Retry-After value cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub(crate) enum RetryAfterError {
-    /// It is not text.
-    #[display("no text")]
+    /// The value is not text.
+    #[display("not text")]
     NotText,
-    /// It is neither a number of seconds nor a date.
+    /// The value is neither a number of seconds nor a date.
     #[display("neither seconds nor a date")]
     NotATime,
 }
 
-/// Reads what the head of an answer says of the target that gave it.
+/// Parses what the headers of a response state about the target.
 ///
-/// A head that names another request than `request_id` is a surplus answer, which may be old, and says nothing.
-/// Answers without an identity are taken: a target that refuses need not have read the request's.
+/// A response that echoes another request ID than `request_id` is surplus and may be old, so it is
+/// ignored. A response without a request ID is accepted, since a target that refuses a request may
+/// not have read the ID.
 pub(crate) fn parse_notice(
     dialect: &Dialect,
     head: &Parts,
@@ -71,7 +73,7 @@
     if echoed.is_some_and(|echoed| request_id != echoed.to_str().ok()) {
         return TargetNotice::default();
     }
-    // Another start at the address speaks for itself.
+    // Another incarnation of the target at this address sends notices of its own.
     if head.status == dialect.targets.other_target {
         return TargetNotice::default();
     }
@@ -86,7 +88,7 @@
     }
 }
 
-/// Returns the lowest rate that the head of an answer names.
+/// Returns the lowest rate limit in the headers of a response.
 fn lowest_rate_limit(headers: &HeaderMap, name: &HeaderName) -> RateNotice {
     if !headers.contains_key(name) {
         return RateNotice::Unlimited;
@@ -106,7 +108,7 @@
     lowest.map_or(RateNotice::Invalid, RateNotice::Limited)
 }
 
-/// Returns the longest time that the head of an answer names; nothing where it names none.
+/// Returns the longest Retry-After time in the headers of a response; `None` if there is none.
 fn longest_retry_after(headers: &HeaderMap) -> Option<Duration> {
     let response_date = headers.get(header::DATE).and_then(parse_date);
     let response_date = response_date.unwrap_or_else(SystemTime::now);
@@ -124,8 +126,8 @@
     delays.max().filter(|delay| !delay.is_zero())
 }
 
-/// Reads a time to come back: seconds, with or without a fraction, or a date, which is taken against the time
-/// at which the answer was response_date. What lies in the past is no time at all.
+/// Parses a Retry-After value: seconds, with or without a fraction, or a date, from which the time
+/// of the response is subtracted. A time in the past yields zero.
 pub(crate) fn parse_retry_after(
     value: &HeaderValue,
     response_date: SystemTime,
--- a/crates/gateway/src/notice/tests.rs
+++ b/crates/gateway/src/notice/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::gateway::tests::dialect;
 
-/// 6 November 1994, 8:49:37, as in the standard of the dates.
+/// 6 November 1994, 8:49:37, the example date of the HTTP specification.
 const SENT: &str = "Sun, 06 Nov 1994 08:49:37 GMT";
 
 fn head(status: u16, headers: &[(&str, &str)]) -> Parts {
@@ -122,7 +122,7 @@
     let other = parse_notice(&dialect(), &head(421, &[("x-leaving", "1")]), Some("r"));
     assert!(
         !other.leaving,
-        "another start at the address speaks for itself"
+        "another incarnation at the address sends its own notices"
     );
 }
 
--- a/crates/gateway/src/notice_store.rs
+++ b/crates/gateway/src/notice_store.rs
@@ -1,9 +1,10 @@
-//! What targets have asked of this host, for as long as it holds.
+//! The restrictions that targets have asked this host to observe, for as long as they apply.
 //!
-//! It is kept by the identity of the target and apart from the list of targets: a target may leave the list
-//! and come back, and a host that hears no control host has an old list, but what it was told it knows.
-//! It is looked at where a target is chosen and once more right before the bytes are written, since the
-//! answer that restrictions may come in between.
+//! They are kept by target ID and apart from the list of targets: a target may be missing from the
+//! list for a while, and a host without a connection to a control host has an outdated list, but
+//! knows what targets told it in responses. The restrictions are checked when a target is chosen,
+//! and again right before a request is written, since a response that asks for one may arrive in
+//! between.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,22 +21,22 @@
 use crate::target::TargetStore;
 use crate::target_restriction::{BackOff, TargetAvailability, TargetRestriction};
 
-/// How many targets have asked for something.
+/// The number of targets with restrictions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct NoticeCounts {
     pub(crate) backed_off: usize,
     pub(crate) leaving: usize,
-    /// Sendings that were held back since the start.
+    /// Number of requests that were withheld since this host started.
     pub(crate) withheld: u64,
 }
 
-/// What targets have asked of this host, by their identity.
+/// The restrictions that targets have asked this host to observe, by target ID.
 pub(crate) struct NoticeStore {
     restrictions: RefCell<HashMap<String, TargetRestriction>>,
-    /// The targets that take work; births and services of the few that restriction for something are looked up there.
+    /// Used to look up the start time and service of targets with restrictions.
     targets: Rc<RefCell<TargetStore>>,
     withheld: Cell<u64>,
-    /// The rates that they named.
+    /// The rate limits of the targets.
     pub(crate) rates: RateTracker,
     recorder: Arc<EventRecorder>,
 }
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Looks at a new list of targets that take work. What a former start of one has asked holds no more.
+    /// Applies a new list of targets. Restrictions that an earlier incarnation of a target asked
+    /// for are removed.
     pub(crate) fn apply_target_list(&self, now: BootInstant) {
         self.rates.apply_target_list();
         let targets = self.targets.borrow();
@@ -65,7 +67,8 @@
         });
     }
 
-    /// Takes what the head of an answer says of its target; the request was sent at `asked`.
+    /// Records what the headers of a response state about its target; the request was sent at
+    /// `sent_at`.
     pub(crate) fn record_response(&self, target: &str, notice: TargetNotice, sent_at: BootInstant) {
         let now = BootInstant::now();
         self.rates
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Takes an answer that restrictions for nothing. Only after the time is over does it prove that the target takes
-    /// requests again: before, it answers what came earlier.
+    /// Handles a response that asks for nothing. Only after the back-off has elapsed does it prove
+    /// that the target accepts requests again: before, it answers an earlier request.
     fn end_back_off(&self, target: &str, restriction: &mut TargetRestriction, now: BootInstant) {
         if let Some(back_off) = restriction.back_off.take_if(|one| one.has_elapsed(now)) {
             self.record_reopened(target, restriction, &back_off, "answered", now);
@@ -143,7 +146,7 @@
         self.recorder.record(code, target, detail);
     }
 
-    /// Says whether a target gets requests of this host.
+    /// Returns whether a target may receive requests of this host.
     pub(crate) fn availability(&self, target: &str, now: BootInstant) -> TargetAvailability {
         let restrictions = self.restrictions.borrow();
         let restriction = restrictions.get(target);
@@ -157,18 +160,18 @@
         availability
     }
 
-    /// Says whether a target wants no requests of this host for a while.
+    /// Returns whether a target has asked this host to back off.
     pub(crate) fn is_backed_off(&self, target: &str) -> bool {
         let availability = self.availability(target, BootInstant::now());
         matches!(availability, TargetAvailability::BackedOff(_))
     }
 
-    /// Returns those of some targets that get no requests of this host now.
+    /// Returns those of the given targets that may receive no requests of this host now.
     pub(crate) fn closed_targets<'a>(
         &self,
         targets: impl Iterator<Item = &'a String>,
     ) -> Vec<String> {
-        // Most of the time nothing is asked for, and each request restrictions this.
+        // Fast path: this runs for each request, and mostly there are no restrictions.
         if self.restrictions.borrow().is_empty() && self.rates.is_empty() {
             return Vec::new();
         }
@@ -177,12 +180,12 @@
         closed.cloned().collect()
     }
 
-    /// Returns the last look before something is sent to a target.
+    /// Returns the check that is made right before something is sent to a target.
     pub(crate) fn gate<'a>(&'a self, target: &'a str, kind: SendKind) -> SendGate<'a> {
         SendGate::new(self, target, kind)
     }
 
-    /// Counts a sending that was held back.
+    /// Counts a request that was withheld.
     pub(crate) fn count_withheld(&self, target: &str) {
         self.rates.count_withheld(target);
         self.withheld.set(self.withheld.get() + 1);
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Notes that something is sent. The first after a back-off is_trial the target; says whether this is it.
+    /// Records that something is sent. Returns whether it is the trial request after a back-off.
     pub(crate) fn begin_trial(&self, target: &str, now: BootInstant) -> bool {
         let mut restrictions = self.restrictions.borrow_mut();
         let restriction = restrictions.get_mut(target);
@@ -203,7 +206,8 @@
         is_trial
     }
 
-    /// Says whether the time that a target asked for is over, whoever is_trial it meanwhile.
+    /// Returns whether the back-off of a target has elapsed, even if a trial request is in
+    /// progress.
     pub(crate) fn back_off_has_elapsed(&self, target: &str, now: BootInstant) -> bool {
         let restrictions = self.restrictions.borrow();
         let restriction = restrictions.get(target);
@@ -211,7 +215,7 @@
         back_off.is_none_or(|one| one.has_elapsed(now))
     }
 
-    /// Forgets what is over.
+    /// Removes expired restrictions.
     pub(crate) fn expire(&self, now: BootInstant) {
         self.rates.expire(now);
         let targets = self.targets.borrow();
@@ -225,7 +229,7 @@
         });
     }
 
-    /// Returns what holds, for operators, by service and target.
+    /// Describes the restrictions for operators, ordered by service and target.
     pub(crate) fn lines(&self, now: BootInstant) -> Vec<NoticeLine> {
         let restrictions = self.restrictions.borrow();
         let lines = restrictions
@@ -237,7 +241,7 @@
         lines
     }
 
-    /// Returns how many targets have asked for something.
+    /// Returns the number of targets with restrictions.
     pub(crate) fn counts(&self, now: BootInstant) -> NoticeCounts {
         let restrictions = self.restrictions.borrow();
         let mut counts = NoticeCounts {
--- a/crates/gateway/src/notice_store/tests.rs
+++ b/crates/gateway/src/notice_store/tests.rs
@@ -12,7 +12,7 @@
 
 const WAIT: Duration = Duration::from_secs(3);
 
-/// The longest time for which a target that asked for [`WAIT`] is left alone.
+/// The longest time for which a target that asked for [`WAIT`] receives no requests.
 const LONGEST: Duration = Duration::from_millis(3_250);
 
 fn store() -> NoticeStore {
@@ -20,7 +20,7 @@
     NoticeStore::new(Arc::new(recorder), Rc::default())
 }
 
-/// Gives the store a list of targets that take work.
+/// Applies a list of targets that accept work.
 fn apply_list(store: &NoticeStore, records: &[TargetRecord], now: BootInstant) {
     store.targets.borrow_mut().replace(records, Instant::now());
     store.apply_target_list(now);
@@ -83,11 +83,11 @@
     assert!(ends.iter().all(|left| (WAIT..=LONGEST).contains(left)));
 }
 
-/// One request tries the target; the others go only once an answer has come.
+/// One request tries the target; the others are sent only after a response has arrived.
 #[test]
 fn one_trial_request_is_sent_first_after_a_back_off() {
     let (store, now) = (store(), BootInstant::now());
-    // Its time is over in a moment, so that the gates, which read the clock, find it over.
+    // The back-off elapses at once, so that the gates, which read the clock, find it elapsed.
     store.apply_notice("t-0", back_off_notice(Duration::from_nanos(1)), now);
     let mut first = store.gate("t-0", SendKind::Work);
     assert!(first.try_pass());
@@ -119,7 +119,7 @@
     store.apply_notice("t-0", back_off_notice(WAIT), BootInstant::now());
     assert!(
         !trial.try_pass(),
-        "what was asked meanwhile holds for it as well"
+        "a restriction that was asked for meanwhile applies to it as well"
     );
     assert!(!is_open(&store, now + TRIAL_TIMEOUT));
 }
@@ -130,7 +130,7 @@
     let listed = [record("t-0", 1_000)];
     apply_list(&store, &listed, now);
     store.apply_notice("t-0", LEAVING, now);
-    // Lists that lack it and have it again, since control hosts were lost and came back.
+    // The target is missing from the list and reappears, as when control hosts fail and return.
     apply_list(&store, &[], now);
     store.expire(now + LEAVING_RETENTION / 2);
     apply_list(&store, &listed, now + LEAVING_RETENTION / 2);
@@ -156,7 +156,7 @@
     let first = later(1);
     apply_list(&store, &start(first), now);
     assert!(is_open(&store, now));
-    // What is said while the target is in no list holds for the start that comes next into one.
+    // A restriction of a target that is not listed applies to the next listed incarnation.
     apply_list(&store, &[], now);
     store.apply_notice("t-0", back_off_notice(WAIT), now);
     apply_list(&store, &start(first), now);
@@ -165,7 +165,8 @@
     assert!(is_open(&store, now));
 }
 
-/// A start answered 90 ms before its registration reached this host, which took it for the start before.
+/// A target responded 90 ms before the registration of its new incarnation reached this host, which
+/// took the response for one of the previous incarnation.
 #[test]
 fn a_restriction_applies_to_an_incarnation_that_responds_before_it_is_listed() {
     let (store, now) = (store(), BootInstant::now());
@@ -179,16 +180,16 @@
     store.apply_notice("t-0", LEAVING, now);
     apply_list(&store, &start(restarted_ms), now);
     assert_eq!(store.availability("t-0", now), TargetAvailability::Leaving);
-    // Should the clocks have been wrong, it gets work again.
+    // In case the clocks differed, the target receives work again later.
     store.expire(now + UNCERTAIN_RETENTION);
     assert!(is_open(&store, now));
-    // What it says once it is in the list is not doubted.
+    // A response of a listed incarnation is not uncertain.
     store.apply_notice("t-0", LEAVING, now);
     store.expire(now + UNCERTAIN_RETENTION * 2);
     assert_eq!(store.availability("t-0", now), TargetAvailability::Leaving);
 }
 
-/// 10,000 targets that restriction for a day each, and go.
+/// 10,000 targets that ask for a back-off of a day each, and disappear.
 #[test]
 fn restrictions_of_targets_that_are_not_listed_any_more_expire() {
     let (store, mut now) = (store(), BootInstant::now());
--- a/crates/gateway/src/rate_tracker.rs
+++ b/crates/gateway/src/rate_tracker.rs
@@ -1,4 +1,5 @@
-//! The rates at which targets take requests from all hosts together, as far as this host knows them.
+//! The rate limits of targets, as far as this host knows them. A limit counts the requests of all
+//! hosts.
 
 mod acquire;
 
@@ -24,35 +25,35 @@
 
 use acquire::MAX_RETRY_AFTER;
 
-/// What this host did at a target since it knows its rate.
+/// Requests of this host to a target since it has a known rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct RateUsage {
-    /// Requests that it sent.
+    /// Requests sent.
     pub(crate) sent: u64,
-    /// Sendings that it held back.
+    /// Requests withheld.
     pub(crate) withheld: u64,
 }
 
-/// How many targets name a rate, and what this host did at them.
+/// The number of targets with rate limits, and the requests of this host to such targets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct RateCounts {
     pub(crate) limited: usize,
-    /// Since the start, also at targets that name none any more.
+    /// Counted since this host started, including targets whose limits were lifted.
     pub(crate) usage: RateUsage,
-    /// Rates since the start that could not be read.
+    /// Number of rate limits that could not be parsed, since this host started.
     pub(crate) invalid: u64,
 }
 
-/// Asks the host that gives leave.
+/// Requests a permit from the issuing host.
 pub(crate) type PermitRequester =
     Box<dyn Fn(SendPermitRequest) -> LocalBoxFuture<'static, SendPermitReply>>;
 
-/// The rates that targets named.
+/// Tracks the rate limits of targets and the permits to send to them.
 pub(crate) struct RateTracker {
-    /// Nothing only until the host is made up.
+    /// Set once the gateway is assembled.
     requester: OnceCell<PermitRequester>,
     permits: SendPermitCache,
-    /// When callers of a service come back that were refused.
+    /// Paces the times at which refused callers of a service are told to retry.
     retry_pacers: RefCell<HashMap<String, RatePacer>>,
     changes: watch::Sender<u64>,
     store: RefCell<RateStore>,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Takes what the answer to a request that was sent at `sent_at` says.
+    /// Records what a response states about the rate limit; the request was sent at `sent_at`.
     pub(crate) fn record_notice(
         &self,
         target: &str,
@@ -108,22 +109,22 @@
         self.record(target, change, "answered");
     }
 
-    /// Takes what a control host passes on.
+    /// Applies observations from a control host.
     pub(crate) fn apply_published(&self, observations: &[RateObservation]) {
         for observation in observations {
             let now = BootInstant::now();
             let change = self.store.borrow_mut().record_received(observation, now);
             self.notify_changes();
-            self.record(&observation.target, change, "told by a control host");
+            self.record(&observation.target, change, "reported by a control host");
         }
     }
 
-    /// Returns a receiver of the revision of the newest change.
+    /// Returns a receiver of the latest revision.
     pub(crate) fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Returns what is to be published to a control host next.
+    /// Returns the observations that are to be reported to a control host next.
     pub(crate) fn changed_after(&self, ask: ChangeAsk) -> RateChanges {
         let (store, now) = (self.store.borrow(), BootInstant::now());
         store.changed_after(ask.number, ask.most, ask.catches_up, now)
@@ -135,17 +136,17 @@
             .send_if_modified(|published| std::mem::replace(published, revision) != revision);
     }
 
-    /// Takes what another entry host knows of a target.
+    /// Records an observation of another entry host.
     pub(crate) fn apply_peer_observation(&self, observation: &RateObservation) {
         let change = self
             .store
             .borrow_mut()
             .record_observed(observation, BootInstant::now());
         self.notify_changes();
-        self.record(&observation.target, change, "told by an entry host");
+        self.record(&observation.target, change, "reported by an entry host");
     }
 
-    /// Says whether no target names a rate, nor did a while ago.
+    /// Returns whether no target has a rate limit, nor had one a while ago.
     pub(crate) fn is_empty(&self) -> bool {
         self.store.borrow().is_empty()
     }
@@ -186,7 +187,7 @@
         found.map_or("", |(service, _)| service).to_owned()
     }
 
-    /// Returns the rate that a target named; nothing where it takes any.
+    /// Returns the rate limit of a target; `None` if it accepts any rate.
     pub(crate) fn rate_limit(&self, target: &str) -> Option<RateLimit> {
         self.store.borrow().rate_limit(target)
     }
@@ -196,7 +197,7 @@
         self.count(target, |usage| usage.sent += 1);
     }
 
-    /// Counts a sending that was held back.
+    /// Counts a request that was withheld.
     pub(crate) fn count_withheld(&self, target: &str) {
         self.count(target, |usage| usage.withheld += 1);
     }
@@ -215,7 +216,8 @@
             .or_default());
     }
 
-    /// Looks at a new list of targets that take work: a start that followed owes nothing.
+    /// Applies a new list of targets: the limit of an earlier incarnation does not apply to a new
+    /// one.
     pub(crate) fn apply_target_list(&self) {
         let mut store = self.store.borrow_mut();
         if store.is_empty() {
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Forgets what is old.
+    /// Removes expired state.
     pub(crate) fn expire(&self, now: BootInstant) {
         self.retry_pacers
             .borrow_mut()
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Adds what operators are published of the rates to the lines of what else targets sent_at.
+    /// Adds the rate limits to the lines that describe targets to operators.
     pub(crate) fn add_lines(&self, lines: &mut Vec<NoticeLine>) {
         for (target, limit) in self.store.borrow().limits() {
             let usage = self
@@ -291,7 +293,8 @@
         }
     }
 
-    /// Returns how many targets name a rate, and what this host did at them.
+    /// Returns the number of targets with rate limits, and the requests of this host to such
+    /// targets.
     pub(crate) fn counts(&self) -> RateCounts {
         RateCounts {
             limited: self.store.borrow().limits().count(),
--- a/crates/gateway/src/rate_tracker/acquire.rs
+++ b/crates/gateway/src/rate_tracker/acquire.rs
@@ -1,4 +1,4 @@
-//! Leave to send to targets that name rates, as requests of this host take it.
+//! Acquiring permits to send to targets with rate limits.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use crate::send_permit::SendPermit;
 use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest, SendPermitScope};
 
-/// The longest time after which callers that are refused are told to come back one after the other.
+/// Upper bound of the paced retry times of refused callers.
 pub(super) const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl RateTracker {
-    /// Sets how the host that gives leave is requested_at.
+    /// Sets the function that requests a permit from the issuing host.
     pub(crate) fn set_requester(&self, requester: PermitRequester) {
         let _ = self.requester.set(requester);
     }
 
-    /// Takes leave to send a request to a target, waiting for it for at most a span; nothing where there is none in
-    /// that time.
+    /// Acquires a permit to send a request to a target, waiting for at most `max_wait`. Returns
+    /// `None` if there is no permit within that time.
     pub(crate) async fn acquire_permit(
         &self,
         target: &str,
@@ -56,11 +56,12 @@
         }
     }
 
-    /// Takes leave to begin a request whose service has only targets that name rates, `sum` together.
+    /// Acquires permission to start a request to a service all of whose targets have rate limits,
+    /// `sum` in total.
     ///
     /// # Errors
     ///
-    /// The time until there is leave, where that is longer than a span.
+    /// The time until permission is available, if that is longer than `max_wait`.
     pub(crate) async fn acquire_service_permit(
         &self,
         service: &str,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Returns when a caller that is refused should come back, after those that were refused before it.
+    /// Returns when a refused caller should retry, after those that were refused before it.
     pub(crate) fn retry_after(&self, service: &str, sum: RateLimit) -> Duration {
         let now = BootInstant::now();
         let mut retry_pacers = self.retry_pacers.borrow_mut();
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Returns how long there is no leave to send to a target.
+    /// Returns how long no permit to send to a target is available.
     pub(crate) fn unavailable_for(&self, target: &str, now: BootInstant) -> Duration {
         match self.rate_limit(target) {
             Some(_) => self.permits.unavailable_for(target, now),
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Says whether a request may be sent to a target with a permit.
+    /// Returns whether a request with the given permit may be sent to a target.
     pub(crate) fn allows(&self, target: &str, permit: SendPermit, now: BootInstant) -> bool {
         self.rate_limit(target).is_none() || permit.is_valid(now)
     }
--- a/crates/gateway/src/run_permit.rs
+++ b/crates/gateway/src/run_permit.rs
@@ -1,7 +1,7 @@
-//! Leave to run a request that may end its targets.
+//! Permits to run a request that may crash targets.
 //!
-//! One host, the same one for all as far as they know the same hosts, lets such a request run once at a time.
-//! Nobody is asked for any other request.
+//! One host issues the permits for such a request and lets it run once at a time. All hosts that
+//! know the same hosts agree on the issuer. Other requests need no permit.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,48 +16,49 @@
 use crate::suspects::describe_subject;
 use crate::{Gateway, Refusal, RefusalReason};
 
-/// Between two questions whether a request may run now.
+/// Interval between two attempts to get a permit.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long a request waits for its permit at most, and the part of the time that is left to it. An end is
-/// decided on after 150 ms; a run of a plain request takes less than that.
+/// Longest wait for a permit, absolute and as a fraction of the time that is left to the request. A
+/// crash is decided on after 150 ms, and a run of a non-streaming request takes less than this
+/// wait.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(1_000);
 const MAX_PERMIT_WAIT_FRACTION: f64 = 0.25;
 
-/// When a caller should come back whose request did not get its permit.
+/// Time after which a caller should retry a request that got no permit.
 const PERMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What the host that gives turns answers.
+/// The reply of the issuing host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RunPermitReply {
-    /// It may run now.
+    /// The request may run now.
     Granted,
-    /// It runs elsewhere, or it is not decided yet what holds of it.
+    /// The request runs elsewhere, or its status is undecided.
     Busy,
-    /// It is held.
+    /// The request is held.
     Held,
 }
 
-/// Where a permit was given.
+/// Where a permit was issued.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum RunPermitOrigin {
     /// By this host.
     Here,
-    /// By another one, under a number of this host's.
+    /// By another host, under a number that this host assigned.
     Remote(SocketAddr, u64),
 }
 
-/// Leave to run a request, given back when it is dropped.
+/// Permission to run a request, returned when dropped.
 pub(crate) struct RunPermit {
     gateway: Rc<Gateway>,
     key: RequestKey,
     origin: RunPermitOrigin,
-    /// Whether the request has not been sent since it got its permit.
+    /// Whether the request has not been sent since the permit was issued.
     unused: bool,
 }
 
 impl RunPermit {
-    /// Notes that the request is sent.
+    /// Records that the request is sent.
     pub(crate) fn mark_sent(&mut self) {
         self.unused = false;
     }
@@ -68,7 +69,8 @@
         match self.origin {
             RunPermitOrigin::Here => self.gateway.suspects.end_run(self.key),
             RunPermitOrigin::Remote(address, number) => {
-                // What came of the run reaches that host before it lets the request run again.
+                // The issuer must receive the outcome of the run before it lets the request run
+                // again.
                 let record = self.gateway.suspects.record(self.key);
                 self.gateway.stages.tell_suspect(address, record);
                 self.gateway.stages.end_turn(address, number);
@@ -77,19 +79,19 @@
     }
 }
 
-/// Lets a request run: at once where nothing is held against it, after the others of its kind where it is
-/// suspect. `permit` keeps the leave that it needed.
+/// Acquires permission to run a request: at once if nothing is held against it, and after other
+/// runs of the same request if it is a suspect. `permit` holds the permit, if one is needed.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::EndsTargets`] where it is held, [`RefusalReason::Overloaded`] where it did not get its
-/// permit in time.
+/// [`RefusalReason::EndsTargets`] if the request is held, [`RefusalReason::Overloaded`] if it did
+/// not get a permit in time.
 pub(crate) async fn acquire_run_permit(
     gateway: &Rc<Gateway>,
     ask: &Ask,
     permit: &mut Option<RunPermit>,
 ) -> Result<(), Refusal> {
-    // The stages of a request run between its permit and its sending.
+    // The stages of a request run after the permit is issued and before the request is sent.
     if permit.as_ref().is_some_and(|permit| permit.unused) {
         return Ok(());
     }
@@ -102,7 +104,7 @@
             RequestStatus::Held { trial_due: false } => return Err(held(gateway, ask)),
             RequestStatus::Undecided => {}
             RequestStatus::Held { trial_due: true } => {
-                // One of those that come is the trial; the others have nothing to wait for.
+                // One of the arriving requests becomes the trial; the others need not wait for it.
                 *permit = request_run_permit(gateway, ask)
                     .await
                     .map_err(|_| held(gateway, ask))?;
@@ -124,7 +126,7 @@
     }
 }
 
-/// Asks the host that gives turns; returns its reply where it gave none.
+/// Requests a permit from the issuing host; returns its reply if no permit was issued.
 async fn request_run_permit(
     gateway: &Rc<Gateway>,
     ask: &Ask,
@@ -136,7 +138,7 @@
             RunPermitOrigin::Here,
         ),
         Some(address) => {
-            // That host may not have heard yet what is held against the request.
+            // The issuer may not have received the suspect record yet.
             let stages = &gateway.stages;
             stages.tell_suspect(address, gateway.suspects.record(key));
             let (reply, number) = stages.ask_turn(address, key, &ask.id).await;
@@ -173,7 +175,7 @@
 }
 
 impl Gateway {
-    /// Decides, for all hosts, whether a request may run now; counts it as running where it may.
+    /// Decides, for all hosts, whether a request may run now, and marks it as running if so.
     pub(crate) fn issue_run_permit(&self, key: RequestKey, id: &str) -> RunPermitReply {
         match self.suspects.status_of(key) {
             RequestStatus::Held { trial_due: false } => return RunPermitReply::Held,
--- a/crates/gateway/src/send_gate.rs
+++ b/crates/gateway/src/send_gate.rs
@@ -1,4 +1,4 @@
-//! The last look before something is sent to a target.
+//! The check that is made right before something is sent to a target.
 
 use linnet_clock::BootInstant;
 
@@ -9,19 +9,19 @@
 /// What is sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendKind {
-    /// Something to run.
+    /// A request to run.
     Work,
-    /// A word about work that it has done, which one that leaves takes as well.
+    /// A control message about finished work, which a leaving target accepts as well.
     Control,
 }
 
-/// The last look before something is sent to a target.
+/// The check that is made right before something is sent to a target.
 pub(crate) struct SendGate<'a> {
     notices: &'a NoticeStore,
     target: &'a str,
     kind: SendKind,
     permit: SendPermit,
-    /// Whether this is the request that is_trial the target after a back-off.
+    /// Whether this is the trial request after a back-off.
     is_trial: bool,
 }
 
@@ -36,22 +36,23 @@
         }
     }
 
-    /// Sends with leave that was taken before.
+    /// Sets the permit that was acquired for the request.
     pub(crate) fn with_permit(mut self, permit: SendPermit) -> Self {
         self.permit = permit;
         self
     }
 
-    /// Says whether the bytes may be written now. Asked once more for each connection that is tried.
+    /// Returns whether the bytes may be written now, and counts the request as sent or withheld.
+    /// Called again for each connection that is tried.
     pub(crate) fn try_pass(&mut self) -> bool {
         let now = BootInstant::now();
         let open = match self.notices.availability(self.target, now) {
-            // Leave that was taken holds also where there is none for others.
+            // An acquired permit stays valid even if no further ones are available.
             TargetAvailability::Open | TargetAvailability::RateLimited(_) => {
                 self.notices.rates.allows(self.target, self.permit, now)
             }
             TargetAvailability::Leaving => self.kind == SendKind::Control,
-            // Its own trial holds back only the others.
+            // Only requests other than the trial are held back by the trial.
             TargetAvailability::BackedOff(_) => {
                 self.is_trial && self.notices.back_off_has_elapsed(self.target, now)
             }
--- a/crates/gateway/src/send_permit.rs
+++ b/crates/gateway/src/send_permit.rs
@@ -1,4 +1,4 @@
-//! Leave to send to targets that name rates, as this host got it.
+//! Permits to send to targets with rate limits, as issued to this host.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,34 +8,35 @@
 
 use crate::send_permit_issuer::{PERMIT_LIFETIME, SendPermitReply};
 
-/// The span by whose requests it is told how many a host is about to send.
+/// Window over which requests are counted to predict how many this host is about to send.
 const DEMAND_WINDOW: Duration = Duration::from_millis(20);
 
-/// How long it counts that a request would wait for permits: others like it come.
+/// How long the longest wait that a request accepts is remembered, as an estimate for later
+/// requests.
 const MAX_WAIT_RETENTION: Duration = Duration::from_secs(1);
 
-/// Leave to send one request to a target.
+/// Permission to send one request to a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct SendPermit {
-    /// Until when it may be used; nothing where the target named no rate when it was taken.
+    /// When the permit expires; `None` if the target had no rate limit when it was issued.
     until: Option<BootInstant>,
 }
 
 impl SendPermit {
-    /// Leave for a target that takes any rate.
+    /// The permit for a target without a rate limit.
     pub(crate) const UNRESTRICTED: Self = Self { until: None };
 
     fn until(until: BootInstant) -> Self {
         Self { until: Some(until) }
     }
 
-    /// Says whether a request may be sent with it to a target that names a rate.
+    /// Returns whether the permit allows a request to a target with a rate limit.
     pub(crate) fn is_valid(self, now: BootInstant) -> bool {
         self.until.is_some_and(|until| now <= until)
     }
 }
 
-/// Requests to one target in one span and in the one before.
+/// Number of requests to one target in the current and in the previous window.
 #[derive(Debug, Clone, Copy, Default)]
 struct SendDemand {
     since: BootInstant,
@@ -68,26 +69,26 @@
     }
 }
 
-/// What this host was told of one target's permits.
+/// The permits of this host for one target.
 #[derive(Debug, Clone, Default)]
 struct TargetPermits {
-    /// No permits for a moment before this one.
+    /// No permit is available before this time.
     next_at: BootInstant,
-    /// The longest time that a request of this host would wait for permits, and when it came.
+    /// The longest wait for a permit that a request of this host accepted, and when that was.
     longest_wait: (Duration, BootInstant),
-    /// Permits that were given beside one that was requested_at for.
+    /// Permits that were issued in addition to a requested one.
     spare: Vec<SendPermit>,
     demand: SendDemand,
 }
 
-/// Leave to send to targets that name rates.
+/// Permits of this host to send to targets with rate limits.
 #[derive(Debug, Default)]
 pub(crate) struct SendPermitCache {
     targets: RefCell<HashMap<String, TargetPermits>>,
 }
 
 impl SendPermitCache {
-    /// Takes a permit that was given before; counts the request in any case.
+    /// Counts a request, and takes an unused permit for it if there is one.
     pub(crate) fn take_spare(&self, target: &str, now: BootInstant) -> Option<SendPermit> {
         let mut targets = self.targets.borrow_mut();
         let permits = targets.entry(target.to_owned()).or_default();
@@ -96,7 +97,7 @@
         permits.spare.pop()
     }
 
-    /// Returns how many requests are about to follow one.
+    /// Returns how many requests are expected to follow one.
     pub(crate) fn demand(&self, target: &str) -> u32 {
         let targets = self.targets.borrow();
         targets
@@ -104,8 +105,8 @@
             .map_or(0, |permits| permits.demand.previous)
     }
 
-    /// Takes the reply to a question that was requested_at at `requested_at`; returns when the request may go and the permit, where
-    /// permits was given.
+    /// Records the reply to a request for a permit that was made at `requested_at`. If a permit was
+    /// issued, returns it and how long the request has to wait before it is sent.
     pub(crate) fn record_reply(
         &self,
         target: &str,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Says whether a request that would wait for a span gets no permits for a target.
+    /// Returns whether a request that accepts a wait of `max_wait` would not get a permit.
     pub(crate) fn would_time_out(
         &self,
         target: &str,
@@ -152,7 +153,8 @@
         permits.next_at - now > max_wait
     }
 
-    /// Returns how long no request of this host gets permits for a target, as long as they wait.
+    /// Returns how long no request of this host gets a permit for a target, even after the longest
+    /// accepted wait.
     pub(crate) fn unavailable_for(&self, target: &str, now: BootInstant) -> Duration {
         let targets = self.targets.borrow();
         let permits = targets
@@ -163,7 +165,7 @@
         })
     }
 
-    /// Forgets a target that names no rate any more.
+    /// Removes the permits for a target that has no rate limit any more.
     pub(crate) fn remove(&self, target: &str) {
         self.targets.borrow_mut().remove(target);
     }
--- a/crates/gateway/src/send_permit_issuer.rs
+++ b/crates/gateway/src/send_permit_issuer.rs
@@ -1,4 +1,4 @@
-//! Leave to send to a target that names a rate, which one host gives for all.
+//! Issuing permits to send to a target with a rate limit. One host issues them for all.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,29 +8,32 @@
 use linnet_rate::{RateLimit, RateObservation, RatePacer};
 use serde::{Deserialize, Serialize};
 
-/// How long after its moment leave to send may be used. A connection may take that long to open.
+/// How long after its start time a permit is valid. Opening a connection may take that long.
 pub(crate) const PERMIT_LIFETIME: Duration = Duration::from_millis(300);
 
-/// How long a host that begins to give leave for a target waits at least: what another one gave is used up then.
+/// Minimum delay before a host that takes over a target issues its first permit: those of the
+/// previous issuer have expired by then.
 const HANDOVER_DELAY: Duration = PERMIT_LIFETIME;
 
-/// The span of which requests are given at once to a host that sends so many.
+/// Time span for which a host receives permits at once, if it sends that many requests.
 const BATCH_SPAN: Duration = Duration::from_millis(20);
 
-/// How long after the last leave a pacer is kept: no rate is so low that it owes anything then.
+/// How long after the last permit a pacer is kept. At any rate, no request has to wait any more by
+/// then.
 const PACER_RETENTION: Duration = Duration::from_secs(60);
 
-/// For what leave is asked.
+/// What a permit is requested for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum SendPermitScope {
-    /// A request to a target, of which the host that asks knows this.
+    /// A request to a target, with what the requesting host knows of its rate limit.
     Target(RateObservation),
-    /// The first stage of a request whose service has only targets that name rates, with the sum of these.
+    /// The start of a request to a service all of whose targets have rate limits, with the sum of
+    /// these.
     Service(String, RateLimit),
 }
 
 impl SendPermitScope {
-    /// Returns the key by which hosts agree on who gives leave.
+    /// Returns the key by which hosts agree on the issuer.
     pub(crate) fn key(&self) -> &str {
         match self {
             Self::Target(observation) => &observation.target,
@@ -39,42 +42,45 @@
     }
 }
 
-/// What a host asks that wants to send to a target which names a rate.
+/// A request for a permit, made by a host that is about to send to a target with a rate limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SendPermitRequest {
     pub(crate) scope: SendPermitScope,
-    /// How long it would wait, in milliseconds.
+    /// The longest acceptable wait, in milliseconds.
     pub(crate) max_wait_ms: u64,
-    /// How many further requests it is about to send.
+    /// Number of further requests that the host is about to send.
     pub(crate) more: u32,
 }
 
-/// What the host answers that gives leave.
+/// The reply of the issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum SendPermitReply {
-    /// One request may go after `wait_ms`, and `more` with it; the next one after `next_ms`.
+    /// One request may be sent after `wait_ms` and `more` along with it, the next one after
+    /// `next_ms`.
     Granted {
         wait_ms: u64,
         more: u32,
         next_ms: u64,
     },
-    /// None may within the time that was asked for; the next one after so many milliseconds.
+    /// No request may be sent within the acceptable wait; the next one may after so many
+    /// milliseconds.
     Denied(u64),
 }
 
 impl SendPermitReply {
-    /// The answer where nobody can be asked: a short while later another host may give leave.
+    /// The reply assumed when no issuer can be reached. Another host may be the issuer shortly
+    /// after.
     pub(crate) const UNREACHED: Self = Self::Denied(100);
 }
 
-/// The targets for which this host gives leave.
+/// The targets and services for which this host issues permits.
 #[derive(Debug, Default)]
 pub(crate) struct SendPermitIssuer {
     pacers: RefCell<HashMap<String, RatePacer>>,
 }
 
 impl SendPermitIssuer {
-    /// Gives leave by a rate, or says when there will be some.
+    /// Issues a permit according to a rate limit, or replies when one will be available.
     pub(crate) fn issue(
         &self,
         limit: RateLimit,
@@ -100,19 +106,19 @@
         }
     }
 
-    /// Forgets a target or service for which another host gives leave.
+    /// Removes the state of a target or service for which another host issues permits.
     pub(crate) fn remove(&self, key: &str) {
         self.pacers.borrow_mut().remove(key);
     }
 
-    /// Forgets targets for which nobody has asked for long.
+    /// Removes the state of targets and services for which no permit was requested recently.
     pub(crate) fn expire(&self, now: BootInstant) {
         let mut pacers = self.pacers.borrow_mut();
         pacers.retain(|_, pacer| !pacer.is_idle(PACER_RETENTION, now));
     }
 }
 
-/// Returns a span in milliseconds, rounded up: nothing goes before its time.
+/// Returns a duration in milliseconds, rounded up so that no request is sent early.
 fn ceil_ms(span: Duration) -> u64 {
     span.as_micros().div_ceil(1_000) as u64
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What this host knows of requests that may crash targets.
+//! The requests that may crash targets, as far as this host knows them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashSet};
@@ -18,32 +18,32 @@
 use crate::confinement::RecentTargets;
 use crate::target::TargetStore;
 
-/// What this host knows of requests that may crash targets.
+/// Tracks the requests that may crash targets.
 #[derive(Default)]
 pub(crate) struct SuspectTracker {
     store: RefCell<SuspectStore>,
     changes: watch::Sender<u64>,
-    /// Requests that this host lets run now, for all hosts.
+    /// Requests that run now with a permit of this host, which issues the permits for all hosts.
     running: RefCell<HashSet<RequestKey>>,
     /// Accounts whose requests are confined to a share of the targets.
     confined: RefCell<BTreeSet<String>>,
-    /// The targets among which their share is chosen.
+    /// The targets from which that share is chosen.
     recent_targets: RefCell<RecentTargets>,
 }
 
 impl SuspectTracker {
-    /// Returns a receiver of the revision of the newest change.
+    /// Returns a receiver of the latest revision.
     pub(crate) fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Returns the first records that changed after a change revision.
+    /// Returns at most `max_count` records that changed after a revision, the oldest change first.
     pub(crate) fn changed_after(&self, revision: u64, max_count: usize) -> SuspectChanges {
         let store = self.store.borrow();
         store.changed_after(revision, max_count, Instant::now())
     }
 
-    /// Returns what holds of a request.
+    /// Returns the status of a request.
     pub(crate) fn status(&self, ask: &Ask) -> RequestStatus {
         if self.store.borrow().is_empty() {
             return RequestStatus::Clear;
@@ -61,7 +61,8 @@
         status
     }
 
-    /// Notes that a target ended while a request ran there; says whether that is is_new.
+    /// Records that a target crashed while a request ran there; returns whether the crash is new
+    /// for the request.
     pub(crate) fn record_crash(&self, subject: &RequestSubject, crash: CrashKey) -> bool {
         let mut store = self.store.borrow_mut();
         let is_new = store.record_crash(subject, crash, Instant::now());
@@ -70,7 +71,7 @@
         is_new
     }
 
-    /// Returns what is held against a request.
+    /// Returns the record of a request, if there is one.
     pub(crate) fn record(&self, key: RequestKey) -> Option<SuspectRecord> {
         self.store.borrow().record(key, Instant::now())
     }
@@ -85,23 +86,23 @@
         self.notify_changes();
     }
 
-    /// Returns how many requests are held, and against how many something stands.
+    /// Returns how many requests are held, and how many have crashes recorded.
     pub(crate) fn counts(&self) -> (usize, usize) {
         self.store.borrow().counts()
     }
 
-    /// Counts a request as running; says whether it was not before.
+    /// Marks a request as running; returns whether it was not running before.
     pub(crate) fn begin_run(&self, key: RequestKey) -> bool {
         self.running.borrow_mut().insert(key)
     }
 
-    /// Notes that it does not run any more.
+    /// Marks a request as no longer running.
     pub(crate) fn end_run(&self, key: RequestKey) {
         self.running.borrow_mut().remove(&key);
     }
 
-    /// Returns the targets of a service that a request must not use since some accounts are confined to others;
-    /// none where no account is.
+    /// Returns the targets of a service that a request must not use, since some accounts are
+    /// confined to a share of the targets. Empty if no account is.
     pub(crate) fn closed_targets(
         &self,
         targets: &TargetStore,
@@ -118,7 +119,7 @@
         recent.closed_targets(targets, service, is_confined)
     }
 
-    /// Notes which targets there are, while something stands against a request.
+    /// Records the listed targets while there are suspects.
     fn record_targets(&self, targets: &TargetStore, now: Instant) {
         let mut recent = self.recent_targets.borrow_mut();
         match self.store.borrow().is_empty() {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Looks which accounts are confined; returns them where that has changed.
+    /// Updates the set of confined accounts; returns it if it has changed.
     fn update_confined(&self, now: Instant) -> Option<Vec<String>> {
         let current = self.store.borrow().confined_accounts(now);
         let mut confined = self.confined.borrow_mut();
@@ -138,7 +139,7 @@
         Some(current.into_iter().collect())
     }
 
-    /// Returns the records of requests that came to be held here since this was last asked.
+    /// Returns the records of requests that became held since the last call.
     fn drain_held(&self) -> Vec<SuspectRecord> {
         self.store.borrow_mut().drain_held(Instant::now())
     }
@@ -149,7 +150,8 @@
             .send_if_modified(|published| std::mem::replace(published, revision) != revision);
     }
 
-    /// Decides and forgets what is old; returns the requests that were held until then.
+    /// Makes the decisions that are due and removes expired records; returns the requests that were
+    /// held until then.
     fn expire(&self, now: Instant) -> Vec<RequestSubject> {
         let mut store = self.store.borrow_mut();
         store.decide_due(now);
@@ -161,7 +163,7 @@
 }
 
 impl Gateway {
-    /// Returns what this host holds against requests, for the control hosts.
+    /// Returns the suspect records of this host, as a source for the control hosts.
     pub fn suspect_source(self: &Rc<Self>) -> SuspectSource {
         let gateway = self.clone();
         SuspectSource {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Notes that a target answered a request whole, which speaks for the request.
+    /// Records that a target answered a request completely, which clears the request.
     pub(crate) fn record_complete_run(&self, ask: &Ask, target: &str) {
         if self.suspects.store.borrow().is_empty() {
             return;
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Takes what another process holds against requests.
+    /// Merges suspect records of another process.
     pub(crate) fn merge_suspects(&self, records: &[SuspectRecord]) {
         let now = Instant::now();
         let mut store = self.suspects.store.borrow_mut();
@@ -197,7 +199,8 @@
         self.suspects.notify_changes();
     }
 
-    /// Decides on requests that may crash targets, tells which are held, and forgets what is old.
+    /// Makes the decisions that are due, reports the requests that became held, and removes expired
+    /// records.
     pub(crate) fn expire_suspects(&self) {
         for record in self.suspects.drain_held() {
             let detail = format!(
