--- a/crates/directory/src/node/suspects/tests.rs
+++ b/crates/directory/src/node/suspects/tests.rs
@@ -32,7 +32,7 @@
     state.registry.take_heartbeat(heartbeat(7, 20), now);
     state
         .suspects
-        .record_crash(&subject, CrashKey::new("t", 7), now);
+        .add_crash(&subject, CrashKey::new("t", 7), now);
     for sequence in 20..23 {
         state.registry.take_heartbeat(heartbeat(7, sequence), now);
         assert!(state.retract_living().is_empty(), "heartbeat {sequence}");
@@ -50,7 +50,7 @@
     state.registry.take_heartbeat(heartbeat(7, 20), now);
     state
         .suspects
-        .record_crash(&subject, CrashKey::new("t", 7), now);
+        .add_crash(&subject, CrashKey::new("t", 7), now);
     assert!(state.retract_living().is_empty());
     for sequence in 1..60 {
         state.registry.take_heartbeat(heartbeat(8, sequence), now);
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -65,7 +65,7 @@
     /// for the request.
     pub(crate) fn record_crash(&self, subject: &RequestSubject, crash: CrashKey) -> bool {
         let mut store = self.store.borrow_mut();
-        let is_new = store.record_crash(subject, crash, Instant::now());
+        let is_new = store.add_crash(subject, crash, Instant::now());
         drop(store);
         self.notify_changes();
         is_new
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -10,14 +10,12 @@
 use crate::attribution::{Candidate, HOLD_CRASHES, attribute_crashes, unattributed};
 use crate::{CrashKey, RequestKey, RequestStatus, RequestSubject, SuspectRecord};
 
-/// Target crashes after which a request runs only once at a time. After a single crash it is no
-/// more likely to be the cause than any other request that ran there, and isolating it would
-/// serialize popular requests after each crash of a target.
+/// Target crashes after which a request runs once at a time. After one crash it is no more likely
+/// the cause than others that ran there, and isolation would serialize popular requests.
 const ISOLATE_CRASHES: usize = 2;
 
-/// Delay from the last crash or trial to the first, second and all later trials. An innocent
-/// request that was held during a series of crashes is released by the first trial; a request that
-/// is the cause crashes one target at each.
+/// Delay from the last crash or trial to the first, second and later trials. The first one releases
+/// an innocent request held during a series of crashes; the cause crashes one target at each.
 const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(20),
@@ -35,8 +33,7 @@
 const CONFINE_HELD_REQUESTS: usize = 5;
 const CONFINE_WINDOW: Duration = Duration::from_secs(60);
 
-/// How often the refusal of a request is published, so that hosts keep the record while the request
-/// keeps coming.
+/// Interval at which refusals of a request are published, so that hosts keep its record.
 const REFUSAL_PUBLISH_INTERVAL: Duration = Duration::from_secs(60);
 
 struct Suspect {
@@ -112,14 +109,8 @@
         RequestStatus::Clear
     }
 
-    /// Records that a target crashed while a request ran there; returns whether the crash is new
-    /// for the request.
-    pub fn record_crash(
-        &mut self,
-        subject: &RequestSubject,
-        crash: CrashKey,
-        now: Instant,
-    ) -> bool {
+    /// Adds the crash of a target where a request ran; returns whether it is new for the request.
+    pub fn add_crash(&mut self, subject: &RequestSubject, crash: CrashKey, now: Instant) -> bool {
         self.evict_for(subject);
         let suspect = self.suspect(subject, now);
         suspect.record.subject.fill_in(subject);
@@ -145,8 +136,7 @@
         }
     }
 
-    /// Discards the crashes of a request, which ran to completion or was released; returns whether
-    /// there were any.
+    /// Discards the crashes of a completed or released request; returns whether there were any.
     pub fn clear_request(&mut self, key: RequestKey) -> bool {
         let suspect = self.suspects.get_mut(&key);
         let Some(suspect) = suspect.filter(|one| !one.record.crashes.is_empty()) else {
@@ -162,8 +152,7 @@
         true
     }
 
-    /// Discards a crash that did not happen, since the target still runs; returns the affected
-    /// requests.
+    /// Discards a crash, since the target still runs; returns the affected requests.
     pub fn retract_crash(&mut self, crash: CrashKey) -> Vec<RequestKey> {
         let suspects = self.suspects.values_mut();
         let suspects = suspects.filter(|one| one.record.crashes.contains(&crash));
@@ -247,14 +236,9 @@
         true
     }
 
-    /// Returns at most `max_count` records that changed after a revision, the oldest change first.
-    pub fn changed_after(
-        &self,
-        after_revision: u64,
-        max_count: usize,
-        now: Instant,
-    ) -> SuspectChanges {
-        self.filtered_after(after_revision, max_count, now, |_| true)
+    /// Returns at most `limit` records that changed after a revision, the oldest change first.
+    pub fn changed_after(&self, after: u64, limit: usize, now: Instant) -> SuspectChanges {
+        self.filtered_after(after, limit, now, |_| true)
     }
 
     /// Returns whether a request is of interest to every host.
@@ -263,39 +247,29 @@
         suspect.is_some_and(|one| one.record.shared)
     }
 
-    /// Returns the changed records that are of interest to every host. A host in a fleet of 300
-    /// would otherwise receive 9,000 records of innocent requests, 2 MB, when a seventh of 3,000
-    /// targets crash at once.
-    pub fn shared_after(
-        &self,
-        after_revision: u64,
-        max_count: usize,
-        now: Instant,
-    ) -> SuspectChanges {
-        self.filtered_after(after_revision, max_count, now, |record| record.shared)
+    /// Returns the changed records of interest to every host. With all, a host in a fleet of 300
+    /// would get 9,000 of innocent requests, 2 MB, when a seventh of 3,000 targets crash at once.
+    pub fn shared_after(&self, after: u64, limit: usize, now: Instant) -> SuspectChanges {
+        self.filtered_after(after, limit, now, |record| record.shared)
     }
 
     fn filtered_after(
         &self,
-        after_revision: u64,
-        max_count: usize,
+        after: u64,
+        limit: usize,
         now: Instant,
         is_wanted: impl Fn(&SuspectRecord) -> bool,
     ) -> SuspectChanges {
-        let after = self.by_revision.range(after_revision.saturating_add(1)..);
-        let after = after.filter_map(|(revision, key)| Some((*revision, self.suspects.get(key)?)));
-        let wanted = after
-            .filter(|(_, one)| is_wanted(&one.record))
-            .take(max_count);
+        let newer = self.by_revision.range(after.saturating_add(1)..);
+        let newer = newer.filter_map(|(revision, key)| Some((*revision, self.suspects.get(key)?)));
+        let wanted = newer.filter(|(_, one)| is_wanted(&one.record)).take(limit);
         let found: Vec<(u64, &Suspect)> = wanted.collect();
-        let is_last_part = found.len() < max_count;
-        let last = found
-            .last()
-            .map_or(after_revision, |(revision, _)| *revision);
+        let is_last_part = found.len() < limit;
+        let last = found.last().map_or(after, |(revision, _)| *revision);
         SuspectChanges {
             records: found.iter().map(|(_, one)| one.to_record(now)).collect(),
             revision: if is_last_part {
-                self.revision.max(after_revision)
+                self.revision.max(after)
             } else {
                 last
             },
@@ -316,10 +290,8 @@
 
     /// Returns all records, also those without crashes.
     pub fn all_records(&self, now: Instant) -> Vec<SuspectRecord> {
-        self.suspects
-            .values()
-            .map(|one| one.to_record(now))
-            .collect()
+        let all = self.suspects.values();
+        all.map(|one| one.to_record(now)).collect()
     }
 
     /// Returns the records with crashes, the held ones first.
@@ -331,8 +303,7 @@
         records
     }
 
-    /// Returns the accounts whose requests are confined to a share of the targets, since many of
-    /// them were held recently.
+    /// Returns the accounts with so many recently held requests that they are confined.
     pub fn confined_accounts(&self, now: Instant) -> BTreeSet<String> {
         let mut counts: HashMap<&str, usize> = HashMap::new();
         let held = self.suspects.values().filter(|one| one.record.held);
--- a/crates/quarantine/src/store/tests.rs
+++ b/crates/quarantine/src/store/tests.rs
@@ -22,7 +22,7 @@
     now: Instant,
 ) {
     for number in crashes {
-        store.record_crash(subject, crash(*number), now);
+        store.add_crash(subject, crash(*number), now);
     }
 }
 
@@ -96,7 +96,7 @@
         assert_eq!(decided(&mut apart, one, now), RequestStatus::Suspect);
     }
     let later = now + HOUR;
-    apart.record_crash(&cause, crash(4), later);
+    apart.add_crash(&cause, crash(4), later);
     assert_eq!(decided(&mut apart, &cause, later), REFUSED);
     assert_eq!(apart.status(twin.key, later), RequestStatus::Clear);
 }
@@ -150,7 +150,7 @@
         if store.status(cause.key, now) == (RequestStatus::Held { trial_due: true }) {
             trials += 1;
             store.record_trial(cause.key, now);
-            store.record_crash(&cause, crash(100 + u64::from(tick)), now);
+            store.add_crash(&cause, crash(100 + u64::from(tick)), now);
         } else {
             store.record_refusal(cause.key, now);
         }
@@ -185,7 +185,7 @@
     record_crashes(&mut store, &other, &[1, 2], now);
     for number in 0..100_000 {
         let one = subject("flood", &format!("/{number}"));
-        store.record_crash(&one, crash(10 + number), now);
+        store.add_crash(&one, crash(10 + number), now);
     }
     assert!(store.records(now).len() <= MAX_SUSPECTS);
     assert_eq!(store.status(other.key, now), RequestStatus::Suspect);
@@ -253,7 +253,7 @@
             match random.u32(0..10) {
                 0 => _ = stores[host].clear_request(one.key),
                 1 => _ = stores[host].retract_crash(crash(random.u64(0..8))),
-                2..=5 => _ = stores[host].record_crash(one, crash(random.u64(0..8)), now),
+                2..=5 => _ = stores[host].add_crash(one, crash(random.u64(0..8)), now),
                 _ => exchange(&mut stores, host, random.usize(0..3), now),
             }
         }
--- a/crates/rate/src/observation.rs
+++ b/crates/rate/src/observation.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    pub(crate) fn to_observation(&self, target: &str, now: BootInstant) -> RateObservation {
+    /// Returns the observation with its present ages, to be sent to other processes.
+    pub(crate) fn reported(&self, target: &str, now: BootInstant) -> RateObservation {
         RateObservation {
             target: target.to_owned(),
             rate_limit: self.rate_limit,
--- a/crates/rate/src/store.rs
+++ b/crates/rate/src/store.rs
@@ -255,32 +255,29 @@
     /// state.
     pub fn changed_after(
         &self,
-        after_revision: u64,
+        after: u64,
         max_count: usize,
         all: bool,
         now: BootInstant,
     ) -> RateChanges {
-        let after = self.by_revision.range(after_revision.saturating_add(1)..);
-        let entries = after
+        let newer = self.by_revision.range(after.saturating_add(1)..);
+        let entries = newer
             .filter_map(|(revision, target)| Some((*revision, target, self.entries.get(target)?)));
         let published = entries
             .filter(|(.., entry)| all || entry.publishes)
             .take(max_count);
-        let found = published.map(|(revision, target, entry)| {
-            (revision, entry.observation.to_observation(target, now))
-        });
+        let found = published
+            .map(|(revision, target, entry)| (revision, entry.observation.reported(target, now)));
         let found: Vec<(u64, RateObservation)> = found.collect();
         let is_last_part = found.len() < max_count;
-        let last = found
-            .last()
-            .map_or(after_revision, |(revision, _)| *revision);
+        let last = found.last().map_or(after, |(revision, _)| *revision);
         RateChanges {
             observations: found
                 .into_iter()
                 .map(|(_, observation)| observation)
                 .collect(),
             revision: if is_last_part {
-                self.revision.max(after_revision)
+                self.revision.max(after)
             } else {
                 last
             },
@@ -289,12 +286,7 @@
 
     /// Returns the stored observation of one target, in the form that is sent to other processes.
     pub fn observation(&self, target: &str, now: BootInstant) -> Option<RateObservation> {
-        Some(
-            self.entries
-                .get(target)?
-                .observation
-                .to_observation(target, now),
-        )
+        Some(self.entries.get(target)?.observation.reported(target, now))
     }
 
     /// Removes the entry of a target.
