--- a/crates/gateway/src/gateway/rates.rs
+++ b/crates/gateway/src/gateway/rates.rs
@@ -19,7 +19,7 @@
             async move {
                 match gateway {
                     Some(gateway) => gateway.ask_rate(ask).await,
-                    None => SendPermitReply::UNREACHED,
+                    None => SendPermitReply::UNREACHABLE,
                 }
             }
             .boxed_local()
@@ -42,7 +42,7 @@
         match self.rate_host(&ask.scope) {
             RateHost::Here => self.give_rate(&ask),
             RateHost::Remote(address) => self.stages.ask_rate(address, ask).await,
-            RateHost::Unreached => SendPermitReply::UNREACHED,
+            RateHost::Unreached => SendPermitReply::UNREACHABLE,
         }
     }
 
@@ -68,7 +68,7 @@
             // Two that give leave would let twice the rate through.
             RateHost::Remote(_) | RateHost::Unreached => {
                 self.rate_turns.remove(ask.scope.key());
-                SendPermitReply::UNREACHED
+                SendPermitReply::UNREACHABLE
             }
         }
     }
@@ -77,7 +77,7 @@
     fn give_rate(&self, ask: &SendPermitRequest) -> SendPermitReply {
         if !self.view.borrow().is_connected() && !self.stages.reaches_any() {
             // Others that do not reach this host either take another one.
-            return SendPermitReply::UNREACHED;
+            return SendPermitReply::UNREACHABLE;
         }
         let rate = match &ask.scope {
             SendPermitScope::Target(word) => self.notices.rates.rate_limit(&word.target),
--- a/crates/gateway/src/notice_store/tests.rs
+++ b/crates/gateway/src/notice_store/tests.rs
@@ -189,7 +189,7 @@
     assert_eq!(store.availability("t-0", now), TargetAvailability::Leaving);
 }
 
-/// 10,000 targets that ask for a back-off of a day each, and disappear.
+/// 10,000 targets that are leaving and 10,000 that ask for a back-off, none of them listed.
 #[test]
 fn restrictions_of_targets_that_are_not_listed_any_more_expire() {
     let (store, mut now) = (store(), BootInstant::now());
--- a/crates/gateway/src/rate_tracker/acquire.rs
+++ b/crates/gateway/src/rate_tracker/acquire.rs
@@ -52,7 +52,7 @@
     async fn request_permit(&self, request: SendPermitRequest) -> SendPermitReply {
         match self.requester.get() {
             Some(requester) => requester(request).await,
-            None => SendPermitReply::UNREACHED,
+            None => SendPermitReply::UNREACHABLE,
         }
     }
 
--- a/crates/gateway/src/run_permit.rs
+++ b/crates/gateway/src/run_permit.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum RunPermitOrigin {
     /// By this host.
-    Here,
+    Local,
     /// By another host, under a number that this host assigned.
     Remote(SocketAddr, u64),
 }
@@ -67,7 +67,7 @@
 impl Drop for RunPermit {
     fn drop(&mut self) {
         match self.origin {
-            RunPermitOrigin::Here => self.gateway.suspects.end_run(self.key),
+            RunPermitOrigin::Local => self.gateway.suspects.end_run(self.key),
             RunPermitOrigin::Remote(address, number) => {
                 // The issuer must receive the outcome of the run before it lets the request run
                 // again.
@@ -135,7 +135,7 @@
     let (reply, origin) = match gateway.stages.turn_host(key) {
         None => (
             gateway.issue_run_permit(key, &ask.id),
-            RunPermitOrigin::Here,
+            RunPermitOrigin::Local,
         ),
         Some(address) => {
             // The issuer may not have received the suspect record yet.
--- a/crates/gateway/src/send_permit_issuer.rs
+++ b/crates/gateway/src/send_permit_issuer.rs
@@ -70,7 +70,7 @@
 impl SendPermitReply {
     /// The reply assumed when no issuer can be reached. Another host may be the issuer shortly
     /// after.
-    pub(crate) const UNREACHED: Self = Self::Denied(100);
+    pub(crate) const UNREACHABLE: Self = Self::Denied(100);
 }
 
 /// The targets and services for which this host issues permits.
--- a/crates/gateway/src/stage_client/rate_ask.rs
+++ b/crates/gateway/src/stage_client/rate_ask.rs
@@ -103,7 +103,7 @@
         drop(asked);
         match answer {
             Ok(Ok(answer)) => answer,
-            _ => SendPermitReply::UNREACHED,
+            _ => SendPermitReply::UNREACHABLE,
         }
     }
 
--- a/crates/quarantine/src/store/tests.rs
+++ b/crates/quarantine/src/store/tests.rs
@@ -201,7 +201,7 @@
         assert!(store.confined_accounts(start).is_empty(), "{number}");
         for (account, first) in [("flood", 0), ("", 1_000)] {
             let one = subject(account, &format!("/{number}"));
-            let crashes = [1, 2, 3].map(|end| first + number * 10 + end);
+            let crashes = [1, 2, 3].map(|crash| first + number * 10 + crash);
             record_crashes(&mut store, &one, &crashes, start);
             assert_eq!(decided(&mut store, &one, start), REFUSED);
         }
