--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -25,8 +25,8 @@
     pub(crate) rate_limit: RateNotice,
 }
 
-/// What the headers of a response state about the rate limit of the target, which counts the
-/// requests of all hosts.
+/// What the headers of a response state about the rate limit of the target, which applies to the
+/// requests of all hosts together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum RateNotice {
     /// Nothing: the headers are not to be attributed to this target.
--- a/crates/gateway/src/rate_tracker.rs
+++ b/crates/gateway/src/rate_tracker.rs
@@ -1,5 +1,5 @@
-//! The rate limits of targets, as far as this host knows them. A limit counts the requests of all
-//! hosts.
+//! The rate limits of targets, as far as this host knows them. A limit applies to the
+//! requests of all hosts together.
 
 mod acquire;
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Records that a target answered a request completely, which clears the request.
+    /// Records that a target completed a request, which clears the request.
     pub(crate) fn record_complete_run(&self, ask: &Ask, target: &str) {
         if self.suspects.store.borrow().is_empty() {
             return;
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -31,11 +31,11 @@
 const REFUSAL_COOLDOWN: Duration = Duration::from_millis(40);
 const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
 
-/// Load that a target in another hall counts in addition, as a fraction of its slots, for a round
-/// trip of some milliseconds and for bytes that cross halls.
+/// Additional load of a target in another hall, as a fraction of its slots, for a round trip of some
+/// milliseconds and for bytes that cross halls.
 const REMOTE_HALL_PENALTY: f64 = 0.25;
 
-/// Load that a cold target counts in addition: it receives work only when the others are full.
+/// Additional load of a cold target: it receives work only when the others are full.
 const COLD_PENALTY: f64 = 0.5;
 
 /// A target that accepts work.
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns the load that one more request counts at the target, as a fraction of its slots.
+    /// Returns the load of the target for one more request, as a fraction of its slots.
     /// `other_hall` tells whether it is in another hall than this host.
     pub(crate) fn load(&self, other_hall: bool, now: Instant) -> f64 {
         let part = |counts: bool, load: f64| if counts { load } else { 0.0 };
--- a/crates/gateway/src/target_slowness.rs
+++ b/crates/gateway/src/target_slowness.rs
@@ -41,7 +41,7 @@
         self.recorded_at = Some(now);
     }
 
-    /// Returns the load that the slowness counts, as a fraction of the slots.
+    /// Returns the load due to the slowness, as a fraction of the slots.
     pub(crate) fn load(&self, now: Instant) -> f64 {
         self.excess_at(now) * LOAD_PER_EXCESS
     }
