--- a/crates/directory/src/change_reports.rs
+++ b/crates/directory/src/change_reports.rs
@@ -1,7 +1,7 @@
 //! Reports to control hosts of records that changed in a process.
 
 use linnet_quarantine::SuspectRecord;
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use tokio::sync::watch;
 
 /// A store of records in a following process whose changes are reported to control hosts.
@@ -29,7 +29,7 @@
 pub type SuspectSource = ChangeSource<SuspectRecord>;
 
 /// The rate limits that targets announced to a process.
-pub type RateLimitSource = ChangeSource<RateWord>;
+pub type RateLimitSource = ChangeSource<RateObservation>;
 
 /// Which changes of a source were reported to one control host.
 pub(crate) struct ChangeReports<'a, R> {
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use linnet_rollout::PhaseCounts;
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::{
@@ -372,7 +372,7 @@
 ) -> Result<DirectoryUpdate, WireError> {
     let known = reader.form();
     let (update, tail, rate_limits) = reader
-        .receive_tailed::<DirectoryUpdate, DirectoryUpdateV1, UpdateTail, Vec<RateWord>>()
+        .receive_tailed::<DirectoryUpdate, DirectoryUpdateV1, UpdateTail, Vec<RateObservation>>()
         .await?;
     let update = update.with_tails(tail, rate_limits);
     if let (None, Some(message_version)) = (known, reader.form()) {
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -4,7 +4,7 @@
 
 use linnet_quarantine::SuspectRecord;
 use linnet_quorum::{Member, Members, NodeId};
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use linnet_rollout::{PhaseCounts, ReporterCounts, RolloutBook};
 use serde::{Deserialize, Serialize};
 
@@ -96,7 +96,7 @@
     /// Changed rate limits that targets announced, up to a maximum per message. Sent after the
     /// [`ReportTail`].
     #[serde(skip)]
-    pub rate_limits: Vec<RateWord>,
+    pub rate_limits: Vec<RateObservation>,
 }
 
 /// A subscriber's request for a configuration.
@@ -172,7 +172,7 @@
     /// Changed rate limits that targets announced, up to a maximum per message. Sent after the
     /// [`UpdateTail`].
     #[serde(skip)]
-    pub rate_limits: Vec<RateWord>,
+    pub rate_limits: Vec<RateObservation>,
 }
 
 /// The bytes that follow an update since message version 3.
@@ -218,7 +218,7 @@
     }
 
     /// Adds the content of the tails that followed the update.
-    pub(crate) fn with_tails(mut self, tail: UpdateTail, rate_limits: Vec<RateWord>) -> Self {
+    pub(crate) fn with_tails(mut self, tail: UpdateTail, rate_limits: Vec<RateObservation>) -> Self {
         self.rate_limits = rate_limits;
         for (target, version) in self.targets.iter_mut().zip(tail.versions) {
             target.version = version;
--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -1,7 +1,7 @@
 //! The encoding of each message as it was shipped. It must never change: a new message version gets
 //! lines of its own.
 
-use linnet_quarantine::{EndKey, RequestSubject};
+use linnet_quarantine::{CrashKey, RequestSubject};
 
 use super::*;
 use crate::{ContentHash, EvacuationOrder};
@@ -57,7 +57,7 @@
     let subject = RequestSubject::new("acme", "GET", ["shop.example", "/once/1"], b"body");
     let mut record = SuspectRecord::new(subject);
     record.round = 2;
-    record.ends.insert(EndKey::new("i-7f3a91c2", 7));
+    record.crashes.insert(CrashKey::new("i-7f3a91c2", 7));
     record.held = true;
     record.trials = 1;
     record.shared = true;
@@ -188,11 +188,11 @@
         incarnation: 7,
         phase_counts: counted,
     };
-    let rate_limits = vec![RateWord {
+    let rate_limits = vec![RateObservation {
         target: "i-7f3a91c2".to_owned(),
-        rate: Some(linnet_rate::NamedRate::new(2.5)),
-        asked_ms: 300,
-        heard_ms: 200,
+        rate_limit: Some(linnet_rate::RateLimit::new(2.5)),
+        sent_age_ms: 300,
+        received_age_ms: 200,
     }];
     let lines = [
         format!("update tail {}", hex(&tail)),
--- a/crates/directory/src/node/rate_limits.rs
+++ b/crates/directory/src/node/rate_limits.rs
@@ -3,7 +3,7 @@
 use std::time::SystemTime;
 
 use linnet_clock::BootInstant;
-use linnet_rate::{RateWord, StartChange};
+use linnet_rate::{IncarnationEffect, RateObservation};
 
 use super::{DirectoryNode, NodeState};
 
@@ -12,15 +12,16 @@
         let unix_ms = unix_ms();
         let named: Vec<String> = self
             .rate_limits
-            .named()
+            .limits()
             .map(|(id, _)| id.to_owned())
             .collect();
         for id in named {
             let Some(born) = self.registry.born_of(&id) else {
                 continue;
             };
-            if self.rate_limits.note_start(&id, born, unix_ms, now) == StartChange::Spoken {
-                self.rate_limits.tell_again(&id, now);
+            if self.rate_limits.record_incarnation(&id, born, unix_ms, now) == IncarnationEffect::Retained
+            {
+                self.rate_limits.republish(&id, now);
             }
         }
     }
@@ -33,7 +34,7 @@
 
 impl DirectoryNode {
     /// Merges rate limits announced by targets, and wakes the pushes if others need them.
-    pub(crate) fn merge_rate_limits(&self, words: &[RateWord]) {
+    pub(crate) fn merge_rate_limits(&self, words: &[RateObservation]) {
         if words.is_empty() {
             return;
         }
@@ -60,9 +61,9 @@
         }
         let now = BootInstant::now();
         state.rate_limits.expire(now);
-        let before = state.rate_limits.number();
+        let before = state.rate_limits.revision();
         state.update_target_starts(now);
-        let changed = state.rate_limits.number() > before;
+        let changed = state.rate_limits.revision() > before;
         drop(state);
         if changed {
             self.notify_subscribers();
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linnet_quarantine::SuspectBook;
-use linnet_rate::RateBook;
+use linnet_quarantine::SuspectStore;
+use linnet_rate::RateStore;
 use linnet_rollout::{EvidenceBook, ExposureRule};
 use linnet_wire::MessageForm;
 
@@ -33,10 +33,10 @@
 pub(crate) struct NodeState {
     pub(crate) registry: Registry,
     /// Requests suspected of crashing targets.
-    pub(crate) suspects: SuspectBook,
+    pub(crate) suspects: SuspectStore,
     pub(crate) liveness_probes: LivenessProbes,
     /// Rate limits that targets announced to entry hosts.
-    pub(crate) rate_limits: RateBook,
+    pub(crate) rate_limits: RateStore,
     /// Counts for roll-outs, reported by entry hosts.
     pub(crate) evidence: EvidenceBook,
     /// Limit on what a version may be exposed to before it has proved itself.
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use linnet_quarantine::{EndKey, RequestKey, SuspectRecord};
+use linnet_quarantine::{CrashKey, RequestKey, SuspectRecord};
 use linnet_telemetry::EventCode;
 use linnet_wire::MessageForm;
 use tokio::time::sleep;
@@ -23,13 +23,13 @@
 /// when the report arrived.
 #[derive(Default)]
 pub(crate) struct LivenessProbes {
-    sequences: HashMap<EndKey, u64>,
+    sequences: HashMap<CrashKey, u64>,
 }
 
 impl LivenessProbes {
     /// Compares a heartbeat of an incarnation whose crash was reported with the first known one;
     /// returns whether it proves that the incarnation is still running.
-    fn proves_running(&mut self, end: EndKey, sequence: u64) -> bool {
+    fn proves_running(&mut self, end: CrashKey, sequence: u64) -> bool {
         let first = *self.sequences.entry(end).or_insert(sequence);
         sequence >= first + MIN_PROOF_HEARTBEATS
     }
@@ -40,15 +40,15 @@
     /// suspected because of them.
     fn retract_refuted_crashes(&mut self) -> Vec<RequestKey> {
         let targets = self.registry.records();
-        let ends = targets.map(|one| (EndKey::new(&one.id, one.born), one.sequence));
-        let known = self.suspects.known_ends();
-        let reported: Vec<(EndKey, u64)> = ends.filter(|(end, _)| known.contains(end)).collect();
+        let ends = targets.map(|one| (CrashKey::new(&one.id, one.born), one.sequence));
+        let known = self.suspects.known_crashes();
+        let reported: Vec<(CrashKey, u64)> = ends.filter(|(end, _)| known.contains(end)).collect();
         let probes = &mut self.liveness_probes;
         probes.sequences.retain(|end, _| known.contains(end));
         let mut cleared = Vec::new();
         for (end, sequence) in reported {
             if probes.proves_running(end, sequence) {
-                cleared.extend(self.suspects.retract(end));
+                cleared.extend(self.suspects.retract_crash(end));
             }
         }
         cleared
@@ -116,7 +116,7 @@
 
     /// Releases a held request on an operator's order; returns whether there was a record of it.
     pub fn release_suspect(&self, key: RequestKey) -> bool {
-        let known = self.lock().suspects.acquit(key);
+        let known = self.lock().suspects.clear_request(key);
         if known {
             let detail = format!("key={key} cause=an operator");
             self.record(EventCode::RequestReleased, &detail);
@@ -132,11 +132,11 @@
         if state.suspects.is_empty() {
             return;
         }
-        let before = state.suspects.number();
-        state.suspects.settle(now);
+        let before = state.suspects.revision();
+        state.suspects.decide_due(now);
         let cleared = state.retract_refuted_crashes();
         state.suspects.expire(now);
-        let changed = state.suspects.number() != before;
+        let changed = state.suspects.revision() != before;
         drop(state);
         for key in cleared {
             let detail = format!("key={key} cause=target still running");
--- a/crates/directory/src/node/suspects/tests.rs
+++ b/crates/directory/src/node/suspects/tests.rs
@@ -30,7 +30,9 @@
     let mut state = NodeState::default();
     let subject = RequestSubject::new("a", "GET", ["h", "/x"], b"");
     state.registry.apply_heartbeat(heartbeat(7, 20), now);
-    state.suspects.accuse(&subject, EndKey::new("t", 7), now);
+    state
+        .suspects
+        .add_crash(&subject, CrashKey::new("t", 7), now);
     for sequence in 20..23 {
         state.registry.apply_heartbeat(heartbeat(7, sequence), now);
         assert!(
@@ -49,7 +51,9 @@
     let mut state = NodeState::default();
     let subject = RequestSubject::new("a", "GET", ["h", "/x"], b"");
     state.registry.apply_heartbeat(heartbeat(7, 20), now);
-    state.suspects.accuse(&subject, EndKey::new("t", 7), now);
+    state
+        .suspects
+        .add_crash(&subject, CrashKey::new("t", 7), now);
     assert!(state.retract_refuted_crashes().is_empty());
     for sequence in 1..60 {
         state.registry.apply_heartbeat(heartbeat(8, sequence), now);
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_clock::BootInstant;
-use linnet_rate::RateWord;
+use linnet_rate::RateObservation;
 use linnet_rollout::RolloutBook;
 use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
 use tokio::sync::{Notify, watch};
@@ -198,7 +198,7 @@
 ) -> Result<SubscriberReport, WireError> {
     let known = reader.form();
     let (mut report, tail, rate_limits) = reader
-        .receive_tailed::<SubscriberReport, SubscriberReportV1, ReportTail, Vec<RateWord>>()
+        .receive_tailed::<SubscriberReport, SubscriberReportV1, ReportTail, Vec<RateObservation>>()
         .await?;
     report.rate_limits = rate_limits;
     report.incarnation = tail.incarnation;
@@ -349,7 +349,7 @@
             .suspects
             .shared_after(pushed.suspects_sent, MAX_SUSPECTS_PER_MESSAGE, now),
     };
-    pushed.suspects_sent = suspects.number;
+    pushed.suspects_sent = suspects.revision;
     update.suspects = suspects.records;
     let rate_limits = state.rate_limits.changed_after(
         pushed.rate_limits_sent,
@@ -357,8 +357,8 @@
         true,
         BootInstant::now(),
     );
-    pushed.rate_limits_sent = rate_limits.number;
-    update.rate_limits = rate_limits.words;
+    pushed.rate_limits_sent = rate_limits.revision;
+    update.rate_limits = rate_limits.observations;
     if !state.sends_lists_to(pushed.subscriber_id) {
         // Everything is sent again once the subscriber requests lists from this host.
         pushed.revision = 0;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -16,14 +16,15 @@
 use crate::caller_request::CallerRequest;
 use crate::events::EventSplitter;
 use crate::graph::RequestResults;
-use crate::in_flight::InFlight;
-use crate::message_heads::{TargetHeaders, build_target_request, echoes_request_id};
-use crate::notice::read_notice;
-use crate::rate_permit::SendPermit;
+use crate::in_flight::InFlightGuard;
+use crate::message_heads::TargetHeaders;
+use crate::message_heads::build_target_request;
+use crate::message_heads::echoes_request_id;
+use crate::notice::parse_notice;
 use crate::send_gate::SendKind;
-use crate::service_availability::max_permit_wait;
-use crate::stage_client::Placement;
-use crate::target::Chosen;
+use crate::send_permit::SendPermit;
+use crate::service_availability::max_permit_wait;use crate::stage_client::Placement;
+use crate::target::ChosenTarget;
 use crate::upstream::{ConnectionLease, SendError, is_peer_disconnect};
 
 /// Minimum timeout of an attempt after which a repeatable request goes to another target.
@@ -86,7 +87,7 @@
     pub(crate) splitter: EventSplitter,
     pub(crate) lease: ConnectionLease,
     /// Counts the request at its target while the stream lasts.
-    pub(crate) _in_flight: InFlight,
+    pub(crate) _in_flight: InFlightGuard,
     /// Counts the prompt at the placer.
     pub(crate) _placement: Option<Placement>,
 }
@@ -94,7 +95,7 @@
 /// An attempt that is about to be sent.
 pub(crate) struct Attempt<'a> {
     pub(crate) service: &'a str,
-    pub(crate) chosen: &'a Chosen,
+    pub(crate) chosen: &'a ChosenTarget,
     /// Counts the prompt at the placer.
     pub(crate) placement: Option<Placement>,
     pub(crate) results: Option<&'a RequestResults>,
@@ -109,12 +110,12 @@
     attempt: Attempt<'_>,
     may_retry: bool,
 ) -> AttemptOutcome {
-    let mut in_flight = InFlight::new(gateway, attempt.service, &attempt.chosen.id, request);
+    let mut in_flight = InFlightGuard::new(gateway, attempt.service, &attempt.chosen.id, request);
     let Some(permit) = acquire_permit(gateway, request, &attempt).await else {
-        in_flight.forget();
+        in_flight.discard_timing();
         return AttemptOutcome::Withheld;
     };
-    in_flight.note_sending();
+    in_flight.mark_sent();
     let time_left = request.time_left();
     let time_limit = if may_retry {
         time_limit(request, &attempt, time_left)
@@ -130,7 +131,7 @@
     });
     gateway.count_attempt(request, (service, chosen), &outcome, sent.elapsed(), facts);
     if let AttemptOutcome::MayHaveRun { broken: true, .. } = outcome {
-        gateway.note_break(service, chosen, request, sent).await;
+        gateway.probe_after_break(service, chosen, request, sent).await;
     }
     outcome
 }
@@ -143,7 +144,7 @@
 ) -> Option<SendPermit> {
     let target = &attempt.chosen.id;
     let max_wait = max_permit_wait(gateway, attempt.service, request, target);
-    let permit = gateway.notices.rates.take_permit(target, max_wait).await;
+    let permit = gateway.notices.rates.acquire_permit(target, max_wait).await;
     if permit.is_none() {
         gateway.notices.count_withheld(target);
     }
@@ -170,7 +171,7 @@
     request: &CallerRequest,
     mut attempt: Attempt<'_>,
     time_left: Duration,
-    (mut in_flight, permit): (InFlight, SendPermit),
+    (mut in_flight, permit): (InFlightGuard, SendPermit),
 ) -> AttemptOutcome {
     let chosen = attempt.chosen;
     let additions = TargetHeaders {
@@ -198,7 +199,7 @@
     let (response, lease) = match gateway.upstream.send(chosen.address, outgoing, gate).await {
         Ok(received) => received,
         Err(SendError::Withheld) => {
-            in_flight.forget();
+            in_flight.discard_timing();
             return AttemptOutcome::Withheld;
         }
         Err(SendError::NotSent(cause)) => {
@@ -217,9 +218,9 @@
         }
     };
     let (head, body) = response.into_parts();
-    let notice = read_notice(&gateway.config.protocol, &head, Some(&request.id));
-    gateway.notices.note(&chosen.id, notice, sent_at);
-    if notice.closes() {
+    let notice = parse_notice(&gateway.config.protocol, &head, Some(&request.id));
+    gateway.notices.record_response(&chosen.id, notice, sent_at);
+    if notice.stops_work() {
         hint_placer(gateway, &attempt);
     }
     if let Some(not_run) = handle_not_run(gateway, &attempt, &head) {
@@ -259,7 +260,7 @@
                 gateway
                     .targets
                     .borrow_mut()
-                    .note_success(attempt.service, &chosen.id);
+                    .record_success(attempt.service, &chosen.id);
                 AttemptOutcome::Streaming(Box::new(EventStream {
                     status,
                     headers,
@@ -284,7 +285,7 @@
                 gateway
                     .targets
                     .borrow_mut()
-                    .note_success(attempt.service, &chosen.id);
+                    .record_success(attempt.service, &chosen.id);
             }
             AttemptOutcome::Complete(head.status, head.headers, body.to_bytes())
         }
@@ -304,7 +305,7 @@
     placement.report_unreachable(service, engine);
     // Applies if this host is the placer.
     let mut targets = gateway.targets.borrow_mut();
-    targets.take_unreachable(service, engine, Instant::now());
+    targets.apply_peer_unreachable(service, engine, Instant::now());
 }
 
 fn handle_not_run(
@@ -331,7 +332,7 @@
         let inputs_gone = head.status == protocol.targets.inputs_gone;
         if !inputs_gone {
             let mut targets = gateway.targets.borrow_mut();
-            targets.note_refused(attempt.service, &attempt.chosen.id, Instant::now());
+            targets.record_refusal(attempt.service, &attempt.chosen.id, Instant::now());
         }
         return Some(AttemptOutcome::NotRun {
             cause,
--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -12,7 +12,7 @@
 use super::queue::Coordinator;
 use crate::pool_key::PoolKey;
 use crate::stage_call::{CallOutcome, CallPart, StageCall};
-use crate::target_end::PROBE_PATIENCE;
+use crate::target_crash::PROBE_TIMEOUT;
 use crate::upstream::ProbeOutcome;
 
 /// Time after which a call is given up: a factor of the expected duration plus a fixed slack.
@@ -58,7 +58,7 @@
         return end;
     };
     let probe = timeout(
-        PROBE_PATIENCE,
+        PROBE_TIMEOUT,
         coordinator.caller.upstream.probe(call.address),
     );
     // A target that was removed from the list closes its connections by itself.
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -10,7 +10,7 @@
 use crate::cold::{ColdRate, SendWindow};
 use crate::piece::TargetUsage;
 use crate::reported_load::ReportedLoad;
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 
 /// Cooldown of a target after a call that failed or was late.
 const FAILURE_COOLDOWN: Duration = Duration::from_millis(400);
@@ -171,11 +171,13 @@
     }
 
     /// Applies what it asked of this host.
-    pub(super) fn set_standing(&mut self, standing: TargetStanding, now: Instant) {
-        self.leaving = standing == TargetStanding::Leaving;
+    pub(super) fn set_standing(&mut self, standing: TargetAvailability, now: Instant) {
+        self.leaving = standing == TargetAvailability::Leaving;
         self.backed_off_until = match standing {
-            TargetStanding::BackedOff(left) | TargetStanding::Paced(left) => Some(now + left),
-            TargetStanding::Open | TargetStanding::Leaving => None,
+            TargetAvailability::BackedOff(left) | TargetAvailability::RateLimited(left) => {
+                Some(now + left)
+            }
+            TargetAvailability::Open | TargetAvailability::Leaving => None,
         };
     }
 
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -18,7 +18,7 @@
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, target_address_of};
 use crate::pool_key::PoolKey;
 use crate::stage_call::{CallOutcome, StageRelease};
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 use crate::version_split::VersionSplit;
 
 /// Number of failed calls after which a piece counts as failed.
@@ -331,7 +331,12 @@
     }
 
     /// Applies what the target of a call has asked of this host.
-    pub(super) fn set_standing(&mut self, call: &DueCall, standing: TargetStanding, now: Instant) {
+    pub(super) fn set_standing(
+        &mut self,
+        call: &DueCall,
+        standing: TargetAvailability,
+        now: Instant,
+    ) {
         let pool = self.pools.get_mut(&call.pool);
         let target = pool.and_then(|pool| pool.targets.get_mut(&call.target));
         if let Some(target) = target.filter(|target| target.born == call.born) {
--- a/crates/gateway/src/coordinator/state/tests/back_off.rs
+++ b/crates/gateway/src/coordinator/state/tests/back_off.rs
@@ -1,13 +1,13 @@
 //! Stage targets that ask this host to back off, or that are shutting down.
 
 use super::*;
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 
 const WAIT: Duration = Duration::from_secs(2);
 
 /// Ends a call that its target refused with a back-off time.
 fn refuse_and_back_off(state: &mut QueueState, call: DueCall, now: Instant) -> CallEffects {
-    state.set_standing(&call, TargetStanding::BackedOff(WAIT), now);
+    state.set_standing(&call, TargetAvailability::BackedOff(WAIT), now);
     state.finish_call(call, CallOutcome::Busy, false, now)
 }
 
@@ -88,7 +88,7 @@
     let (mut state, now) = (state(1), Instant::now());
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
-    state.set_standing(&call, TargetStanding::Leaving, now);
+    state.set_standing(&call, TargetAvailability::Leaving, now);
     finish(&mut state, call, CallOutcome::Busy, false);
     let later = now + WAIT;
     assert!(state.due_calls(&key(), later).is_empty());
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -14,7 +14,7 @@
 use crate::cold::{ColdRate, SendWindow};
 use crate::pool_key::placement_pool_key;
 use crate::rendezvous::ScoreKey;
-use crate::target::{Chosen, Target, TargetBook};
+use crate::target::{ChosenTarget, Target, TargetStore};
 
 use hall_weights::HallWeights;
 pub(crate) use placement_request::{PlacementFacts, PlacementRequest};
@@ -175,10 +175,10 @@
     /// has to be done again, which counts like a wait.
     pub(crate) fn choose(
         &self,
-        book: &TargetBook,
+        book: &TargetStore,
         request: &PlacementRequest,
         now: Instant,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenTarget> {
         let mut usable = book.usable(&request.service, now);
         usable.retain(|engine| !request.excluded.contains(&engine.id));
         if let Some(halls) = &request.allowed_halls {
@@ -196,7 +196,7 @@
             candidates = usable;
         }
         if request.isolated {
-            return self.fewest_isolated(candidates).map(Chosen::new);
+            return self.fewest_isolated(candidates).map(ChosenTarget::new);
         }
         let weights = request
             .large_result_stage
@@ -241,14 +241,14 @@
                     .then(b.score.total_cmp(&a.score))
             })?
             .target;
-        Some(Chosen::new(best))
+        Some(ChosenTarget::new(best))
     }
 
     /// Returns the engines of the prompt's partition, or all of `usable` if none of that partition
     /// is left to try.
     fn within_partition<'a>(
         &self,
-        book: &TargetBook,
+        book: &TargetStore,
         request: &PlacementRequest,
         usable: Vec<&'a Target>,
     ) -> Vec<&'a Target> {
@@ -285,17 +285,17 @@
 
     /// Returns whether the rate limit of an engine allows a prompt that is placed now to be sent
     /// soon.
-    fn rate_limit_allows(&self, book: &TargetBook, engine: &str) -> bool {
+    fn rate_limit_allows(&self, book: &TargetStore, engine: &str) -> bool {
         let pacer = self
             .pacers
             .get(engine)
-            .filter(|_| book.rate(engine).is_some());
-        pacer.is_none_or(|pacer| pacer.wait(BootInstant::now()) <= MAX_RATE_WAIT)
+            .filter(|_| book.rate_limit(engine).is_some());
+        pacer.is_none_or(|pacer| pacer.time_until_next(BootInstant::now()) <= MAX_RATE_WAIT)
     }
 
     /// Counts a prompt against the rate limit of its engine, if it has one.
-    fn count_against_rate_limit(&mut self, book: &TargetBook, engine: &str) {
-        let Some(rate) = book.rate(engine) else {
+    fn count_against_rate_limit(&mut self, book: &TargetStore, engine: &str) {
+        let Some(rate) = book.rate_limit(engine) else {
             self.pacers.remove(engine);
             return;
         };
@@ -310,7 +310,7 @@
     /// Counts a prompt against the cold rate of its engine, if the engine is cold.
     fn count_against_cold_rate(
         &mut self,
-        book: &TargetBook,
+        book: &TargetStore,
         service: &str,
         engine: &str,
         now: Instant,
@@ -388,10 +388,10 @@
     /// Returns where a prompt would be placed now.
     pub(crate) fn plan(
         &self,
-        book: &TargetBook,
+        book: &TargetStore,
         request: &PlacementRequest,
         now: Instant,
-    ) -> Option<(Chosen, PlacementFacts)> {
+    ) -> Option<(ChosenTarget, PlacementFacts)> {
         let chosen = self.choose(book, request, now)?;
         let cached_tokens =
             cached_tokens(&self.holders_of(&request.prompt.shared_parts), &chosen.id);
@@ -413,10 +413,10 @@
     /// Chooses an engine and counts the prompt there until [`EnginePlacer::end_placement`].
     pub(crate) fn place(
         &mut self,
-        book: &TargetBook,
+        book: &TargetStore,
         request: &PlacementRequest,
         now: Instant,
-    ) -> Option<(PlacementKey, Chosen, PlacementFacts)> {
+    ) -> Option<(PlacementKey, ChosenTarget, PlacementFacts)> {
         let (chosen, facts) = self.plan(book, request, now)?;
         self.count_against_cold_rate(book, &request.service, &chosen.id, now);
         self.count_against_rate_limit(book, &chosen.id);
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -18,7 +18,7 @@
 /// Prompts per second in a burst of 2.4 times the usual load.
 const PROMPTS_PER_S: u64 = 700;
 
-fn cold_book(cold_ms: u32, now: Instant) -> TargetBook {
+fn cold_book(cold_ms: u32, now: Instant) -> TargetStore {
     let records: Vec<TargetRecord> = (0..ENGINES)
         .map(|number| {
             let mut record = record(number, "engine", number % HALLS);
@@ -26,7 +26,7 @@
             record
         })
         .collect();
-    let mut book = TargetBook::default();
+    let mut book = TargetStore::default();
     book.replace(&records, now);
     book.set_services(&RoutingConfig {
         services: vec![Service {
@@ -48,7 +48,7 @@
 fn simulate_burst(
     same_part: bool,
     placers: usize,
-    book: &TargetBook,
+    book: &TargetStore,
 ) -> BTreeMap<String, Vec<u64>> {
     let started = Instant::now();
     let mut all: Vec<EnginePlacer> = (0..placers).map(|_| EnginePlacer::default()).collect();
@@ -77,7 +77,7 @@
 
 fn max_per_second_of_cold_engines(
     sent: &BTreeMap<String, Vec<u64>>,
-    book: &TargetBook,
+    book: &TargetStore,
     now: Instant,
 ) -> usize {
     let cold = sent
@@ -130,7 +130,7 @@
 #[test]
 fn no_engine_is_chosen_if_all_are_at_their_limit() {
     let now = Instant::now();
-    let mut book = TargetBook::default();
+    let mut book = TargetStore::default();
     let mut cold = record(0, "engine", 0);
     cold.cold_ms = 5_000;
     book.replace(&[cold], now);
--- a/crates/gateway/src/engine/tests/placing_cost.rs
+++ b/crates/gateway/src/engine/tests/placing_cost.rs
@@ -13,7 +13,7 @@
 
 const ROUNDS: u32 = 2_000;
 
-fn placer_with_load(book: &TargetBook, now: Instant, engines: usize) -> EnginePlacer {
+fn placer_with_load(book: &TargetStore, now: Instant, engines: usize) -> EnginePlacer {
     let mut placer = EnginePlacer::default();
     for number in 0..engines * PROMPTS_PER_ENGINE {
         let part = format!("{:08x}", number % PART_COUNT);
@@ -34,7 +34,7 @@
         let records: Vec<TargetRecord> = (0..engines)
             .map(|number| record(number, "engine", number % 3))
             .collect();
-        let mut book = TargetBook::default();
+        let mut book = TargetStore::default();
         book.replace(&records, Instant::now());
         let now = Instant::now();
         let mut placer = placer_with_load(&book, now, engines);
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -17,11 +17,12 @@
 use crate::message_heads::{build_response, refusal_response};
 use crate::relay::{StreamRelay, relay_stream};
 use crate::service_availability::retry_after;
+use crate::run_permit::{RunPermit, acquire_run_permit};
 use crate::stage_client::Placement;
-use crate::target_selection::{
-    ExcludedTargets, no_target_refusal, pick_service, select_or_await_target,
-};
-use crate::turn::{RunTurn, take_turn};
+use crate::target_selection::ExcludedTargets;
+use crate::target_selection::no_target_refusal;
+use crate::target_selection::pick_service;
+use crate::target_selection::select_or_await_target;
 use crate::wait_model::PathEstimate;
 use crate::{Gateway, Refusal, RefusalReason, ResponseBody};
 
@@ -173,7 +174,7 @@
     trace: &mut RequestTrace,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let mut run_permit = None;
-    take_turn(gateway, request, &mut run_permit).await?;
+    acquire_run_permit(gateway, request, &mut run_permit).await?;
     let service = pick_service(&request.route).to_owned();
     gateway
         .retry_budget
@@ -194,7 +195,7 @@
         }
         // The request's status may have changed by its own last run, or at another entry host while
         // its stages ran.
-        if let Err(refusal) = take_turn(gateway, request, &mut run_permit).await {
+        if let Err(refusal) = acquire_run_permit(gateway, request, &mut run_permit).await {
             return Err(adjust_refusal(trace, refusal));
         }
         // Selects the target only now, since targets may have left while the stages ran.
@@ -223,7 +224,7 @@
             run_permit
                 .as_mut()
                 .into_iter()
-                .for_each(RunTurn::note_sending);
+                .for_each(RunPermit::mark_sent);
             // A target that backed off may still be used after its back-off.
             if !gateway.notices.is_backed_off(&chosen.id) {
                 tried.push(chosen.id.clone());
@@ -253,7 +254,7 @@
                 // A target that fails a share of its requests responds with a server error
                 // without having run them.
                 if !status.is_server_error() {
-                    gateway.note_whole_run(request, &chosen.id);
+                    gateway.record_complete_run(request, &chosen.id);
                 }
                 let retries =
                     status.is_server_error() && may_retry && take_retry(gateway, &service);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,16 +24,17 @@
 use crate::coordinator::Coordinator;
 use crate::engine::EnginePlacer;
 use crate::metrics::GatewayMetrics;
-use crate::notice_book::NoticeBook;
+use crate::notice_store::NoticeStore;
 use crate::open_request::OpenRequestCount;
-use crate::rate_turn::RateTurns;
-use crate::retry_budget::{BudgetRule, RetryBudget};
+use crate::retry_budget::BudgetRule;
+use crate::retry_budget::RetryBudget;
 use crate::rollouts::RolloutTracker;
+use crate::send_permit_issuer::SendPermitIssuer;
 use crate::stage_call::StageTargetClient;
 use crate::stage_client::StageClient;
-use crate::suspects::SuspectWatch;
-use crate::target::TargetBook;
-use crate::target_end::TargetEnds;
+use crate::suspects::SuspectTracker;
+use crate::target::TargetStore;
+use crate::target_crash::CrashTracker;
 use crate::upstream::UpstreamPool;
 use crate::wait_model::WaitModel;
 
@@ -91,20 +92,20 @@
     pub(crate) config: GatewayConfig,
     route_table: watch::Sender<Option<Rc<RouteTable>>>,
     pub(crate) directory: RefCell<DirectoryView>,
-    pub(crate) targets: Rc<RefCell<TargetBook>>,
+    pub(crate) targets: Rc<RefCell<TargetStore>>,
     pub(crate) upstream: UpstreamPool,
     pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) engine_placer: Rc<RefCell<EnginePlacer>>,
     pub(crate) wait_model: RefCell<WaitModel>,
     pub(crate) stage_client: StageClient,
     pub(crate) coordinator: Rc<Coordinator>,
-    pub(crate) suspects: SuspectWatch,
-    pub(crate) crash_tracker: TargetEnds,
+    pub(crate) suspects: SuspectTracker,
+    pub(crate) crash_tracker: CrashTracker,
     pub(crate) rollouts: RolloutTracker,
     /// Back-offs, leave notices and rate limits that targets sent to this host.
-    pub(crate) notices: Rc<NoticeBook>,
+    pub(crate) notices: Rc<NoticeStore>,
     /// Issues send permits for the targets that this host is responsible for.
-    send_permit_issuer: RateTurns,
+    send_permit_issuer: SendPermitIssuer,
     /// Counts requests that wait until a target accepts requests again.
     pub(crate) waiting_requests: OpenRequestCount,
     pub(crate) stopping: Cell<bool>,
@@ -132,8 +133,8 @@
         };
         let pool = UpstreamPool::default();
         let metrics = GatewayMetrics::new();
-        let targets: Rc<RefCell<TargetBook>> = Rc::default();
-        let notices = Rc::new(NoticeBook::new(config.recorder.clone(), targets.clone()));
+        let targets: Rc<RefCell<TargetStore>> = Rc::default();
+        let notices = Rc::new(NoticeStore::new(config.recorder.clone(), targets.clone()));
         let caller = StageTargetClient::new(config.protocol.clone(), pool.clone(), notices.clone());
         let coordinator = Rc::new(Coordinator::new(
             caller,
@@ -162,11 +163,11 @@
             engine_placer: engines.clone(),
             coordinator,
             upstream: pool,
-            suspects: SuspectWatch::default(),
-            crash_tracker: TargetEnds::default(),
+            suspects: SuspectTracker::default(),
+            crash_tracker: CrashTracker::default(),
             rollouts: RolloutTracker::default(),
             notices,
-            send_permit_issuer: RateTurns::default(),
+            send_permit_issuer: SendPermitIssuer::default(),
             waiting_requests: OpenRequestCount::default(),
             stopping: Cell::new(false),
             stop_deadline: watch::Sender::new(None),
@@ -183,7 +184,7 @@
             .coordinator
             .set_target_crash_observer(Box::new(move |call| {
                 if let Some(gateway) = weak.upgrade() {
-                    gateway.note_call_end(call);
+                    gateway.record_stage_crash(call);
                 }
             }));
         let weak = Rc::downgrade(&gateway);
@@ -272,8 +273,8 @@
 
     /// Applies an update of the directory.
     pub fn apply_update(&self, from: SocketAddr, update: DirectoryUpdate) {
-        self.take_suspects(&update.suspects);
-        self.notices.rates.take_told(&update.rate_limits);
+        self.merge_suspects(&update.suspects);
+        self.notices.rates.apply_published(&update.rate_limits);
         let targets_updated = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
         // After this returns, the control host receives the acknowledgement of the update and in
@@ -311,7 +312,7 @@
         let targets = self.targets.borrow();
         let mut records = update.targets.iter();
         records.any(|record| {
-            record.state > TargetState::Ready && targets.has(&record.service, &record.id)
+            record.state > TargetState::Ready && targets.contains(&record.service, &record.id)
         })
     }
 
--- a/crates/gateway/src/gateway/send_permits.rs
+++ b/crates/gateway/src/gateway/send_permits.rs
@@ -8,19 +8,19 @@
 use linnet_directory::RateLimitSource;
 
 use super::Gateway;
-use crate::rate_turn::{RateAnswer, RateAsk, RateSubject};
+use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest, SendPermitScope};
 use crate::stage_client::SendPermitHost;
 
 impl Gateway {
     /// Makes this gateway the requester of send permits for its own requests.
     pub(super) fn install_permit_requester(self: &Rc<Self>) {
         let weak = Rc::downgrade(self);
-        self.notices.rates.set_asker(Box::new(move |request| {
+        self.notices.rates.set_requester(Box::new(move |request| {
             let gateway = weak.upgrade();
             async move {
                 match gateway {
                     Some(gateway) => gateway.request_send_permit(request).await,
-                    None => RateAnswer::UNREACHED,
+                    None => SendPermitReply::UNREACHABLE,
                 }
             }
             .boxed_local()
@@ -34,71 +34,71 @@
             changes: self.notices.rates.changes(),
             changed_after: Box::new(move |request| {
                 let changed = gateway.notices.rates.changed_after(request);
-                (changed.words, changed.number)
+                (changed.observations, changed.revision)
             }),
         }
     }
 
-    async fn request_send_permit(&self, request: RateAsk) -> RateAnswer {
-        match self.send_permit_host(&request.subject) {
+    async fn request_send_permit(&self, request: SendPermitRequest) -> SendPermitReply {
+        match self.send_permit_host(&request.scope) {
             SendPermitHost::Local => self.issue_send_permit(&request),
             SendPermitHost::Remote(address) => {
                 self.stage_client
                     .request_send_permit(address, request)
                     .await
             }
-            SendPermitHost::Unreachable => RateAnswer::UNREACHED,
+            SendPermitHost::Unreachable => SendPermitReply::UNREACHABLE,
         }
     }
 
-    fn send_permit_host(&self, subject: &RateSubject) -> SendPermitHost {
+    fn send_permit_host(&self, subject: &SendPermitScope) -> SendPermitHost {
         let hall = match subject {
-            RateSubject::Target(word) => {
+            SendPermitScope::Target(word) => {
                 let targets = self.targets.borrow();
-                let found = targets.find_anywhere(&word.target);
+                let found = targets.find_by_id(&word.target);
                 found.map_or(String::new(), |(_, target)| target.hall.clone())
             }
-            RateSubject::Service(..) => String::new(),
+            SendPermitScope::Service(..) => String::new(),
         };
         self.stage_client.send_permit_host(subject.key(), &hall)
     }
 
     /// Handles the request of another host for a send permit.
-    pub(crate) fn handle_send_permit_request(&self, request: &RateAsk) -> RateAnswer {
-        if let RateSubject::Target(word) = &request.subject {
-            self.notices.rates.take_word(word);
+    pub(crate) fn handle_send_permit_request(&self, request: &SendPermitRequest) -> SendPermitReply {
+        if let SendPermitScope::Target(word) = &request.scope {
+            self.notices.rates.apply_peer_observation(word);
         }
-        match self.send_permit_host(&request.subject) {
+        match self.send_permit_host(&request.scope) {
             SendPermitHost::Local => self.issue_send_permit(request),
             // Two hosts that issue permits for the same target would admit twice its rate.
             SendPermitHost::Remote(_) | SendPermitHost::Unreachable => {
-                self.send_permit_issuer.forget(request.subject.key());
-                RateAnswer::UNREACHED
+                self.send_permit_issuer.remove(request.scope.key());
+                SendPermitReply::UNREACHABLE
             }
         }
     }
 
     /// Issues a send permit, as the responsible host.
-    fn issue_send_permit(&self, request: &RateAsk) -> RateAnswer {
+    fn issue_send_permit(&self, request: &SendPermitRequest) -> SendPermitReply {
         if !self.directory.borrow().is_connected() && !self.stage_client.reaches_any_host() {
             // Hosts that cannot reach this one either select another host to issue permits.
-            return RateAnswer::UNREACHED;
+            return SendPermitReply::UNREACHABLE;
         }
-        let rate = match &request.subject {
-            RateSubject::Target(word) => self.notices.rates.rate(&word.target),
-            RateSubject::Service(_, sum) => Some(*sum),
+        let rate = match &request.scope {
+            SendPermitScope::Target(word) => self.notices.rates.rate_limit(&word.target),
+            SendPermitScope::Service(_, sum) => Some(*sum),
         };
         let Some(rate) = rate else {
             // The target has lifted its rate limit, and the requesting host has not received that
             // update yet.
-            return RateAnswer::Granted {
+            return SendPermitReply::Granted {
                 wait_ms: 0,
                 more: 0,
                 next_ms: 0,
             };
         };
         self.send_permit_issuer
-            .give(rate, request, BootInstant::now())
+            .issue(rate, request, BootInstant::now())
     }
 
     /// Removes the state of targets for which no permit was requested for a long time.
--- a/crates/gateway/src/gateway/target_list.rs
+++ b/crates/gateway/src/gateway/target_list.rs
@@ -53,8 +53,8 @@
             .iter()
             .for_each(|engine| engines.forget_engine(engine));
         drop(engines);
-        self.notices.take_list(BootInstant::now());
-        self.note_starts();
+        self.notices.apply_target_list(BootInstant::now());
+        self.record_restarts();
         match &changes {
             TargetChanges::All(ready) => self.propagate_list(ready),
             TargetChanges::Partial { listed, unlisted } => self.propagate_changes(listed, unlisted),
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -142,8 +142,8 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         gateway.apply_update(control(1), target_update(1, TargetState::Draining));
-        assert!(!gateway.targets.borrow().has("engines", "t-1"));
-        assert!(gateway.targets.borrow().has("engines", "t-2"));
+        assert!(!gateway.targets.borrow().contains("engines", "t-1"));
+        assert!(gateway.targets.borrow().contains("engines", "t-2"));
         // The same state from another control host causes no refresh.
         let lists = gateway.metrics.target_lists.get();
         gateway.apply_update(control(0), target_update(1, TargetState::Draining));
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -16,7 +16,7 @@
 use crate::pool_key::PoolKey;
 use crate::schedule::StageSchedule;
 use crate::stage_client::{Expectation, FinishedBatch, HostLocation, PartitionRequirements};
-use crate::target::TargetBook;
+use crate::target::TargetStore;
 use crate::{Gateway, Refusal, RefusalReason};
 
 /// Handles of the results of one stage; the results are released on drop.
@@ -50,7 +50,7 @@
 
 impl RequestResults {
     /// Returns how many bytes of the final stages' results lie in each hall.
-    pub(crate) fn bytes_by_hall(&self, request: &CallerRequest, book: &TargetBook) -> HallBytes {
+    pub(crate) fn bytes_by_hall(&self, request: &CallerRequest, book: &TargetStore) -> HallBytes {
         bytes_by_hall(request, &self.stages, &self.final_stages, book)
     }
 
@@ -215,7 +215,7 @@
     request: &CallerRequest,
     results: &[Option<StageResults>],
     numbers: &[usize],
-    book: &TargetBook,
+    book: &TargetStore,
 ) -> HallBytes {
     let mut bytes_by_hall = HallBytes::default();
     for number in numbers {
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that are at work at a target.
+//! Counting of requests in flight at a target.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,17 +8,18 @@
 use crate::Gateway;
 use crate::caller_request::CallerRequest;
 
-/// Counts a request at its target until it is dropped.
-pub(crate) struct InFlight {
+/// Counts a request as in flight at its target until it is dropped.
+pub(crate) struct InFlightGuard {
     gateway: Rc<Gateway>,
     service: String,
     id: String,
     sent: Instant,
-    /// The objective of a plain request, whose time says how slow the target is, also where it is given up.
+    /// The objective of a non-streaming request, with which its duration is compared, answered or
+    /// given up.
     objective: Option<Duration>,
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(crate) fn new(gateway: &Rc<Gateway>, service: &str, id: &str, ask: &CallerRequest) -> Self {
         if let Some(target) = gateway.targets.borrow_mut().find_mut(service, id) {
             target.in_flight += 1;
@@ -33,18 +34,18 @@
         }
     }
 
-    /// Notes that the request is sent now; before, it waited for leave.
-    pub(crate) fn note_sending(&mut self) {
+    /// Records that the request is sent now, after waiting for a permit.
+    pub(crate) fn mark_sent(&mut self) {
         self.sent = Instant::now();
     }
 
-    /// Lets the time say nothing of the target, which did not get the request.
-    pub(crate) fn forget(&mut self) {
+    /// Excludes the duration from the slowness of the target, which did not receive the request.
+    pub(crate) fn discard_timing(&mut self) {
         self.objective = None;
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut targets = self.gateway.targets.borrow_mut();
         if let Some(target) = targets.find_mut(&self.service, &self.id) {
@@ -53,7 +54,7 @@
         if let Some(objective) = self.objective {
             let now = Instant::now();
             let took = now.saturating_duration_since(self.sent);
-            targets.learn_time(&self.service, &self.id, took, objective, now);
+            targets.record_duration(&self.service, &self.id, took, objective, now);
         }
     }
 }
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -1,146 +1,153 @@
-//! What a target says of itself in the head of an answer: that it wants no requests for a while, that it takes
-//! so many a second, or that it leaves.
+//! What a target states about itself in the headers of a response: that it accepts no requests for
+//! a while, its rate limit, or that it is leaving.
 
 use std::time::{Duration, SystemTime};
 
 use derive_more::{Display, Error};
 use http::response::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, header};
-use linnet_rate::{NamedRate, read_rate};
+use linnet_rate::{RateLimit, parse_rate_limit};
 
 use crate::Protocol;
 
-/// The longest back-off that is taken, so that a target which writes a number without meaning is not lost
-/// until its next start.
-const MOST_BACK_OFF: Duration = Duration::from_secs(3_600);
+/// Longest back-off that is applied, so that a nonsensical value does not exclude a target until
+/// its next incarnation.
+const MAX_BACK_OFF: Duration = Duration::from_secs(3_600);
 
-/// What the head of an answer says of the target.
+/// What the headers of a response state about the target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct TargetNotice {
-    /// For how long it wants nothing from this host; it turned a request away.
+    /// How long the target accepts nothing from this host. Set only if it refused the request.
     pub(crate) back_off: Option<Duration>,
-    /// Whether it leaves, and so takes no new work.
+    /// Whether the target is leaving, and so accepts no new work.
     pub(crate) leaving: bool,
-    /// What it says of the rate at which it takes requests.
-    pub(crate) rate: RateNotice,
+    /// What the headers state about the rate limit of the target.
+    pub(crate) rate_limit: RateNotice,
 }
 
-/// What the head of an answer says of the rate at which its target takes requests from all hosts together.
+/// What the headers of a response state about the rate limit of the target, which applies to the
+/// requests of all hosts together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum RateNotice {
-    /// Nothing: the head is not this target's word.
+    /// Nothing: the headers are not to be attributed to this target.
     #[default]
-    Unsaid,
-    /// It takes any rate.
-    Any,
-    /// It takes this one.
-    Named(NamedRate),
-    /// It names one that cannot be read, which changes nothing.
-    Unreadable,
+    Ignored,
+    /// The target accepts any rate.
+    Unlimited,
+    /// The target has this limit.
+    Limited(RateLimit),
+    /// The limit cannot be parsed; the known limit stays.
+    Invalid,
 }
 
 impl TargetNotice {
-    /// Says whether the target asks for something that keeps work from it.
-    pub(crate) fn closes(&self) -> bool {
+    /// Returns whether the target asks to receive no work, for a while or for good.
+    pub(crate) fn stops_work(&self) -> bool {
         self.back_off.is_some() || self.leaving
     }
 }
 
-/// Why a time to come back cannot be read.
+/// Why a Retry-After value cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-pub(crate) enum BackOffFault {
-    /// It is not text.
-    #[display("no text")]
-    NoText,
-    /// It is neither a number of seconds nor a date.
+pub(crate) enum RetryAfterError {
+    /// The value is not text.
+    #[display("not text")]
+    NotText,
+    /// The value is neither a number of seconds nor a date.
     #[display("neither seconds nor a date")]
-    NoTime,
+    NotATime,
 }
 
-/// Reads what the head of an answer says of the target that gave it.
+/// Parses what the headers of a response state about the target.
 ///
-/// A head that names another request than `asked` is a surplus answer, which may be old, and says nothing.
-/// Answers without an identity are taken: a target that refuses need not have read the request's.
-pub(crate) fn read_notice(dialect: &Protocol, head: &Parts, asked: Option<&str>) -> TargetNotice {
+/// A response that echoes another request ID than `request_id` is surplus and may be old, so it is
+/// ignored. A response without a request ID is accepted, since a target that refuses a request may
+/// not have read the ID.
+pub(crate) fn parse_notice(
+    dialect: &Protocol,
+    head: &Parts,
+    request_id: Option<&str>,
+) -> TargetNotice {
     let echoed = head.headers.get(&dialect.headers.request_id);
     let echoed = echoed.filter(|echoed| !echoed.is_empty());
-    if echoed.is_some_and(|echoed| asked != echoed.to_str().ok()) {
+    if echoed.is_some_and(|echoed| request_id != echoed.to_str().ok()) {
         return TargetNotice::default();
     }
-    // Another start at the address speaks for itself.
+    // Another incarnation of the target at this address sends notices of its own.
     if head.status == dialect.targets.other_target {
         return TargetNotice::default();
     }
-    let turned_away = head.status == dialect.targets.turned_away;
+    let refused = head.status == dialect.targets.turned_away;
     let leaving = head.headers.get(&dialect.headers.leaving);
     TargetNotice {
-        back_off: turned_away
-            .then(|| longest_back_off(&head.headers))
+        back_off: refused
+            .then(|| longest_retry_after(&head.headers))
             .flatten(),
         leaving: leaving.is_some_and(|value| value != "0"),
-        rate: lowest_rate(&head.headers, &dialect.headers.rate),
+        rate_limit: lowest_rate_limit(&head.headers, &dialect.headers.rate),
     }
 }
 
-/// Returns the lowest rate that the head of an answer names.
-fn lowest_rate(headers: &HeaderMap, name: &HeaderName) -> RateNotice {
+/// Returns the lowest rate limit in the headers of a response.
+fn lowest_rate_limit(headers: &HeaderMap, name: &HeaderName) -> RateNotice {
     if !headers.contains_key(name) {
-        return RateNotice::Any;
+        return RateNotice::Unlimited;
     }
-    let named = headers.get_all(name).iter();
-    let rates = named.filter_map(
-        |value| match read_rate(value.to_str().unwrap_or_default()) {
-            Ok(rate) => Some(rate),
-            Err(fault) => {
-                log::warn!("a target's {name} is ignored: {fault}: {value:?}");
-                None
-            }
-        },
-    );
-    let lowest = rates.min();
-    lowest.map_or(RateNotice::Unreadable, RateNotice::Named)
+    let values = headers.get_all(name).iter();
+    let limits =
+        values.filter_map(
+            |value| match parse_rate_limit(value.to_str().unwrap_or_default()) {
+                Ok(limit) => Some(limit),
+                Err(error) => {
+                    log::warn!("ignoring {name} header of a target: {error}: {value:?}");
+                    None
+                }
+            },
+        );
+    let lowest = limits.min();
+    lowest.map_or(RateNotice::Invalid, RateNotice::Limited)
 }
 
-/// Returns the longest time that the head of an answer names; nothing where it names none.
-fn longest_back_off(headers: &HeaderMap) -> Option<Duration> {
-    let sent = headers.get(header::DATE).and_then(read_date);
-    let sent = sent.unwrap_or_else(SystemTime::now);
-    let named = headers.get_all(header::RETRY_AFTER).iter();
-    let times = named.filter_map(|value| match read_back_off(value, sent) {
-        Ok(time) => Some(time),
-        Err(fault) => {
+/// Returns the longest Retry-After time in the headers of a response; `None` if there is none.
+fn longest_retry_after(headers: &HeaderMap) -> Option<Duration> {
+    let response_date = headers.get(header::DATE).and_then(parse_date);
+    let response_date = response_date.unwrap_or_else(SystemTime::now);
+    let values = headers.get_all(header::RETRY_AFTER).iter();
+    let delays = values.filter_map(|value| match parse_retry_after(value, response_date) {
+        Ok(delay) => Some(delay),
+        Err(error) => {
             log::warn!(
-                "a target's {} is ignored: {fault}: {value:?}",
+                "ignoring {} header of a target: {error}: {value:?}",
                 header::RETRY_AFTER
             );
             None
         }
     });
-    times.max().filter(|time| !time.is_zero())
+    delays.max().filter(|delay| !delay.is_zero())
 }
 
-/// Reads a time to come back: seconds, with or without a fraction, or a date, which is taken against the time
-/// at which the answer was sent. What lies in the past is no time at all.
-pub(crate) fn read_back_off(
+/// Parses a Retry-After value: seconds, with or without a fraction, or a date, from which the time
+/// of the response is subtracted. A time in the past yields zero.
+pub(crate) fn parse_retry_after(
     value: &HeaderValue,
-    sent: SystemTime,
-) -> Result<Duration, BackOffFault> {
-    let text = value.to_str().map_err(|_| BackOffFault::NoText)?.trim();
+    response_date: SystemTime,
+) -> Result<Duration, RetryAfterError> {
+    let text = value.to_str().map_err(|_| RetryAfterError::NotText)?.trim();
     let date = httpdate::parse_http_date(text);
     if let Ok(date) = date {
-        let left = date.duration_since(sent).unwrap_or_default();
-        return Ok(left.min(MOST_BACK_OFF));
+        let left = date.duration_since(response_date).unwrap_or_default();
+        return Ok(left.min(MAX_BACK_OFF));
     }
     let is_number = |byte: u8| byte.is_ascii_digit() || b"+-.".contains(&byte);
     if !text.bytes().all(is_number) {
-        return Err(BackOffFault::NoTime);
+        return Err(RetryAfterError::NotATime);
     }
-    let seconds: f64 = text.parse().map_err(|_| BackOffFault::NoTime)?;
-    let seconds = seconds.clamp(0.0, MOST_BACK_OFF.as_secs_f64());
+    let seconds: f64 = text.parse().map_err(|_| RetryAfterError::NotATime)?;
+    let seconds = seconds.clamp(0.0, MAX_BACK_OFF.as_secs_f64());
     Ok(Duration::from_secs_f64(seconds))
 }
 
-fn read_date(value: &HeaderValue) -> Option<SystemTime> {
+fn parse_date(value: &HeaderValue) -> Option<SystemTime> {
     httpdate::parse_http_date(value.to_str().ok()?).ok()
 }
 
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -7,9 +7,11 @@
 use crate::engine::{PlacementFacts, PlacementRequest};
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUsage};
 use crate::pool_key::PoolKey;
-use crate::rate_turn::{RateAnswer, RateAsk};
-use crate::stage_call::{CallOutcome, StageCall, StageRelease};
-use crate::turn::TurnAnswer;
+use crate::run_permit::RunPermitReply;
+use crate::send_permit_issuer::SendPermitReply;
+use crate::send_permit_issuer::SendPermitRequest;
+use crate::stage_call::CallOutcome;
+use crate::stage_call::{CallEnd, StageCall, StageRelease};
 
 /// A request from one entry host to another: to the coordinator of a pool, the placer of a service, the
 /// issuer of permits, or a host that sends calls to nearby targets.
@@ -66,7 +68,7 @@
     /// A heartbeat.
     Heartbeat,
     /// Asks for a permit to send to a target with a rate limit.
-    AcquireSendPermit { number: u64, request: RateAsk },
+    AcquireSendPermit { number: u64, request: SendPermitRequest },
 }
 
 impl PieceRequest {
@@ -94,7 +96,7 @@
         engine: Option<(String, PlacementFacts)>,
     },
     /// Whether a run permit was issued.
-    RunPermit { number: u64, reply: TurnAnswer },
+    RunPermit { number: u64, reply: RunPermitReply },
     /// The outcome of a delegated call.
     DelegatedCallEnded { number: u64, outcome: CallOutcome },
     /// The sender's use of the targets of a pool, sent to the hosts that would become its coordinator if
@@ -106,7 +108,9 @@
     /// A heartbeat with the load of the pools that the sender coordinates.
     Heartbeat { loads: Vec<(PoolKey, PoolLoad)> },
     /// Whether a send permit was issued for a target with a rate limit.
-    SendPermit { number: u64, reply: RateAnswer },
+    SendPermit {
+        number: u64, reply: SendPermitReply,
+    },
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -3,15 +3,15 @@
 
 use std::net::SocketAddr;
 
-use linnet_quarantine::{EndKey, RequestSubject};
-use linnet_rate::{NamedRate, RateWord};
+use linnet_quarantine::{CrashKey, RequestSubject};
+use linnet_rate::{RateLimit, RateObservation};
 
 use super::*;
 use crate::caller_request::{Prompt, PromptPart, Rank};
 use crate::hall_bytes::HallBytes;
 use crate::piece::{PieceInput, StageWork};
 use crate::pool_key::PoolPartition;
-use crate::rate_turn::RateSubject;
+use crate::send_permit_issuer::SendPermitScope;
 use crate::reported_load::ReportedLoad;
 use crate::stage_call::CallPart;
 
@@ -92,7 +92,7 @@
 fn suspect() -> SuspectRecord {
     let subject = RequestSubject::new("acme", "GET", ["shop.example", "/once/1"], b"body");
     let mut record = SuspectRecord::new(subject);
-    record.ends.insert(EndKey::new("i-7f3a91c2", 7));
+    record.crashes.insert(CrashKey::new("i-7f3a91c2", 7));
     record
 }
 
@@ -158,22 +158,22 @@
         PieceRequest::Heartbeat,
         PieceRequest::AcquireSendPermit {
             number: 306,
-            request: RateAsk {
-                subject: RateSubject::Target(RateWord {
+            request: SendPermitRequest {
+                scope: SendPermitScope::Target(RateObservation {
                     target: "i-1".to_owned(),
-                    rate: Some(NamedRate::new(2.5)),
-                    asked_ms: 300,
-                    heard_ms: 200,
+                    rate_limit: Some(RateLimit::new(2.5)),
+                    sent_age_ms: 300,
+                    received_age_ms: 200,
                 }),
-                within_ms: 150,
+                max_wait_ms: 150,
                 more: 1,
             },
         },
         PieceRequest::AcquireSendPermit {
             number: 307,
-            request: RateAsk {
-                subject: RateSubject::Service("engine".to_owned(), NamedRate::new(40.0)),
-                within_ms: 150,
+            request: SendPermitRequest {
+                scope: SendPermitScope::Service("engine".to_owned(), RateLimit::new(40.0)),
+                max_wait_ms: 150,
                 more: 0,
             },
         },
@@ -223,7 +223,11 @@
         queued_tokens: 70_000,
         expected_ms: 40,
     };
-    let answers = [TurnAnswer::Granted, TurnAnswer::Busy, TurnAnswer::Held];
+    let answers = [
+        RunPermitReply::Granted,
+        RunPermitReply::Busy,
+        RunPermitReply::Held,
+    ];
     let run_permits = answers
         .into_iter()
         .map(|reply| PieceReply::RunPermit { number: 305, reply });
@@ -257,12 +261,12 @@
         },
         PieceReply::Heartbeat { loads: Vec::new() },
     ];
-    let granted = RateAnswer::Granted {
+    let granted = SendPermitReply::Granted {
         wait_ms: 150,
         more: 1,
         next_ms: 550,
     };
-    let send_permits = [granted, RateAnswer::Later(700)];
+    let send_permits = [granted, SendPermitReply::Denied(700)];
     let send_permits = send_permits
         .into_iter()
         .map(|reply| PieceReply::SendPermit { number: 306, reply });
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -20,9 +20,10 @@
 use crate::message_heads::build_response;
 use crate::message_heads::has_body_framing;
 use crate::rollouts::ResponseQuality;
-use crate::target::Chosen;
-use crate::target_selection::{ExcludedTargets, select_or_await_target};
-use crate::turn::{RunTurn, take_turn};
+use crate::run_permit::{RunPermit, acquire_run_permit};
+use crate::target::ChosenTarget;
+use crate::target_selection::ExcludedTargets;
+use crate::target_selection::select_or_await_target;
 use crate::upstream::is_peer_disconnect;
 use crate::{Gateway, ResponseBody};
 
@@ -31,7 +32,7 @@
     gateway: Rc<Gateway>,
     request: Rc<CallerRequest>,
     service: String,
-    chosen: Chosen,
+    chosen: ChosenTarget,
     /// Retained if the stream may have to start again at another target.
     results: Option<RequestResults>,
     tried: Vec<String>,
@@ -43,7 +44,7 @@
     /// Whether the end of the stream has been logged.
     ended: bool,
     /// The run permit of the request, if it needs one.
-    run_permit: Option<RunTurn>,
+    run_permit: Option<RunPermit>,
 }
 
 // The HTTP library drops a stream when its caller closes the connection.
@@ -61,7 +62,7 @@
         gateway: &Rc<Gateway>,
         request: &Rc<CallerRequest>,
         service: String,
-        chosen: Chosen,
+        chosen: ChosenTarget,
         results: Option<RequestResults>,
         attempts: u32,
     ) -> Self {
@@ -84,7 +85,7 @@
     }
 
     /// Sets the run permit that the request holds.
-    pub(crate) fn with_run_permit(mut self, run_permit: Option<RunTurn>) -> Self {
+    pub(crate) fn with_run_permit(mut self, run_permit: Option<RunPermit>) -> Self {
         self.run_permit = run_permit;
         self
     }
@@ -118,7 +119,7 @@
     async fn probe_target(&self) {
         let (service, chosen) = (&self.service, &self.chosen);
         self.gateway
-            .note_break(service, chosen, &self.request, self.sent)
+            .probe_after_break(service, chosen, &self.request, self.sent)
             .await;
     }
 
@@ -131,13 +132,13 @@
             .count_response(service, target, route, ResponseQuality::Failed);
         while self.request.route.may_repeat()
             && self.attempts < self.request.route.max_attempts
-            && take_turn(&self.gateway, &self.request, &mut self.run_permit)
+            && acquire_run_permit(&self.gateway, &self.request, &mut self.run_permit)
                 .await
                 .is_ok()
             && take_retry(&self.gateway, &self.service)
         {
             self.attempts += 1;
-            self.run_permit.iter_mut().for_each(RunTurn::note_sending);
+            self.run_permit.iter_mut().for_each(RunPermit::mark_sent);
             if let (chosen, AttemptOutcome::Streaming(stream)) = self.try_next_target().await? {
                 self.chosen = chosen;
                 self.sent = Instant::now();
@@ -150,7 +151,7 @@
 
     /// Sends the request to another target, which is to resume after the last event; returns `None`
     /// if no target is available.
-    async fn try_next_target(&mut self) -> Option<(Chosen, AttemptOutcome)> {
+    async fn try_next_target(&mut self) -> Option<(ChosenTarget, AttemptOutcome)> {
         loop {
             let (gateway, results) = (&self.gateway, self.results.as_ref());
             let excluded = ExcludedTargets {
@@ -222,7 +223,7 @@
             if has_body_framing(&headers) {
                 relay
                     .gateway
-                    .note_whole_run(&relay.request, &relay.chosen.id);
+                    .record_complete_run(&relay.request, &relay.chosen.id);
             } else {
                 relay.probe_target().await;
             }
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -16,7 +16,7 @@
 use crate::engine::PlacementFacts;
 use crate::piece::PieceFault;
 use crate::stage_call::CallOutcome;
-use crate::target::Chosen;
+use crate::target::ChosenTarget;
 use crate::version_split::VersionSplit;
 
 /// Times of prompts and of calls are recorded relative to the expected time, in hundredths: engines that started
@@ -107,7 +107,7 @@
             let targets = gateway.targets.borrow();
             let tally = gateway.rollouts.tally.borrow();
             tally.counts(&gateway.rollouts.current.borrow(), |service, version| {
-                targets.open_beside(service, version)
+                targets.in_flight_at_other_versions(service, version)
             })
         })
     }
@@ -150,7 +150,7 @@
     pub(crate) fn count_attempt(
         &self,
         request: &CallerRequest,
-        (service, chosen): (&str, &Chosen),
+        (service, chosen): (&str, &ChosenTarget),
         outcome: &AttemptOutcome,
         took: Duration,
         estimate: Option<PlacementFacts>,
--- a/crates/gateway/src/send_gate.rs
+++ b/crates/gateway/src/send_gate.rs
@@ -1,64 +1,67 @@
-//! The last look before something is sent to a target.
+//! The check that is made right before something is sent to a target.
 
 use linnet_clock::BootInstant;
 
-use crate::notice_book::NoticeBook;
-use crate::rate_permit::SendPermit;
-use crate::target_ask::TargetStanding;
+use crate::notice_store::NoticeStore;
+use crate::send_permit::SendPermit;
+use crate::target_restriction::TargetAvailability;
 
 /// What is sent to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SendKind {
-    /// Something to run.
+    /// A request to run.
     Work,
-    /// A word about work that it has done, which one that leaves takes as well.
-    Word,
+    /// A control message about finished work, which a leaving target accepts as well.
+    Control,
 }
 
-/// The last look before something is sent to a target.
+/// The check that is made right before something is sent to a target.
 pub(crate) struct SendGate<'a> {
-    book: &'a NoticeBook,
+    notices: &'a NoticeStore,
     target: &'a str,
     kind: SendKind,
     permit: SendPermit,
-    /// Whether this is the request that tries the target after a back-off.
-    tries: bool,
+    /// Whether this is the trial request after a back-off.
+    is_trial: bool,
 }
 
 impl<'a> SendGate<'a> {
-    pub(crate) fn new(book: &'a NoticeBook, target: &'a str, kind: SendKind) -> Self {
+    pub(crate) fn new(notices: &'a NoticeStore, target: &'a str, kind: SendKind) -> Self {
         Self {
-            book,
+            notices,
             target,
             kind,
-            permit: SendPermit::FREE,
-            tries: false,
+            permit: SendPermit::UNRESTRICTED,
+            is_trial: false,
         }
     }
 
-    /// Sends with leave that was taken before.
+    /// Sets the permit that was acquired for the request.
     pub(crate) fn with_permit(mut self, permit: SendPermit) -> Self {
         self.permit = permit;
         self
     }
 
-    /// Says whether the bytes may be written now. Asked once more for each connection that is tried.
-    pub(crate) fn passes(&mut self) -> bool {
+    /// Returns whether the bytes may be written now, and counts the request as sent or withheld.
+    /// Called again for each connection that is tried.
+    pub(crate) fn try_pass(&mut self) -> bool {
         let now = BootInstant::now();
-        let open = match self.book.standing(self.target, now) {
-            // Leave that was taken holds also where there is none for others.
-            TargetStanding::Open | TargetStanding::Paced(_) => {
-                self.book.rates.allows(self.target, self.permit, now)
+        let open = match self.notices.availability(self.target, now) {
+            // An acquired permit stays valid even if no further ones are available.
+            TargetAvailability::Open | TargetAvailability::RateLimited(_) => {
+                self.notices.rates.allows(self.target, self.permit, now)
+            }
+            TargetAvailability::Leaving => self.kind == SendKind::Control,
+            // Only requests other than the trial are held back by the trial.
+            TargetAvailability::BackedOff(_) => {
+                self.is_trial && self.notices.back_off_has_elapsed(self.target, now)
             }
-            TargetStanding::Leaving => self.kind == SendKind::Word,
-            // Its own trial holds back only the others.
-            TargetStanding::BackedOff(_) => self.tries && self.book.has_waited(self.target, now),
         };
         if open {
-            self.tries |= self.book.begin_trial(self.target, now);
-            self.book.rates.count_sent(self.target);
+            self.is_trial |= self.notices.begin_trial(self.target, now);
+            self.notices.rates.count_sent(self.target);
         } else {
-            self.book.count_withheld(self.target);
+            self.notices.count_withheld(self.target);
         }
         open
     }
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -19,11 +19,14 @@
 use crate::piece::PieceBatch;
 use crate::piece_message::{PieceReply, PieceRequest};
 use crate::pool_key::PoolKey;
-use crate::stage_call::{CallOutcome, StageCall, StageRelease};
-use crate::stage_client::{
-    HEARTBEAT_INTERVAL, IDLE_HEARTBEAT_INTERVAL, IDLE_SILENCE_TIMEOUT, SILENCE_TIMEOUT,
-};
-use crate::turn::TurnAnswer;
+use crate::run_permit::RunPermitReply;
+use crate::stage_call::CallOutcome;
+use crate::stage_call::StageCall;
+use crate::stage_call::StageRelease;
+use crate::stage_client::HEARTBEAT_INTERVAL;
+use crate::stage_client::IDLE_HEARTBEAT_INTERVAL;
+use crate::stage_client::IDLE_SILENCE_TIMEOUT;
+use crate::stage_client::SILENCE_TIMEOUT;
 
 /// Serves the requests of another entry host until its connection is lost, and then cancels what it has pending.
 ///
@@ -157,9 +160,9 @@
             PieceRequest::DelegateRelease(release) => self.send_delegated_release(release),
             PieceRequest::EngineUnreachable { service, engine } => {
                 let mut targets = self.gateway.targets.borrow_mut();
-                targets.take_unreachable(&service, &engine, Instant::now());
+                targets.apply_peer_unreachable(&service, &engine, Instant::now());
             }
-            PieceRequest::Suspects(records) => self.gateway.take_suspects(&records),
+            PieceRequest::Suspects(records) => self.gateway.merge_suspects(&records),
             PieceRequest::AcquireRunPermit { number, key, id } => {
                 self.issue_run_permit(number, key, &id)
             }
@@ -237,8 +240,8 @@
     }
 
     fn issue_run_permit(&mut self, number: u64, key: RequestKey, id: &str) {
-        let reply = self.gateway.grant_turn(key, id);
-        if reply == TurnAnswer::Granted {
+        let reply = self.gateway.issue_run_permit(key, id);
+        if reply == RunPermitReply::Granted {
             self.run_permits.insert(number, key);
         }
         let _ = self.replies.send(PieceReply::RunPermit { number, reply });
@@ -246,7 +249,7 @@
 
     fn release_run_permit(&mut self, number: u64) {
         if let Some(key) = self.run_permits.remove(&number) {
-            self.gateway.suspects.end_turn(key);
+            self.gateway.suspects.end_run(key);
         }
     }
 
@@ -276,7 +279,7 @@
             .for_each(|key| placer.end_placement(*key));
         drop(placer);
         let run_permits = self.run_permits.values();
-        run_permits.for_each(|key| self.gateway.suspects.end_turn(*key));
+        run_permits.for_each(|key| self.gateway.suspects.end_run(*key));
         let coordinator = &self.gateway.coordinator;
         let expected = self.expectations.values();
         expected.for_each(|key| coordinator.end_expected(*key));
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, Instant};
 
 use linnet_clock::BootInstant;
-use linnet_rate::NamedRate;
+use linnet_rate::RateLimit;
 use tokio::time::sleep;
 
 use crate::caller_request::CallerRequest;
 use crate::open_request::OpenRequestGuard;
 use crate::target::Target;
-use crate::target_ask::TargetStanding;
+use crate::target_restriction::TargetAvailability;
 use crate::{Gateway, Refusal, RefusalReason};
 
 /// Fraction of the time until its objective is missed that a request may wait for a target; the
@@ -59,11 +59,11 @@
             && !tried.contains(&target.id)
     });
     let availabilities = targets.filter_map(|target| {
-        let (wait, rate_limited) = match gateway.notices.standing(&target.id, now) {
-            TargetStanding::Open => (Duration::ZERO, false),
-            TargetStanding::BackedOff(left) => (left, false),
-            TargetStanding::Paced(left) => (left, true),
-            TargetStanding::Leaving => return None,
+        let (wait, rate_limited) = match gateway.notices.availability(&target.id, now) {
+            TargetAvailability::Open => (Duration::ZERO, false),
+            TargetAvailability::BackedOff(left) => (left, false),
+            TargetAvailability::RateLimited(left) => (left, true),
+            TargetAvailability::Leaving => return None,
         };
         Some(NextAvailability { wait, rate_limited })
     });
@@ -78,7 +78,7 @@
     request: &CallerRequest,
     target: &str,
 ) -> Duration {
-    if gateway.notices.rates.rate(target).is_none() {
+    if gateway.notices.rates.rate_limit(target).is_none() {
         return Duration::ZERO;
     }
     match has_unlimited_target(gateway, service, request) {
@@ -98,8 +98,8 @@
     let mut usable = book.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
         request.allowed_halls.allows(&one.hall)
-            && book.rate(&one.id).is_none()
-            && gateway.notices.standing(&one.id, now) == TargetStanding::Open
+            && book.rate_limit(&one.id).is_none()
+            && gateway.notices.availability(&one.id, now) == TargetAvailability::Open
     })
 }
 
@@ -117,14 +117,14 @@
     gateway: &Gateway,
     service: &str,
     request: &CallerRequest,
-) -> Option<NamedRate> {
+) -> Option<RateLimit> {
     if gateway.notices.rates.is_empty() {
         return None;
     }
     let book = gateway.targets.borrow();
     let usable = book.usable(service, Instant::now()).into_iter();
     let usable = usable.filter(|target| request.allowed_halls.allows(&target.hall));
-    let rates = usable.map(|target| book.rate(&target.id));
+    let rates = usable.map(|target| book.rate_limit(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
 
@@ -144,7 +144,7 @@
     };
     let rates = &gateway.notices.rates;
     let turn = rates
-        .take_turn(service, sum, ranked_permit_wait(request))
+        .acquire_service_permit(service, sum, ranked_permit_wait(request))
         .await;
     turn.map_err(|left| rate_refusal(gateway, service, request, left))
 }
@@ -240,7 +240,7 @@
         wait.as_millis()
     );
     let sum = total_rate_limit(gateway, service, request);
-    let turn = sum.map(|sum| gateway.notices.rates.return_turn(service, sum));
+    let turn = sum.map(|sum| gateway.notices.rates.retry_after(service, sum));
     let wait = wait.max(turn.unwrap_or_default()).min(MAX_RETRY_AFTER);
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(with_jitter(wait))
 }
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -16,14 +16,13 @@
 use tokio::time::timeout;
 
 use crate::Protocol;
-use crate::notice::read_notice;
-use crate::notice_book::NoticeBook;
+use crate::notice::parse_notice;
+use crate::notice_store::NoticeStore;
 use crate::piece::{PieceFault, PieceInput, StageWork};
 use crate::protocol::StageItem;
-use crate::rate_permit::SendPermit;
-use crate::reported_load::ReportedLoad;
-use crate::send_gate::SendKind;
-use crate::target_ask::TargetStanding;
+use crate::reported_load::ReportedLoad;use crate::send_gate::SendKind;
+use crate::send_permit::SendPermit;
+use crate::target_restriction::TargetAvailability;
 use crate::upstream::{SendError, UpstreamPool};
 
 /// Approximate size of a piece in the body of a call without its inputs: field names and numbers.
@@ -131,11 +130,11 @@
 pub(crate) struct StageTargetClient {
     dialect: Protocol,
     pub(crate) upstream: UpstreamPool,
-    notices: Rc<NoticeBook>,
+    notices: Rc<NoticeStore>,
 }
 
 impl StageTargetClient {
-    pub(crate) fn new(dialect: Protocol, upstream: UpstreamPool, notices: Rc<NoticeBook>) -> Self {
+    pub(crate) fn new(dialect: Protocol, upstream: UpstreamPool, notices: Rc<NoticeStore>) -> Self {
         Self {
             dialect,
             upstream,
@@ -196,8 +195,8 @@
     }
 
     /// Returns whether a target accepts calls from this host now.
-    pub(crate) fn availability(&self, target: &str) -> TargetStanding {
-        self.notices.standing(target, BootInstant::now())
+    pub(crate) fn availability(&self, target: &str) -> TargetAvailability {
+        self.notices.availability(target, BootInstant::now())
     }
 
     /// Asks a target to drop results that are no longer needed. A release that is lost or withheld is not
@@ -213,7 +212,7 @@
             return;
         };
         let (target, address) = (&release.target, release.address);
-        let response = self.send_request(target, address, request, SendKind::Word);
+        let response = self.send_request(target, address, request, SendKind::Control);
         let _ = timeout(CONTROL_REQUEST_TIMEOUT, response).await;
     }
 
@@ -225,7 +224,7 @@
             .header(header::HOST, address.to_string())
             .body(Full::new(Bytes::new()))
             .ok()?;
-        let response = self.send_request(target, address, request, SendKind::Word);
+        let response = self.send_request(target, address, request, SendKind::Control);
         let (_, body) = timeout(CONTROL_REQUEST_TIMEOUT, response)
             .await
             .ok()?
@@ -246,12 +245,12 @@
             SendKind::Work => {
                 self.notices
                     .rates
-                    .take_permit(target, CALL_PERMIT_TIMEOUT)
+                    .acquire_permit(target, CALL_PERMIT_TIMEOUT)
                     .await
             }
             // Control requests take no permit from the rate limit of the target; the gate withholds them
             // while there is one.
-            SendKind::Word => Some(SendPermit::FREE),
+            SendKind::Control => Some(SendPermit::UNRESTRICTED),
         };
         let Some(permit) = permit else {
             self.notices.count_withheld(target);
@@ -259,8 +258,8 @@
         };
         let gate = self.notices.gate(target, kind).with_permit(permit);
         let (head, body) = self.upstream.exchange(address, request, gate).await?;
-        let notice = read_notice(&self.dialect, &head, None);
-        self.notices.note(target, notice, sent_at);
+        let notice = parse_notice(&self.dialect, &head, None);
+        self.notices.record_response(target, notice, sent_at);
         Ok((head, body))
     }
 }
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -28,7 +28,7 @@
 use crate::piece_message::PieceRequest;
 use crate::pool_key::{PoolKey, PoolMap};
 use crate::rendezvous;
-use crate::target::TargetBook;
+use crate::target::TargetStore;
 
 pub(crate) use guard::{Expectation, Placement};
 pub(crate) use partitions::PartitionRequirements;
@@ -227,13 +227,13 @@
     }
 
     /// Sets the targets that accept work, and partitions their pools.
-    pub(crate) fn set_targets(&self, store: &TargetBook) {
-        let pools = PoolMap::new(store.all());
+    pub(crate) fn set_targets(&self, store: &TargetStore) {
+        let pools = PoolMap::new(store.iter());
         self.state.borrow_mut().pools = pools;
     }
 
     /// Replaces the targets that accept work of some services; those of the others have not changed.
-    pub(crate) fn update_targets(&self, store: &TargetBook, services: &BTreeSet<&str>) {
+    pub(crate) fn update_targets(&self, store: &TargetStore, services: &BTreeSet<&str>) {
         let mut state = self.state.borrow_mut();
         for service in services {
             let targets = store.of_service(service);
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -9,9 +9,10 @@
 use super::{PieceResults, SILENCE_TIMEOUT};
 use crate::engine::PlacementFacts;
 use crate::piece_message::PieceRequest;
-use crate::rate_turn::RateAnswer;
+use crate::run_permit::RunPermitReply;
+use crate::send_permit_issuer::SendPermitReply;
 use crate::stage_call::CallOutcome;
-use crate::turn::TurnAnswer;
+use crate::stage_call::CallEnd;
 
 /// The state of a connection to another entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,8 +41,8 @@
     pub(super) pending_placements: HashMap<u64, oneshot::Sender<Option<(String, PlacementFacts)>>>,
     /// Calls that are delegated to the peer.
     pub(super) pending_calls: HashMap<u64, oneshot::Sender<CallOutcome>>,
-    pub(super) pending_run_permits: HashMap<u64, oneshot::Sender<TurnAnswer>>,
-    pub(super) pending_send_permits: HashMap<u64, oneshot::Sender<RateAnswer>>,
+    pub(super) pending_run_permits: HashMap<u64, oneshot::Sender<RunPermitReply>>,
+    pub(super) pending_send_permits: HashMap<u64, oneshot::Sender<SendPermitReply>>,
 }
 
 impl Link {
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -12,14 +12,14 @@
 use crate::engine::{PlacementFacts, PlacementRequest};
 use crate::piece_message::PieceRequest;
 use crate::pool_key::placement_pool_key;
-use crate::target::{Chosen, TargetBook};
+use crate::target::{ChosenTarget, TargetStore};
 
 /// Timeout for the reply of a placer.
 const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(60);
 
 impl StageClient {
     /// Returns the placer of a prompt: that of the complete service or of a partition of its engines.
-    fn placer_of(&self, targets: &RefCell<TargetBook>, request: &PlacementRequest) -> HostLocation {
+    fn placer_of(&self, targets: &RefCell<TargetStore>, request: &PlacementRequest) -> HostLocation {
         let key = {
             let store = targets.borrow();
             placement_pool_key(
@@ -35,9 +35,9 @@
     /// prompt by its own estimate of the load.
     pub(crate) async fn place_prompt(
         &self,
-        targets: &RefCell<TargetBook>,
+        targets: &RefCell<TargetStore>,
         request: PlacementRequest,
-    ) -> Option<(Chosen, Placement)> {
+    ) -> Option<(ChosenTarget, Placement)> {
         let mut request = request;
         if let HostLocation::Remote(address) = self.placer_of(targets, &request) {
             if let Some((engine, placement)) = self.place_at(address, request.clone()).await
@@ -91,9 +91,9 @@
     /// this host's own estimate.
     pub(crate) async fn plan_placement(
         &self,
-        targets: &RefCell<TargetBook>,
+        targets: &RefCell<TargetStore>,
         request: PlacementRequest,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenTarget> {
         if let HostLocation::Remote(address) = self.placer_of(targets, &request) {
             let number = self.next_number();
             let service = request.service.clone();
--- a/crates/gateway/src/stage_client/run_permit.rs
+++ b/crates/gateway/src/stage_client/run_permit.rs
@@ -12,7 +12,7 @@
 use super::StageClient;
 use crate::piece_message::PieceRequest;
 use crate::rendezvous;
-use crate::turn::TurnAnswer;
+use crate::run_permit::RunPermitReply;
 
 /// Timeout for the reply of the permit issuer.
 const RUN_PERMIT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -51,7 +51,7 @@
         address: SocketAddr,
         key: RequestKey,
         id: &str,
-    ) -> (TurnAnswer, u64) {
+    ) -> (RunPermitReply, u64) {
         let number = self.next_number();
         let (done, reply) = oneshot::channel();
         let request = PieceRequest::AcquireRunPermit {
@@ -70,10 +70,10 @@
         };
         let reply = timeout(RUN_PERMIT_TIMEOUT, reply).await;
         let Ok(Ok(reply)) = reply else {
-            return (TurnAnswer::Busy, number);
+            return (RunPermitReply::Busy, number);
         };
         // From here on the caller releases the permit.
-        guard.accepted = reply == TurnAnswer::Granted;
+        guard.accepted = reply == RunPermitReply::Granted;
         (reply, number)
     }
 
@@ -89,7 +89,11 @@
         self.send_to(address, PieceRequest::ReleaseRunPermit(number), |_| {});
     }
 
-    pub(super) fn complete_run_permit(&self, address: SocketAddr, number: u64, reply: TurnAnswer) {
+    pub(super) fn complete_run_permit(
+        &self,
+        address: SocketAddr,
+        number: u64, reply: RunPermitReply,
+    ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
         if let Some(waiter) = link.and_then(|link| link.pending_run_permits.remove(&number)) {
--- a/crates/gateway/src/stage_client/send_permit.rs
+++ b/crates/gateway/src/stage_client/send_permit.rs
@@ -10,8 +10,8 @@
 
 use super::StageClient;
 use crate::piece_message::PieceRequest;
-use crate::rate_turn::{RateAnswer, RateAsk};
 use crate::rendezvous;
+use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest};
 
 /// Timeout for the reply of the permit issuer.
 const SEND_PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -95,8 +95,8 @@
     pub(crate) async fn request_send_permit(
         &self,
         address: SocketAddr,
-        request: RateAsk,
-    ) -> RateAnswer {
+        request: SendPermitRequest,
+    ) -> SendPermitReply {
         let number = self.next_number();
         let (done, reply) = oneshot::channel();
         self.send_to(
@@ -115,11 +115,15 @@
         drop(guard);
         match reply {
             Ok(Ok(reply)) => reply,
-            _ => RateAnswer::UNREACHED,
+            _ => SendPermitReply::UNREACHABLE,
         }
     }
 
-    pub(super) fn complete_send_permit(&self, address: SocketAddr, number: u64, reply: RateAnswer) {
+    pub(super) fn complete_send_permit(
+        &self,
+        address: SocketAddr,
+        number: u64, reply: SendPermitReply,
+    ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
         if let Some(waiter) = link.and_then(|link| link.pending_send_permits.remove(&number)) {
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -49,7 +49,7 @@
     let caller = crate::stage_call::StageTargetClient::new(
         crate::gateway::tests::protocol(),
         crate::upstream::UpstreamPool::default(),
-        Rc::new(crate::notice_book::NoticeBook::new(
+        Rc::new(crate::notice_store::NoticeStore::new(
             recorder.clone(),
             Rc::default(),
         )),
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -1,6 +1,6 @@
-//! The targets that take work, as this host knows them.
+//! The targets that accept work, as this host knows them.
 
-mod book;
+mod store;
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,55 +10,57 @@
 use crate::cold::SendShare;
 use crate::target_slowness::TargetSlowness;
 
-pub(crate) use book::TargetBook;
+pub(crate) use store::TargetStore;
 
-/// Failures in a row after which a target gets no work for a while.
-const EJECT_FAILURES: u32 = 2;
+/// Consecutive failures after which a target is ejected for a while.
+const EJECTION_THRESHOLD: u32 = 2;
 
-/// How long a target is first left alone.
-const EJECT_FIRST: Duration = Duration::from_millis(600);
+/// Duration of the first ejection of a target; doubled with each further one.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(600);
 
-/// The longest time that a target is left alone.
-const EJECT_MOST: Duration = Duration::from_secs(5);
+/// Longest duration of an ejection.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(5);
 
-/// Part of the targets of a service that may be left alone at one time.
-const EJECT_PART: f64 = 0.6;
+/// Largest fraction of the targets of a service that failures may eject at the same time.
+const MAX_EJECTED_FRACTION: f64 = 0.6;
 
-/// How long a target that turned a request away is passed over where others are free; doubled with each in a row.
-/// It may name no time to come back, or one that is soon over. Without this two of six targets that refused
-/// all cost a fifth of the requests, by the allowance of repeats (655 of 3,150 in 2 s, mean of three runs).
-const REFUSED_FIRST: Duration = Duration::from_millis(40);
-const MAX_REFUSED_DOUBLINGS: u32 = 4;
+/// How long a target that refused a request is avoided while others are available; doubled with
+/// each consecutive refusal. A refusal may carry no Retry-After time, or a short one. Without the
+/// cooldown, two of six targets that refused everything cost a fifth of the requests (655 of 3,150
+/// in 2 s), since these exhausted the retry budget.
+const REFUSAL_COOLDOWN: Duration = Duration::from_millis(40);
+const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
 
-/// What a target of another hall counts beside its load, in parts of its slots: a way there and back of some
-/// milliseconds, and bytes that cross halls.
-const OTHER_HALL_LOAD: f64 = 0.25;
+/// Additional load of a target in another hall, as a fraction of its slots, for a round trip of some
+/// milliseconds and for bytes that cross halls.
+const REMOTE_HALL_PENALTY: f64 = 0.25;
 
-/// What a cold target counts: it gets work only where the others are full.
-const COLD_LOAD: f64 = 0.5;
+/// Additional load of a cold target: it receives work only when the others are full.
+const COLD_PENALTY: f64 = 0.5;
 
-/// A target in work.
+/// A target that accepts work.
 #[derive(Debug, Clone)]
 pub(crate) struct Target {
     pub(crate) id: String,
-    /// When this start of it began; see [`TargetRecord::born`].
+    /// Start time of this incarnation, see [`TargetRecord::born`].
     pub(crate) born: u64,
     pub(crate) address: SocketAddr,
     pub(crate) hall: String,
     pub(crate) slots: u32,
-    /// The version of its software; empty where it is not known.
+    /// The software version; empty if unknown.
     pub(crate) version: String,
-    /// Requests of this host that are in flight there.
+    /// Requests of this host that are in flight at the target.
     pub(crate) in_flight: u32,
     failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
-    /// Requests in a row that it turned away.
+    /// Consecutive refusals.
     refusals: u32,
-    refused_until: Option<Instant>,
+    cooldown_until: Option<Instant>,
     cold_until: Option<Instant>,
     slowness: TargetSlowness,
-    /// When this host may send to it while it is cold and nobody decides for all hosts.
+    /// This host's share of the rate of the target while it is cold and no single host paces it for
+    /// all.
     share: SendShare,
 }
 
@@ -76,22 +78,22 @@
             ejections: 0,
             ejected_until: None,
             refusals: 0,
-            refused_until: None,
+            cooldown_until: None,
             cold_until: None,
             slowness: TargetSlowness::default(),
             share: SendShare::default(),
         }
     }
 
-    /// Takes what a record tells of the same start.
-    fn take_record(&mut self, record: &TargetRecord, now: Instant) {
+    /// Applies a record of the same incarnation.
+    fn apply_record(&mut self, record: &TargetRecord, now: Instant) {
         self.address = record.address;
         self.slots = record.slots.max(1);
         self.version.clone_from(&record.version);
         self.set_cold(record.cold_ms, now);
     }
 
-    /// Takes how much longer it is cold. It keeps its share of what it gets then until it is warm.
+    /// Sets how much longer the target is cold. Its share is kept until it is warm.
     fn set_cold(&mut self, cold_ms: u32, now: Instant) {
         self.cold_until = (cold_ms > 0).then(|| now + Duration::from_millis(u64::from(cold_ms)));
         if cold_ms == 0 {
@@ -99,24 +101,24 @@
         }
     }
 
-    /// Returns what it costs to send it one more request, in parts of its slots; `other_hall` says whether
-    /// it lies in another hall than this host.
+    /// Returns the load of the target for one more request, as a fraction of its slots.
+    /// `other_hall` tells whether it is in another hall than this host.
     pub(crate) fn load(&self, other_hall: bool, now: Instant) -> f64 {
         let part = |counts: bool, load: f64| if counts { load } else { 0.0 };
         f64::from(self.in_flight) / f64::from(self.slots)
-            + part(other_hall, OTHER_HALL_LOAD)
-            + part(self.is_cold(now), COLD_LOAD)
+            + part(other_hall, REMOTE_HALL_PENALTY)
+            + part(self.is_cold(now), COLD_PENALTY)
             + self.slowness.load(now)
     }
 
-    /// Says whether it is cold.
+    /// Returns whether the target is cold.
     pub(crate) fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| until > now)
     }
 
     fn eject(&mut self, now: Instant) {
-        let span = EJECT_FIRST * 2_u32.saturating_pow(self.ejections.min(4));
-        self.ejected_until = Some(now + span.min(EJECT_MOST));
+        let span = BASE_EJECTION_TIME * 2_u32.saturating_pow(self.ejections.min(4));
+        self.ejected_until = Some(now + span.min(MAX_EJECTION_TIME));
         self.ejections += 1;
         self.failures = 0;
     }
@@ -125,28 +127,28 @@
         self.ejected_until.is_some_and(|until| until > now)
     }
 
-    fn note_refused(&mut self, now: Instant) {
-        let doublings = self.refusals.min(MAX_REFUSED_DOUBLINGS);
-        self.refused_until = Some(now + REFUSED_FIRST * 2_u32.pow(doublings));
+    fn record_refusal(&mut self, now: Instant) {
+        let doublings = self.refusals.min(MAX_COOLDOWN_DOUBLINGS);
+        self.cooldown_until = Some(now + REFUSAL_COOLDOWN * 2_u32.pow(doublings));
         self.refusals += 1;
     }
 
-    /// Says whether others are to be used rather than it, where there are any.
-    fn is_passed_over(&self, now: Instant) -> bool {
-        self.is_ejected(now) || self.refused_until.is_some_and(|until| until > now)
+    /// Returns whether other targets are to be preferred, if there are any.
+    fn is_avoided(&self, now: Instant) -> bool {
+        self.is_ejected(now) || self.cooldown_until.is_some_and(|until| until > now)
     }
 }
 
-/// A target that was chosen.
+/// A target that was chosen for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenTarget {
     pub(crate) id: String,
     pub(crate) born: u64,
     pub(crate) address: SocketAddr,
     pub(crate) hall: String,
 }
 
-impl Chosen {
+impl ChosenTarget {
     pub(crate) fn new(target: &Target) -> Self {
         Self {
             id: target.id.clone(),
--- a/crates/gateway/src/target_selection.rs
+++ b/crates/gateway/src/target_selection.rs
@@ -12,7 +12,7 @@
     has_unlimited_target, next_availability, rates_used_up, wait_until_available,
 };
 use crate::stage_client::Placement;
-use crate::target::{Chosen, Target, TargetBook};
+use crate::target::{ChosenTarget, Target, TargetStore};
 use crate::{Gateway, Refusal, RefusalReason};
 
 /// Maximum number of targets that the placer is asked to avoid.
@@ -64,7 +64,7 @@
     request: &CallerRequest,
     excluded: ExcludedTargets<'_>,
     results: Option<&RequestResults>,
-) -> Result<(Chosen, Option<Placement>), Refusal> {
+) -> Result<(ChosenTarget, Option<Placement>), Refusal> {
     for _ in 0..MAX_SELECTIONS {
         if let Some(chosen) = select_target(gateway, service, request, excluded, results).await {
             return Ok(chosen);
@@ -88,7 +88,7 @@
     request: &CallerRequest,
     excluded: ExcludedTargets<'_>,
     results: Option<&RequestResults>,
-) -> Option<(Chosen, Option<Placement>)> {
+) -> Option<(ChosenTarget, Option<Placement>)> {
     if let Some(place) = placement_request(gateway, service, request, excluded, results) {
         let (chosen, placement) = gateway
             .stage_client
@@ -100,7 +100,7 @@
     let throttled = gateway
         .targets
         .borrow_mut()
-        .closed_by_cold(service, hosts, now);
+        .throttled_cold_targets(service, hosts, now);
     let book = gateway.targets.borrow();
     let closed_targets = closed_targets(gateway, &book, service, request, excluded);
     let usable = book.usable(service, now);
@@ -114,10 +114,10 @@
         target.load(other_hall, now) + LOAD_JITTER * fastrand::f64()
     };
     let scored = eligible.map(|target| (load(target), target));
-    let best = Chosen::new(scored.min_by(|a, b| a.0.total_cmp(&b.0))?.1);
+    let best = ChosenTarget::new(scored.min_by(|a, b| a.0.total_cmp(&b.0))?.1);
     drop(book);
     let mut book = gateway.targets.borrow_mut();
-    book.note_cold_sending(service, &best.id, hosts, now);
+    book.record_cold_send(service, &best.id, hosts, now);
     Some((best, None))
 }
 
@@ -126,15 +126,17 @@
 /// or within that share if it is not.
 fn closed_targets(
     gateway: &Gateway,
-    book: &TargetBook,
+    book: &TargetStore,
     service: &str,
     request: &CallerRequest,
     excluded: ExcludedTargets<'_>,
 ) -> Vec<String> {
     let mut closed = gateway.suspects.closed_targets(book, service, request);
-    closed.extend(gateway.notices.closed(book.ids_of(service)));
+    closed.extend(gateway.notices.closed_targets(book.ids_of_service(service)));
     if excluded.rate_limited && has_unlimited_target(gateway, service, request) {
-        let rate_limited = book.ids_of(service).filter(|id| book.rate(id).is_some());
+        let rate_limited = book
+            .ids_of_service(service)
+            .filter(|id| book.rate_limit(id).is_some());
         closed.extend(rate_limited.cloned());
     }
     closed
@@ -158,7 +160,7 @@
     let book = gateway.targets.borrow();
     let result_bytes = results.map(|results| results.bytes_by_hall(request, &book));
     // The placer may not know yet which targets this host cannot reach.
-    let unreachable = book.passed_over(service, Instant::now());
+    let unreachable = book.avoided(service, Instant::now());
     let avoid = excluded
         .tried
         .iter()
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -143,7 +143,7 @@
         mut gate: SendGate<'_>,
     ) -> Result<(Response<Incoming>, ConnectionLease), SendError> {
         while let Some(mut connection) = self.take_idle(address) {
-            if !gate.passes() {
+            if !gate.try_pass() {
                 self.keep_idle(address, connection);
                 return Err(SendError::Withheld);
             }
@@ -157,7 +157,7 @@
             }
         }
         let mut connection = self.connect(address).await?;
-        if !gate.passes() {
+        if !gate.try_pass() {
             self.keep_idle(address, connection);
             return Err(SendError::Withheld);
         }
--- /dev/null
+++ b/crates/quarantine/src/attribution.rs
@@ -0,0 +1,79 @@
+//! Attribution of target crashes to the requests that caused them.
+//!
+//! Most requests in flight at a crash are innocent, and an interrupted one is retried at another
+//! target just as the causing one is. A request is therefore found to be the cause only by crashes
+//! that no other request explains: of two requests that were present at the same crashes neither
+//! is, until one of them crashes a target without the other.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::{CrashKey, RequestKey, SuspectRecord};
+
+/// Target crashes after which a request is held. One crash is chance for all requests that ran
+/// there, and two may be: an interrupted request is retried at a second target at once, and targets
+/// may crash in numbers.
+pub const HOLD_CRASHES: usize = 3;
+
+/// A request that may be the cause of crashes.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Candidate<'a> {
+    pub(crate) record: &'a SuspectRecord,
+    /// Whether all hosts have had time to report its crashes. Until then it only keeps other
+    /// requests from being found to be the cause.
+    pub(crate) decided: bool,
+}
+
+/// Returns the request to which each crash is attributed: requests that are held already, and those
+/// that are found to be causes now.
+pub(crate) fn attribute_crashes(
+    mut candidates: Vec<Candidate<'_>>,
+) -> BTreeMap<CrashKey, RequestKey> {
+    candidates.sort_by_key(|one| {
+        let record = one.record;
+        (
+            !record.held,
+            Reverse(record.crashes.len()),
+            record.subject.key,
+        )
+    });
+    let mut attributed = BTreeMap::new();
+    for one in &candidates {
+        let record = one.record;
+        let unattributed_crashes = unattributed(record, &attributed);
+        let is_cause = || {
+            one.decided
+                && unattributed_crashes.len() >= HOLD_CRASHES
+                && !is_explained_by_another(record, &unattributed_crashes, &candidates)
+        };
+        if record.held || is_cause() {
+            for crash in unattributed_crashes {
+                attributed.insert(crash, record.subject.key);
+            }
+        }
+    }
+    attributed
+}
+
+/// Returns the crashes of a request that are not attributed to another one.
+pub(crate) fn unattributed(
+    record: &SuspectRecord,
+    attributed: &BTreeMap<CrashKey, RequestKey>,
+) -> BTreeSet<CrashKey> {
+    let own = record.subject.key;
+    let crashes = record.crashes.iter();
+    let own_or_unattributed =
+        crashes.filter(|crash| attributed.get(crash).is_none_or(|cause| *cause == own));
+    own_or_unattributed.copied().collect()
+}
+
+/// Returns whether another request was present at all of the given crashes.
+fn is_explained_by_another(
+    record: &SuspectRecord,
+    crashes: &BTreeSet<CrashKey>,
+    all: &[Candidate<'_>],
+) -> bool {
+    let others = all.iter().map(|one| one.record);
+    let mut others = others.filter(|one| one.subject.key != record.subject.key);
+    others.any(|one| one.crashes.is_superset(crashes))
+}
--- /dev/null
+++ b/crates/quarantine/src/store/retention.rs
@@ -0,0 +1,76 @@
+//! Capacity and retention of the suspect records.
+
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+use super::{Suspect, SuspectStore};
+use crate::{RequestKey, RequestSubject, SuspectRecord};
+
+/// Most requests that are kept. Beyond that, records of the account with the most records are
+/// evicted first, so that one account that keeps sending new requests does not displace those of
+/// others. A record takes about 400 bytes.
+pub const MAX_SUSPECTS: usize = 4_096;
+
+/// Records that are evicted at once, so that the search for the weakest evidence is rare.
+const EVICTION_BATCH: usize = 128;
+
+/// How long a record is kept: after the last crash if the request is not held, after the last
+/// refusal if it is. A held request that returns later crashes a few more targets once.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(3_600);
+const HELD_RETENTION: Duration = Duration::from_secs(24 * 3_600);
+
+impl SuspectStore {
+    /// Removes expired records; returns the requests that were held until then.
+    pub fn expire(&mut self, now: Instant) -> Vec<RequestSubject> {
+        let is_expired = |one: &Suspect| {
+            let retention = if one.record.held {
+                HELD_RETENTION
+            } else {
+                SUSPECT_RETENTION
+            };
+            now.saturating_duration_since(one.last_seen) > retention
+        };
+        let expired = self.suspects.values().filter(|one| is_expired(one));
+        let expired: Vec<SuspectRecord> = expired.map(|one| one.record.clone()).collect();
+        expired.iter().for_each(|one| self.forget(one.subject.key));
+        if !expired.is_empty() {
+            self.reattribute();
+        }
+        let held = expired.into_iter().filter(|one| one.held);
+        held.map(|one| one.subject).collect()
+    }
+
+    /// Evicts records if the store is full and a request is new to it.
+    pub(super) fn evict_for(&mut self, subject: &RequestSubject) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&subject.key) {
+            return;
+        }
+        let mut accounts: HashMap<&str, usize> = HashMap::new();
+        for one in self.suspects.values() {
+            *accounts.entry(&one.record.subject.account).or_default() += 1;
+        }
+        let Some(largest) = accounts.values().copied().max() else {
+            return;
+        };
+        let of_largest = |one: &&Suspect| accounts[one.record.subject.account.as_str()] == largest;
+        let mut candidates: Vec<&Suspect> = self.suspects.values().filter(of_largest).collect();
+        candidates.sort_by_key(|one| {
+            let record = &one.record;
+            (
+                record.held,
+                record.crashes.len(),
+                one.last_seen,
+                record.subject.key,
+            )
+        });
+        let weakest = candidates.into_iter().take(EVICTION_BATCH);
+        let keys: Vec<RequestKey> = weakest.map(|one| one.record.subject.key).collect();
+        keys.into_iter().for_each(|key| self.forget(key));
+    }
+
+    pub(super) fn forget(&mut self, key: RequestKey) {
+        if let Some(suspect) = self.suspects.remove(&key) {
+            self.by_revision.remove(&suspect.revision);
+        }
+    }
+}
