--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -218,7 +218,11 @@
     }
 
     /// Adds the content of the tails that followed the update.
-    pub(crate) fn with_tails(mut self, tail: UpdateTail, rate_limits: Vec<RateObservation>) -> Self {
+    pub(crate) fn with_tails(
+        mut self,
+        tail: UpdateTail,
+        rate_limits: Vec<RateObservation>,
+    ) -> Self {
         self.rate_limits = rate_limits;
         for (target, version) in self.targets.iter_mut().zip(tail.versions) {
             target.version = version;
--- a/crates/directory/src/node/rate_limits.rs
+++ b/crates/directory/src/node/rate_limits.rs
@@ -19,7 +19,8 @@
             let Some(born) = self.registry.born_of(&id) else {
                 continue;
             };
-            if self.rate_limits.record_incarnation(&id, born, unix_ms, now) == IncarnationEffect::Retained
+            if self.rate_limits.record_incarnation(&id, born, unix_ms, now)
+                == IncarnationEffect::Retained
             {
                 self.rate_limits.republish(&id, now);
             }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -17,13 +17,12 @@
 use crate::events::EventSplitter;
 use crate::graph::RequestResults;
 use crate::in_flight::InFlightGuard;
-use crate::message_heads::TargetHeaders;
-use crate::message_heads::build_target_request;
-use crate::message_heads::echoes_request_id;
+use crate::message_heads::{TargetHeaders, build_target_request, echoes_request_id};
 use crate::notice::parse_notice;
 use crate::send_gate::SendKind;
 use crate::send_permit::SendPermit;
-use crate::service_availability::max_permit_wait;use crate::stage_client::Placement;
+use crate::service_availability::max_permit_wait;
+use crate::stage_client::Placement;
 use crate::target::ChosenTarget;
 use crate::upstream::{ConnectionLease, SendError, is_peer_disconnect};
 
@@ -131,7 +130,9 @@
     });
     gateway.count_attempt(request, (service, chosen), &outcome, sent.elapsed(), facts);
     if let AttemptOutcome::MayHaveRun { broken: true, .. } = outcome {
-        gateway.probe_after_break(service, chosen, request, sent).await;
+        gateway
+            .probe_after_break(service, chosen, request, sent)
+            .await;
     }
     outcome
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -16,13 +16,12 @@
 use crate::graph::RequestResults;
 use crate::message_heads::{build_response, refusal_response};
 use crate::relay::{StreamRelay, relay_stream};
-use crate::service_availability::retry_after;
 use crate::run_permit::{RunPermit, acquire_run_permit};
+use crate::service_availability::retry_after;
 use crate::stage_client::Placement;
-use crate::target_selection::ExcludedTargets;
-use crate::target_selection::no_target_refusal;
-use crate::target_selection::pick_service;
-use crate::target_selection::select_or_await_target;
+use crate::target_selection::{
+    ExcludedTargets, no_target_refusal, pick_service, select_or_await_target,
+};
 use crate::wait_model::PathEstimate;
 use crate::{Gateway, Refusal, RefusalReason, ResponseBody};
 
--- a/crates/gateway/src/gateway/send_permits.rs
+++ b/crates/gateway/src/gateway/send_permits.rs
@@ -64,7 +64,10 @@
     }
 
     /// Handles the request of another host for a send permit.
-    pub(crate) fn handle_send_permit_request(&self, request: &SendPermitRequest) -> SendPermitReply {
+    pub(crate) fn handle_send_permit_request(
+        &self,
+        request: &SendPermitRequest,
+    ) -> SendPermitReply {
         if let SendPermitScope::Target(word) = &request.scope {
             self.notices.rates.apply_peer_observation(word);
         }
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -8,10 +8,8 @@
 use crate::piece::{ExpectedPieces, PieceBatch, PieceFault, PoolLoad, TargetUsage};
 use crate::pool_key::PoolKey;
 use crate::run_permit::RunPermitReply;
-use crate::send_permit_issuer::SendPermitReply;
-use crate::send_permit_issuer::SendPermitRequest;
-use crate::stage_call::CallOutcome;
-use crate::stage_call::{CallEnd, StageCall, StageRelease};
+use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest};
+use crate::stage_call::{CallOutcome, StageCall, StageRelease};
 
 /// A request from one entry host to another: to the coordinator of a pool, the placer of a service, the
 /// issuer of permits, or a host that sends calls to nearby targets.
@@ -68,7 +66,10 @@
     /// A heartbeat.
     Heartbeat,
     /// Asks for a permit to send to a target with a rate limit.
-    AcquireSendPermit { number: u64, request: SendPermitRequest },
+    AcquireSendPermit {
+        number: u64,
+        request: SendPermitRequest,
+    },
 }
 
 impl PieceRequest {
@@ -108,9 +109,7 @@
     /// A heartbeat with the load of the pools that the sender coordinates.
     Heartbeat { loads: Vec<(PoolKey, PoolLoad)> },
     /// Whether a send permit was issued for a target with a rate limit.
-    SendPermit {
-        number: u64, reply: SendPermitReply,
-    },
+    SendPermit { number: u64, reply: SendPermitReply },
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -11,8 +11,8 @@
 use crate::hall_bytes::HallBytes;
 use crate::piece::{PieceInput, StageWork};
 use crate::pool_key::PoolPartition;
-use crate::send_permit_issuer::SendPermitScope;
 use crate::reported_load::ReportedLoad;
+use crate::send_permit_issuer::SendPermitScope;
 use crate::stage_call::CallPart;
 
 /// Returns the bytes of a message as text.
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -12,7 +12,6 @@
 use crate::run_permit::RunPermitReply;
 use crate::send_permit_issuer::SendPermitReply;
 use crate::stage_call::CallOutcome;
-use crate::stage_call::CallEnd;
 
 /// The state of a connection to another entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -19,7 +19,11 @@
 
 impl StageClient {
     /// Returns the placer of a prompt: that of the complete service or of a partition of its engines.
-    fn placer_of(&self, targets: &RefCell<TargetStore>, request: &PlacementRequest) -> HostLocation {
+    fn placer_of(
+        &self,
+        targets: &RefCell<TargetStore>,
+        request: &PlacementRequest,
+    ) -> HostLocation {
         let key = {
             let store = targets.borrow();
             placement_pool_key(
--- a/crates/gateway/src/stage_client/run_permit.rs
+++ b/crates/gateway/src/stage_client/run_permit.rs
@@ -92,7 +92,8 @@
     pub(super) fn complete_run_permit(
         &self,
         address: SocketAddr,
-        number: u64, reply: RunPermitReply,
+        number: u64,
+        reply: RunPermitReply,
     ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
--- a/crates/gateway/src/stage_client/send_permit.rs
+++ b/crates/gateway/src/stage_client/send_permit.rs
@@ -122,7 +122,8 @@
     pub(super) fn complete_send_permit(
         &self,
         address: SocketAddr,
-        number: u64, reply: SendPermitReply,
+        number: u64,
+        reply: SendPermitReply,
     ) {
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
--- a/crates/gateway/src/target_crash.rs
+++ b/crates/gateway/src/target_crash.rs
@@ -188,7 +188,10 @@
                     interrupted,
                     since: Instant::now(),
                 };
-                self.crash_tracker.unresponsive.borrow_mut().push(unresponsive);
+                self.crash_tracker
+                    .unresponsive
+                    .borrow_mut()
+                    .push(unresponsive);
             }
         }
     }
@@ -249,7 +252,10 @@
     pub(crate) fn record_stage_crash(&self, call: &DueCall) {
         let mut interrupted: Vec<InterruptedRequest> = Vec::new();
         for piece in &call.pieces {
-            if interrupted.iter().all(|one| one.subject.key != piece.request_key) {
+            if interrupted
+                .iter()
+                .all(|one| one.subject.key != piece.request_key)
+            {
                 interrupted.push(InterruptedRequest {
                     id: piece.work.request.clone(),
                     subject: RequestSubject::unnamed(piece.request_key),
