--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -83,7 +83,7 @@
         ControlCall::Claim(step) => ControlCommand::Claim(step),
         ControlCall::Deferred(step) => ControlCommand::Deferred(step),
         ControlCall::Query(query) => {
-            let leads = replica.lease_lasts();
+            let leads = replica.has_valid_lease();
             let answer = leads.then(|| CallAnswer::Query(machine.query_deferred(&query)));
             return CallReply {
                 number,
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -7,7 +7,7 @@
     DeferredReply, DeferredTable,
 };
 use linnet_feed::TableFeed;
-use linnet_quorum::MachineHooks;
+use linnet_quorum::StateMachineHooks;
 use linnet_table::{ChangeRefusal, RowKey, TableChange, TableStore, VersionedRow};
 use linnet_telemetry::{EventCode, EventRecorder};
 use serde::{Deserialize, Serialize};
@@ -75,9 +75,9 @@
     }
 
     /// Returns the closures that the replicated log calls.
-    pub fn hooks(&self) -> MachineHooks {
+    pub fn hooks(&self) -> StateMachineHooks {
         let (apply, snapshot, restore) = (self.clone(), self.clone(), self.clone());
-        MachineHooks::new(
+        StateMachineHooks::new(
             move |_, command| apply.apply(command),
             move || snapshot.snapshot(),
             move |bytes| restore.restore(bytes),
--- a/crates/control/src/ops.rs
+++ b/crates/control/src/ops.rs
@@ -143,7 +143,7 @@
     // The lease is checked after the request came in, so no newer version was accepted elsewhere
     // before the operator asked. `?stale=1` takes what this host holds.
     let stale = request.query_string() == "stale=1";
-    if !stale && !context.replica.lease_lasts() {
+    if !stale && !context.replica.has_valid_lease() {
         return not_leader(&context);
     }
     let (version, rows) = {
@@ -217,7 +217,7 @@
     if let Some(refused) = refuse(&request, &ops) {
         return refused;
     }
-    if !context.replica.lease_lasts() {
+    if !context.replica.has_valid_lease() {
         return not_leader(&context);
     }
     match context.machine.find_change(&key) {
@@ -242,7 +242,11 @@
         Ok(form) => form,
         Err(refused) => return refused,
     };
-    match context.replica.form(form.cluster, form.founders).await {
+    match context
+        .replica
+        .form_cluster(form.cluster, form.founders)
+        .await
+    {
         Ok(()) => json_reply(200, &serde_json::json!({ "result": "formed" })),
         Err(error @ FormError::Disk(_)) => json_reply(503, &error_body("disk", error.to_string())),
         Err(error) => json_reply(409, &error_body("refused", error.to_string())),
--- a/crates/directory/src/form.rs
+++ b/crates/directory/src/form.rs
@@ -95,7 +95,7 @@
 async fn take_founding(node: &DirectoryNode, founder: &Identity) {
     if let Some(cluster) = founder.cluster {
         let founders = founder.members.clone();
-        let _ = node.replica().form(cluster, founders).await;
+        let _ = node.replica().form_cluster(cluster, founders).await;
     }
 }
 
@@ -177,7 +177,7 @@
             return;
         }
     }
-    if node.replica().form(cluster, founders).await.is_ok() {
+    if node.replica().form_cluster(cluster, founders).await.is_ok() {
         let detail = format!("cluster={cluster:016x} seeds={}", seeds.len());
         node.record(EventCode::ClusterFormed, &detail);
     }
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use linnet_quarantine::SuspectRecord;
-use linnet_quorum::MachineHooks;
-use linnet_rollout::{RolloutBook, RolloutCommand, RolloutOutcome};
+use linnet_quorum::StateMachineHooks;
+use linnet_rollout::{RolloutCommand, RolloutOutcome, RolloutStore};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -72,7 +72,7 @@
     history: Arc<Mutex<DocumentHistory>>,
     evacuations: Arc<Mutex<Arc<EvacuationBook>>>,
     held_requests: Arc<Mutex<HeldRequests>>,
-    rollouts: Arc<Mutex<Arc<RolloutBook>>>,
+    rollouts: Arc<Mutex<Arc<RolloutStore>>>,
     holds: Arc<watch::Sender<u64>>,
     changed: Arc<watch::Sender<u64>>,
 }
@@ -84,9 +84,9 @@
     }
 
     /// Returns the closures that the replicated log calls.
-    pub fn hooks(&self) -> MachineHooks {
+    pub fn hooks(&self) -> StateMachineHooks {
         let (apply, snapshot, restore) = (self.clone(), self.clone(), self.clone());
-        MachineHooks::new(
+        StateMachineHooks::new(
             move |_, command| apply.apply(command),
             move || snapshot.snapshot(),
             move |bytes| restore.restore(bytes),
@@ -104,7 +104,7 @@
     }
 
     /// Returns the committed roll-outs that this replica has reached.
-    pub fn rollouts(&self) -> Arc<RolloutBook> {
+    pub fn rollouts(&self) -> Arc<RolloutStore> {
         self.lock_rollouts().clone()
     }
 
@@ -232,7 +232,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_rollouts(&self) -> MutexGuard<'_, Arc<RolloutBook>> {
+    fn lock_rollouts(&self) -> MutexGuard<'_, Arc<RolloutStore>> {
         self.rollouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -243,7 +243,7 @@
     }
 }
 
-type Snapshot = (Option<Document>, EvacuationBook, HeldRequests, RolloutBook);
+type Snapshot = (Option<Document>, EvacuationBook, HeldRequests, RolloutStore);
 
 /// Reads a snapshot. One of an older program ends after the document, or after a later part.
 fn read_snapshot(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
--- a/crates/directory/src/machine/tests.rs
+++ b/crates/directory/src/machine/tests.rs
@@ -109,7 +109,7 @@
 }
 
 fn rollout_commands() -> Vec<RolloutCommand> {
-    let begin = |version: &str| RolloutCommand::Begin {
+    let begin = |version: &str| RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: version.to_owned(),
@@ -121,16 +121,16 @@
     vec![
         begin("v2"),
         begin("v3"),
-        RolloutCommand::Look {
+        RolloutCommand::Query {
             service: "desk".to_owned(),
         },
-        RolloutCommand::Move {
+        RolloutCommand::SetShare {
             service: "desk".to_owned(),
-            seen: (1, 0),
+            expected: (1, 0),
             permille: 35,
             cause: RolloutCause::Time,
         },
-        RolloutCommand::End {
+        RolloutCommand::Finish {
             service: "desk".to_owned(),
             revision: 1,
             completed: false,
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -5,7 +5,7 @@
 use linnet_quarantine::SuspectRecord;
 use linnet_quorum::{Member, Members, NodeId};
 use linnet_rate::RateWord;
-use linnet_rollout::{PhaseCounts, ReporterCounts, RolloutBook};
+use linnet_rollout::{PhaseCounts, ReporterCounts, RolloutStore};
 use serde::{Deserialize, Serialize};
 
 use crate::{DocumentKey, EvacuationBook, PayloadKey};
@@ -151,7 +151,7 @@
     pub suspects: Vec<SuspectRecord>,
     /// The roll-outs of services, where they changed. They travel in an [`UpdateTail`].
     #[serde(skip)]
-    pub rollouts: Option<RolloutBook>,
+    pub rollouts: Option<RolloutStore>,
     /// What entry hosts counted for roll-outs since the last update; for control hosts only. It travels in an
     /// [`UpdateTail`].
     #[serde(skip)]
@@ -174,7 +174,7 @@
 pub(crate) struct UpdateTail {
     /// The version of each target of the update, in their order.
     versions: Vec<String>,
-    rollouts: Option<RolloutBook>,
+    rollouts: Option<RolloutStore>,
     counted: Vec<ReporterCounts>,
     own_gateways: Option<OwnGateways>,
     unled: bool,
--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -148,8 +148,8 @@
 #[test]
 fn tails_are_as_they_were_shipped_and_messages_without_them_are_read() {
     use linnet_rollout::{RolloutCommand, RolloutOrder, RouteCounts};
-    let mut rollouts = RolloutBook::default();
-    rollouts.apply(&RolloutCommand::Begin {
+    let mut rollouts = RolloutStore::default();
+    rollouts.apply(&RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: "v2".to_owned(),
@@ -162,7 +162,7 @@
         service: "desk".to_owned(),
         phase: (1, 2),
         routes: vec![("quote".to_owned(), RouteCounts::default())],
-        open_former: 3,
+        former_in_flight: 3,
     }];
     let mut full = update();
     full.targets[0].version = "v2".to_owned();
--- a/crates/directory/src/node.rs
+++ b/crates/directory/src/node.rs
@@ -14,7 +14,7 @@
 
 use derive_more::Display;
 use linnet_quorum::{Member, Replica};
-use linnet_rollout::{ExposureRule, OrderFault, RolloutBook};
+use linnet_rollout::{ExposureLimit, OrderError, RolloutStore};
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::PeerIdentity;
 use tokio::sync::watch;
@@ -76,7 +76,7 @@
     /// The order makes no sense.
     #[display("{_0}")]
     #[error(ignore)]
-    BadOrder(OrderFault),
+    BadOrder(OrderError),
     /// The configuration has no such service.
     #[display("no service has the name {_0}")]
     #[error(ignore)]
@@ -177,12 +177,12 @@
     }
 
     /// Returns the committed roll-outs that this host has reached.
-    pub fn rollouts(&self) -> Arc<RolloutBook> {
+    pub fn rollouts(&self) -> Arc<RolloutStore> {
         self.shared.machine.rollouts()
     }
 
     /// Sets what a version that is rolled out may be exposed to.
-    pub fn set_exposure(&self, rule: ExposureRule) {
+    pub fn set_exposure(&self, rule: ExposureLimit) {
         self.lock().exposure = rule;
     }
 
@@ -343,7 +343,7 @@
         let told = &self.shared.tells_state;
         if !told.load(Ordering::Relaxed) {
             let awaited = self.shared.started.elapsed() < LEADER_AWAITED;
-            let ready = !awaited || self.shared.replica.has_reached_term();
+            let ready = !awaited || self.shared.replica.has_applied_current_term();
             told.store(ready, Ordering::Relaxed);
         }
         told.load(Ordering::Relaxed)
@@ -387,7 +387,7 @@
         }
         self.take_suspects(&update.suspects);
         self.take_rates(&update.rates);
-        self.lock().evidence.take_told(&update.counted);
+        self.lock().evidence.merge_forwarded(&update.counted);
         for heard in &update.heard {
             let change = self.lock().registry.take_heard(heard, now);
             self.note_change(&heard.id, "heard by another control host", change);
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use linnet_rollout::{
-    RolloutCause, RolloutCommand, RolloutFacts, RolloutLine, RolloutOrder, RolloutOutcome,
-    RolloutRecord, RolloutState, RolloutStep, RolloutSums, next_step,
+    RolloutCause, RolloutCommand, RolloutLine, RolloutOrder, RolloutOutcome, RolloutProgress,
+    RolloutRecord, RolloutState, RolloutStep, RolloutTotals, next_step,
 };
 use linnet_telemetry::EventCode;
 use tokio::time::sleep;
@@ -87,14 +87,14 @@
         }
         let slots = self.lock().registry.slots_by_version(&order.service);
         let former = slots.into_keys().filter(|one| *one != order.version);
-        let command = RolloutCommand::Begin {
+        let command = RolloutCommand::Start {
             former: former.collect(),
             order,
             now_ms: unix_ms(),
         };
         match self.roll(command).await? {
-            RolloutOutcome::Held(record) => record.ok_or(DirectoryError::NoQuorum),
-            RolloutOutcome::UnderWay(other) => Err(DirectoryError::UnderWay(other.version)),
+            RolloutOutcome::Newest(record) => record.ok_or(DirectoryError::NoQuorum),
+            RolloutOutcome::InProgress(other) => Err(DirectoryError::UnderWay(other.version)),
         }
     }
 
@@ -111,9 +111,9 @@
             return Err(DirectoryError::EarlierBuild);
         }
         let service = service.to_owned();
-        match self.roll(RolloutCommand::Look { service }).await? {
-            RolloutOutcome::Held(record) => Ok(record),
-            RolloutOutcome::UnderWay(record) => Ok(Some(record)),
+        match self.roll(RolloutCommand::Query { service }).await? {
+            RolloutOutcome::Newest(record) => Ok(record),
+            RolloutOutcome::InProgress(record) => Ok(Some(record)),
         }
     }
 
@@ -140,7 +140,7 @@
         let lines = services.flat_map(|service| {
             let records = book.history(service).iter();
             let line = |record: &RolloutRecord| {
-                RolloutLine::new(service, record, &state.evidence.sums(service, record))
+                RolloutLine::new(service, record, &state.evidence.totals(service, record))
             };
             records.map(line).collect::<Vec<RolloutLine>>()
         });
@@ -157,7 +157,9 @@
             return;
         };
         let reporter = format!("{}/{:x}", gateway.name, report.start);
-        self.lock().evidence.take(&reporter, &report.counted);
+        self.lock()
+            .evidence
+            .record_report(&reporter, &report.counted);
     }
 
     async fn roll(&self, command: RolloutCommand) -> Result<RolloutOutcome, DirectoryError> {
@@ -176,8 +178,8 @@
             let wanted = wanted.filter(|(version, _)| (**version == record.version) == tested);
             wanted.map(|(_, slots)| slots).sum()
         };
-        let sums: RolloutSums = state.evidence.sums(service, record);
-        next_step(&RolloutFacts {
+        let sums: RolloutTotals = state.evidence.totals(service, record);
+        next_step(&RolloutProgress {
             record,
             elapsed,
             slots: (of(true), of(false)),
@@ -193,17 +195,17 @@
         step: RolloutStep,
     ) -> Result<(), DirectoryError> {
         let (service_name, revision) = (service.to_owned(), record.revision);
-        let end = |completed, cause| RolloutCommand::End {
+        let end = |completed, cause| RolloutCommand::Finish {
             service: service_name.clone(),
             revision,
             completed,
             cause,
         };
         let command = match step {
-            RolloutStep::Hold => return Ok(()),
-            RolloutStep::Move(permille, cause) => RolloutCommand::Move {
+            RolloutStep::NoChange => return Ok(()),
+            RolloutStep::SetShare(permille, cause) => RolloutCommand::SetShare {
                 service: service_name.clone(),
-                seen: (revision, record.step),
+                expected: (revision, record.step),
                 permille,
                 cause,
             },
@@ -211,15 +213,15 @@
             RolloutStep::Revert(cause) => end(false, cause),
         };
         let outcome = self.roll(command).await;
-        if let Ok(RolloutOutcome::Held(Some(record))) = &outcome {
+        if let Ok(RolloutOutcome::Newest(Some(record))) = &outcome {
             self.note_step(service, record);
         }
         outcome.map(|_| ())
     }
 
     fn note_step(&self, service: &str, record: &RolloutRecord) {
-        let sums = self.lock().evidence.sums(service, record);
-        let ((tested, former), (tested_bad, former_bad)) = (sums.answers(), sums.failures());
+        let sums = self.lock().evidence.totals(service, record);
+        let ((tested, former), (tested_bad, former_bad)) = (sums.responses(), sums.failures());
         let detail = format!(
             "service={service} version={} revision={} permille={} state={} cause={} answers={tested}/{former} failures={tested_bad}/{former_bad}",
             record.version, record.revision, record.permille, record.state, record.cause
@@ -243,7 +245,7 @@
             let newest = book.newest(service);
             newest.is_some_and(|one| one.is_in_progress() && one.revision == revision)
         });
-        node.lock().evidence.set_book(&book);
+        node.lock().evidence.retain_in_progress(&book);
         for (service, record) in book.in_progress() {
             // Every control host notes when it heard of the order: it may lead later.
             let elapsed = ages.of(service, record);
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -7,7 +7,7 @@
 
 use linnet_quarantine::SuspectBook;
 use linnet_rate::RateBook;
-use linnet_rollout::{EvidenceBook, ExposureRule};
+use linnet_rollout::{EvidenceStore, ExposureLimit};
 use linnet_wire::MessageForm;
 
 use super::suspects::LivingTargets;
@@ -38,9 +38,9 @@
     /// The rates that targets named to entry hosts.
     pub(crate) rates: RateBook,
     /// What entry hosts counted for roll-outs.
-    pub(crate) evidence: EvidenceBook,
+    pub(crate) evidence: EvidenceStore,
     /// What a version may be exposed to before it is known to be good.
-    pub(crate) exposure: ExposureRule,
+    pub(crate) exposure: ExposureLimit,
     pub(crate) subscribers: BTreeMap<u64, SubscriberState>,
     pub(crate) next_subscriber: u64,
     /// Entry hosts that were lost without a word, and until when they are told on.
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -7,7 +7,7 @@
 
 use linnet_clock::BootInstant;
 use linnet_rate::RateWord;
-use linnet_rollout::RolloutBook;
+use linnet_rollout::RolloutStore;
 use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
@@ -57,7 +57,7 @@
     control: bool,
     offer: Option<DocumentKey>,
     evacuations: Option<Arc<EvacuationBook>>,
-    rollouts: Option<Arc<RolloutBook>>,
+    rollouts: Option<Arc<RolloutStore>>,
     /// The number of the last change up to which it was told of counts for roll-outs.
     counted: u64,
     sending: DocumentSending,
@@ -297,7 +297,7 @@
 
 fn next_update(node: &DirectoryNode, pushed: &mut Pushed) -> DirectoryUpdate {
     let mut update = DirectoryUpdate {
-        unled: !pushed.control && !node.replica().hears_leader(),
+        unled: !pushed.control && !node.replica().has_recent_leader(),
         ..DirectoryUpdate::default()
     };
     if !pushed.control && node.tells_state() {
--- a/crates/directory/src/serve_call.rs
+++ b/crates/directory/src/serve_call.rs
@@ -46,7 +46,7 @@
             }
         }
         DirectoryCall::Form { cluster, founders } => {
-            match node.replica().form(cluster, founders).await {
+            match node.replica().form_cluster(cluster, founders).await {
                 Ok(()) => DirectoryReply::Done,
                 Err(error) => DirectoryReply::Refused(error.to_string()),
             }
--- a/crates/directory/src/view.rs
+++ b/crates/directory/src/view.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linnet_rollout::{RolloutBook, VersionStanding};
+use linnet_rollout::{RolloutStore, VersionStatus};
 
 use crate::{
     DirectoryUpdate, EvacuationBook, GatewayRecord, HeldDocument, TargetRecord, TargetState,
@@ -35,7 +35,7 @@
     /// The newest start of a target that was called withdrawn.
     withdrawn: BTreeMap<String, u64>,
     evacuations: EvacuationBook,
-    rollouts: RolloutBook,
+    rollouts: RolloutStore,
     /// Until when targets are cold, by identity.
     cold: HashMap<String, Instant>,
     /// The targets that took work when [`DirectoryView::list_changes`] looked last.
@@ -125,7 +125,7 @@
     }
 
     /// Returns the roll-outs of services.
-    pub fn rollouts(&self) -> &RolloutBook {
+    pub fn rollouts(&self) -> &RolloutStore {
         &self.rollouts
     }
 
@@ -176,8 +176,10 @@
     fn takes_work(&self, id: &str, record: &TargetRecord) -> bool {
         let withdrawn = self.withdrawn.get(id);
         let withdrew = withdrawn.is_some_and(|born| *born >= record.born);
-        let standing = self.rollouts.standing_of(&record.service, &record.version);
-        let is_closed = standing == VersionStanding::Closed;
+        let standing = self
+            .rollouts
+            .version_status(&record.service, &record.version);
+        let is_closed = standing == VersionStatus::Excluded;
         !record.silent && !withdrew && !is_closed && !self.evacuations.is_evacuated(&record.hall)
     }
 
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -199,7 +199,7 @@
             results: results.as_ref(),
             last_event: None,
         };
-        let more = log.attempts - refusals < ask.route.max_attempts && ask.route.may_repeat();
+        let more = log.attempts - refusals < ask.route.max_attempts && ask.route.is_repeatable();
         let end = send_attempt(gateway, ask, attempt, more).await;
         if !matches!(end, AttemptEnd::Withheld) {
             turn.as_mut().into_iter().for_each(RunTurn::note_sending);
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -113,7 +113,7 @@
         let now = Instant::now();
         let mut next_start: Option<Instant> = None;
         for number in 0..stages.len() {
-            let due = stages[number].after.iter().all(|after| done[*after]);
+            let due = stages[number].depends_on.iter().all(|after| done[*after]);
             if started[number] || !due {
                 continue;
             }
@@ -160,7 +160,7 @@
 ) -> Vec<Option<Expectation>> {
     let stages = ask.route.stages.iter().zip(&ask.piece_counts).enumerate();
     let later = stages.map(|(number, (stage, count))| {
-        let comes = *count > 0 && (!stage.after.is_empty() || schedule.is_deferred(number));
+        let comes = *count > 0 && (!stage.depends_on.is_empty() || schedule.is_deferred(number));
         comes.then(|| {
             gateway.stages.expect(ExpectedPieces {
                 pool: choose_part(gateway, ask, number, None),
@@ -178,7 +178,8 @@
     let stages = &ask.route.stages;
     let last = last_stages(ask);
     for (number, held) in results.iter_mut().enumerate() {
-        let mut takers = (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
+        let mut takers =
+            (0..stages.len()).filter(|later| stages[*later].depends_on.contains(&number));
         if !last.contains(&number) && takers.all(|later| done[later]) {
             *held = None;
         }
@@ -186,7 +187,7 @@
 }
 
 fn inputs_of(ask: &Ask, results: &[Option<StageResults>], number: usize) -> Vec<String> {
-    let before = ask.route.stages[number].after.iter();
+    let before = ask.route.stages[number].depends_on.iter();
     let stages = before.filter_map(|after| results[*after].as_ref());
     stages
         .flat_map(|stage| stage.handles.iter().cloned())
@@ -225,7 +226,7 @@
     target_hall: &str,
 ) -> Option<String> {
     let stage = &ask.route.stages[number];
-    let inputs = bytes_by_hall(ask, results, &stage.after, &gateway.targets.borrow());
+    let inputs = bytes_by_hall(ask, results, &stage.depends_on, &gateway.targets.borrow());
     if let Some((hall, bytes)) = inputs.heaviest()
         && bytes >= HALL_BYTES
     {
@@ -243,7 +244,7 @@
     hall: Option<String>,
 ) -> (usize, Result<StageResults, StageFailure>) {
     let stage = &ask.route.stages[number];
-    let input = if stage.after.is_empty() {
+    let input = if stage.depends_on.is_empty() {
         PieceInput::Key(ask.piece_key.clone())
     } else {
         PieceInput::Results(inputs)
@@ -256,7 +257,7 @@
         number: 0,
         pool: choose_part(gateway, ask, number, hall.as_deref()),
         rank: ask.rank,
-        first: stage.after.is_empty(),
+        first: stage.depends_on.is_empty(),
         wanted_ms: wanted.as_millis() as u64,
         remaining_ms: ask.time_left().as_millis() as u64,
         hall,
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -24,7 +24,7 @@
     let mut ends: Vec<(f64, f64)> = Vec::with_capacity(stages.len());
     let mut spans: Vec<f64> = Vec::with_capacity(stages.len());
     for (number, stage) in stages.iter().enumerate() {
-        let before = stage.after.iter().map(|before| ends[*before]);
+        let before = stage.depends_on.iter().map(|before| ends[*before]);
         let (start, waits) = before.fold((0.0, 0.0), longer);
         let count = ask.piece_counts[number];
         let load = gateway.stages.load_of(&stage.service);
@@ -60,7 +60,7 @@
     for (number, stage) in stages.iter().enumerate().rev() {
         let pool = pool_of(table.as_deref(), &stage.service);
         let whole = own_ms(pool, ask.piece_counts[number]) + after[number];
-        for before in &stage.after {
+        for before in &stage.depends_on {
             after[*before] = after[*before].max(whole);
         }
     }
@@ -99,7 +99,7 @@
         let later = stages.iter().zip(&ask.piece_counts);
         later
             .into_iter()
-            .any(|(stage, count)| *count > 0 && stage.after.contains(&number))
+            .any(|(stage, count)| *count > 0 && stage.depends_on.contains(&number))
     };
     (0..stages.len())
         .filter(|number| ask.piece_counts[*number] > 0 && !taken_by_later(*number))
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -63,7 +63,7 @@
         results: Option<RequestResults>,
         attempts: u32,
     ) -> Self {
-        let keeps = ask.route.may_repeat() && attempts < ask.route.max_attempts;
+        let keeps = ask.route.is_repeatable() && attempts < ask.route.max_attempts;
         Self {
             gateway: gateway.clone(),
             ask: ask.clone(),
@@ -127,7 +127,7 @@
         let route = &self.ask.route.name;
         self.gateway
             .count_answer(service, target, route, AnswerQuality::Failed);
-        while self.ask.route.may_repeat()
+        while self.ask.route.is_repeatable()
             && self.attempts < self.ask.route.max_attempts
             && take_turn(&self.gateway, &self.ask, &mut self.turn)
                 .await
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_directory::CountSource;
-use linnet_rollout::{RolloutBook, RolloutTally};
+use linnet_rollout::{ResponseTracker, RolloutStore};
 use linnet_routing::RouteKind;
 use linnet_telemetry::EventCode;
 
@@ -32,8 +32,8 @@
 /// What this host knows of roll-outs.
 #[derive(Default)]
 pub(crate) struct RolloutWatch {
-    book: RefCell<RolloutBook>,
-    tally: RefCell<RolloutTally>,
+    book: RefCell<RolloutStore>,
+    tally: RefCell<ResponseTracker>,
     /// Whether any control host is heard.
     hears: Cell<bool>,
 }
@@ -120,7 +120,7 @@
         }
         self.note_rollouts(told, hears);
         self.rollouts.book.replace(told.clone());
-        self.rollouts.tally.borrow_mut().set_book(told);
+        self.rollouts.tally.borrow_mut().retain_in_progress(told);
         let splits = VersionSplit::all_of(told, hears);
         self.metrics.rollouts_open.set(splits.len() as i64);
         self.coordinator.set_splits(&splits);
@@ -128,7 +128,7 @@
         true
     }
 
-    fn note_rollouts(&self, told: &RolloutBook, hears: bool) {
+    fn note_rollouts(&self, told: &RolloutStore, hears: bool) {
         let known = self.rollouts.book.borrow();
         for (service, record) in told.all_newest() {
             if known.newest(service) == Some(record) && !record.is_in_progress() {
@@ -187,6 +187,6 @@
             AnswerQuality::Took(_) | AnswerQuality::Good => Some(None),
         };
         let mut tally = self.rollouts.tally.borrow_mut();
-        tally.note(&book, service, (route, version), answered);
+        tally.record_response(&book, service, (route, version), answered);
     }
 }
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -42,7 +42,9 @@
         let stages = ask.route.stages.iter().enumerate();
         let deferrable: Vec<usize> = stages
             .filter(|(number, stage)| {
-                stage.result_bytes >= HALL_BYTES && stage.after.is_empty() && last.contains(number)
+                stage.result_bytes >= HALL_BYTES
+                    && stage.depends_on.is_empty()
+                    && last.contains(number)
             })
             .map(|(number, _)| number)
             .collect();
--- a/crates/gateway/src/version_split.rs
+++ b/crates/gateway/src/version_split.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use linnet_rollout::{RolloutBook, VersionSide};
+use linnet_rollout::{RolloutStore, VersionSide};
 
 /// All requests, in thousandths.
 const ALL: f64 = 1_000.0;
@@ -21,7 +21,7 @@
 
 impl VersionSplit {
     /// Returns the splits of all services, as a host has them that hears control hosts or does not.
-    pub(crate) fn all_of(book: &RolloutBook, hears: bool) -> HashMap<String, Self> {
+    pub(crate) fn all_of(book: &RolloutStore, hears: bool) -> HashMap<String, Self> {
         let splits = book.in_progress().map(|(service, record)| {
             let share = if hears {
                 f64::from(record.permille) / ALL
--- a/crates/gateway/src/version_split/tests.rs
+++ b/crates/gateway/src/version_split/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn book(permille: u16) -> RolloutBook {
-    let mut book = RolloutBook::default();
-    book.apply(&RolloutCommand::Begin {
+fn book(permille: u16) -> RolloutStore {
+    let mut book = RolloutStore::default();
+    book.apply(&RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: "v2".to_owned(),
@@ -13,9 +13,9 @@
         former: vec!["v1".to_owned()],
         now_ms: 0,
     });
-    book.apply(&RolloutCommand::Move {
+    book.apply(&RolloutCommand::SetShare {
         service: "desk".to_owned(),
-        seen: (1, 0),
+        expected: (1, 0),
         permille,
         cause: RolloutCause::Time,
     });
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -17,7 +17,7 @@
 };
 use linnet_journal::DiskOps;
 use linnet_quorum::{QuorumTiming, Replica, ReplicaConfig, serve_peer};
-use linnet_rollout::{ExposureRule, RolloutRecord};
+use linnet_rollout::{ExposureLimit, RolloutRecord};
 use linnet_telemetry::{EventCode, EventRecorder, HybridClock};
 use linnet_wire::{MessageForm, PeerGreeting};
 use prometheus_client::metrics::gauge::Gauge;
@@ -97,8 +97,8 @@
         identity: identity.clone(),
         recorder: recorder.clone(),
         timing: QuorumTiming::new()
-            .with_heartbeat(QUORUM_HEARTBEAT)
-            .with_removal(LOST_MEMBER_SPAN),
+            .with_heartbeat_interval(QUORUM_HEARTBEAT)
+            .with_removal_timeout(LOST_MEMBER_SPAN),
         disk: DiskOps::new(),
         on_fatal: Box::new(|error| {
             log::error!(target: "linnetdale", "{error}");
@@ -126,7 +126,7 @@
         (peers, operators),
         settings.hall.clone(),
     );
-    node.set_exposure(ExposureRule {
+    node.set_exposure(ExposureLimit {
         share: settings.rollout.exposure_share,
         slack: settings.rollout.exposure_slack,
     });
--- a/crates/quorum/src/election.rs
+++ b/crates/quorum/src/election.rs
@@ -9,21 +9,21 @@
 use linnet_wire::{PeerGreeting, connect_peer};
 use tokio::time::{sleep, timeout};
 
-use crate::message::Addressed;
+use crate::message::AddressedRequest;
 use crate::replica::ReplicaShared;
 use crate::{LogPosition, Member, PeerReply, PeerRequest, Role, VoteRequest, replicate};
 
 /// How often the task looks at the clock.
-const TICK: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Stands for election when no leader is heard, and steps down when no majority is.
 pub(crate) async fn run_elections(shared: Arc<ReplicaShared>) {
     loop {
-        sleep(TICK).await;
+        sleep(CHECK_INTERVAL).await;
         step_down_without_majority(&shared);
-        if should_stand(&shared) {
-            stand(&shared).await;
-            shared.lock().put_off_election(&shared.timing);
+        if should_start_election(&shared) {
+            run_election(&shared).await;
+            shared.lock().reset_election_timer(&shared.timing);
         }
     }
 }
@@ -40,18 +40,18 @@
     shared
         .recorder
         .record(EventCode::LeaderSteppedDown, "", detail);
-    shared.bump();
+    shared.notify_change();
 }
 
-fn should_stand(shared: &ReplicaShared) -> bool {
+fn should_start_election(shared: &ReplicaShared) -> bool {
     let state = shared.lock();
-    let quiet = state.leader_heard.elapsed() >= shared.timing.election_min;
-    let due = Instant::now() >= state.election_due;
+    let quiet = state.last_leader_contact.elapsed() >= shared.timing.min_election_timeout;
+    let due = Instant::now() >= state.next_election_at;
     let may_be_leaderless = quiet || state.is_leaderless();
-    state.role != Role::Leader && state.members.is_voter(state.me) && may_be_leaderless && due
+    state.role != Role::Leader && state.members.is_voter(state.own_id) && may_be_leaderless && due
 }
 
-async fn stand(shared: &Arc<ReplicaShared>) {
+async fn run_election(shared: &Arc<ReplicaShared>) {
     // A pre-vote changes nothing anywhere: a voter that is cut off cannot drive the term up and
     // unseat a leader when it returns.
     let mut ahead = {
@@ -62,41 +62,42 @@
             leaderless: false,
         }
     };
-    let answers = ask_all(shared, PeerRequest::PreVote(ahead)).await;
+    let answers = request_votes(shared, PeerRequest::PreVote(ahead)).await;
     if !answers.has_majority() {
         if !answers.is_leaderless() || !shared.lock().is_leaderless() {
             return;
         }
         ahead.leaderless = true;
-        let answers = ask_all(shared, PeerRequest::PreVote(ahead)).await;
+        let answers = request_votes(shared, PeerRequest::PreVote(ahead)).await;
         if !answers.has_majority() {
             return;
         }
     }
-    let Some(request) = enter_term(shared, ahead).await else {
+    let Some(request) = vote_for_self(shared, ahead).await else {
         return;
     };
     let detail = format!("term={} leaderless={}", request.term, request.leaderless);
     shared
         .recorder
         .record(EventCode::ElectionStarted, "", detail);
-    let answers = ask_all(shared, PeerRequest::Vote(request)).await;
+    let answers = request_votes(shared, PeerRequest::Vote(request)).await;
     if answers.has_majority() {
-        lead(shared, request.term).await;
+        become_leader(shared, request.term).await;
     }
 }
 
 /// Votes for itself in a new term, durably, unless something changed since the pre-vote.
-async fn enter_term(shared: &ReplicaShared, ahead: VoteRequest) -> Option<VoteRequest> {
+async fn vote_for_self(shared: &ReplicaShared, ahead: VoteRequest) -> Option<VoteRequest> {
     let (ticket, request) = {
         let mut state = shared.lock();
         let quiet = ahead.leaderless && state.is_leaderless();
-        let heard = !quiet && state.leader_heard.elapsed() < shared.timing.election_min;
+        let heard =
+            !quiet && state.last_leader_contact.elapsed() < shared.timing.min_election_timeout;
         if state.term + 1 != ahead.term || heard {
             return None;
         }
-        let me = state.me;
-        state.set_ballot(ahead.term, Some(me));
+        let own_id = state.own_id;
+        state.set_ballot(ahead.term, Some(own_id));
         state.role = Role::Candidate;
         let request = VoteRequest {
             last: state.log.last(),
@@ -105,38 +106,38 @@
         (state.flush(&shared.writer), request)
     };
     shared
-        .await_synced(ticket, LogPosition::default())
+        .wait_until_synced(ticket, LogPosition::default())
         .await
         .ok()?;
     Some(request)
 }
 
-async fn lead(shared: &Arc<ReplicaShared>, term: u64) {
+async fn become_leader(shared: &Arc<ReplicaShared>, term: u64) {
     let (ticket, position) = {
         let mut state = shared.lock();
         if state.term != term || state.role != Role::Candidate {
             return;
         }
-        state.begin_leading();
+        state.start_leadership();
         (state.flush(&shared.writer), state.log.last())
     };
     shared
         .recorder
         .record(EventCode::LeaderElected, "", format!("term={term}"));
-    replicate::start_peers(shared, term);
-    shared.bump();
-    let _ = shared.await_synced(ticket, position).await;
+    replicate::start_peer_tasks(shared, term);
+    shared.notify_change();
+    let _ = shared.wait_until_synced(ticket, position).await;
 }
 
 /// What the voters answered in one round.
 #[derive(Debug, Default)]
-struct RoundAnswers {
+struct VoteRound {
     voters: usize,
     granted: usize,
     leaderless: usize,
 }
 
-impl RoundAnswers {
+impl VoteRound {
     fn has_majority(&self) -> bool {
         self.granted * 2 > self.voters
     }
@@ -147,7 +148,7 @@
         self.leaderless == self.voters
     }
 
-    fn count(&mut self, answer: VoterAnswer) {
+    fn count(&mut self, answer: VoterReply) {
         self.voters += 1;
         self.granted += usize::from(answer.granted);
         self.leaderless += usize::from(answer.leaderless);
@@ -156,26 +157,28 @@
 
 /// What one voter answered; a voter that did not answer grants nothing.
 #[derive(Debug, Clone, Copy, Default)]
-struct VoterAnswer {
+struct VoterReply {
     granted: bool,
     leaderless: bool,
 }
 
 /// Asks every voter at once; this replica among them agrees with itself.
-async fn ask_all(shared: &ReplicaShared, request: PeerRequest) -> RoundAnswers {
-    let (me, voters, leaderless) = {
+async fn request_votes(shared: &ReplicaShared, request: PeerRequest) -> VoteRound {
+    let (own_id, voters, leaderless) = {
         let state = shared.lock();
         let voters = state.members.voters.clone();
-        (state.me, voters, state.is_leaderless())
+        (state.own_id, voters, state.is_leaderless())
     };
-    let others: Vec<_> = voters.iter().filter(|voter| voter.id != me).collect();
-    let asked = others.iter().map(|voter| ask_vote(shared, voter, &request));
-    let mut answers = RoundAnswers::default();
+    let others: Vec<_> = voters.iter().filter(|voter| voter.id != own_id).collect();
+    let asked = others
+        .iter()
+        .map(|voter| request_vote(shared, voter, &request));
+    let mut answers = VoteRound::default();
     for answer in join_all(asked).await {
         answers.count(answer);
     }
-    if voters.iter().any(|voter| voter.id == me) {
-        answers.count(VoterAnswer {
+    if voters.iter().any(|voter| voter.id == own_id) {
+        answers.count(VoterReply {
             granted: true,
             leaderless,
         });
@@ -183,10 +186,10 @@
     answers
 }
 
-async fn ask_vote(shared: &ReplicaShared, voter: &Member, request: &PeerRequest) -> VoterAnswer {
+async fn request_vote(shared: &ReplicaShared, voter: &Member, request: &PeerRequest) -> VoterReply {
     let work = async {
         let (mut reader, mut writer) = connect_peer(&shared.identity, voter.peer).await.ok()?;
-        let message = address_request(shared, voter, request.clone())?;
+        let message = to_addressed_request(shared, voter, request.clone())?;
         writer.send(&PeerGreeting::Quorum).await.ok()?;
         writer.send(&message).await.ok()?;
         reader.receive::<PeerReply>().await.ok()
@@ -197,23 +200,23 @@
             granted,
             leaderless,
         })) => {
-            note_term(shared, term);
-            VoterAnswer {
+            observe_term(shared, term);
+            VoterReply {
                 granted,
                 leaderless,
             }
         }
         // One whose disk was wiped is gone, and with it any lease that it held.
-        Ok(Some(PeerReply::OtherReplica)) => VoterAnswer {
+        Ok(Some(PeerReply::WrongReplica)) => VoterReply {
             granted: false,
             leaderless: true,
         },
-        _ => VoterAnswer::default(),
+        _ => VoterReply::default(),
     }
 }
 
 /// Enters a higher term that a peer told of.
-pub(crate) fn note_term(shared: &ReplicaShared, term: u64) {
+pub(crate) fn observe_term(shared: &ReplicaShared, term: u64) {
     let mut state = shared.lock();
     if term <= state.term {
         return;
@@ -228,19 +231,19 @@
             .recorder
             .record(EventCode::LeaderSteppedDown, "", detail);
     }
-    shared.bump();
+    shared.notify_change();
 }
 
 /// Puts the address of a peer on a request; nothing before the replica has a cluster.
-pub(crate) fn address_request(
+pub(crate) fn to_addressed_request(
     shared: &ReplicaShared,
     to: &Member,
     request: PeerRequest,
-) -> Option<Addressed> {
+) -> Option<AddressedRequest> {
     let state = shared.lock();
-    Some(Addressed {
+    Some(AddressedRequest {
         cluster: state.cluster?,
-        from: state.me,
+        from: state.own_id,
         to: to.id,
         request,
     })
--- a/crates/quorum/src/election/tests.rs
+++ b/crates/quorum/src/election/tests.rs
@@ -3,10 +3,10 @@
 use crate::{NodeId, QuorumTiming, grant_vote};
 use linnet_clock::BootInstant;
 
-fn answers(given: &[(bool, bool)]) -> RoundAnswers {
-    let mut answers = RoundAnswers::default();
+fn answers(given: &[(bool, bool)]) -> VoteRound {
+    let mut answers = VoteRound::default();
     for (granted, leaderless) in given {
-        answers.count(VoterAnswer {
+        answers.count(VoterReply {
             granted: *granted,
             leaderless: *leaderless,
         });
@@ -43,9 +43,9 @@
     assert!(!votes(&state, false));
     assert!(votes(&state, true));
     // It has heard a leader, whose lease may last whatever the others said a moment ago.
-    state.heard_since_start = true;
+    state.leader_seen_since_start = true;
     assert!(!votes(&state, true));
-    state.heard_since_start = false;
+    state.leader_seen_since_start = false;
     state.role = Role::Leader;
     assert!(!state.is_leaderless());
 }
@@ -56,10 +56,13 @@
     let before = Instant::now();
     let mut state = ReplicaState::new(NodeId(1), Some(7), &timing);
     let started = Instant::now();
-    assert!(state.election_due <= started + timing.first_election_max + timing.heartbeat);
-    state.heard_since_start = true;
-    state.put_off_election(&timing);
-    assert!(state.election_due >= before + timing.election_min);
+    assert!(
+        state.next_election_at
+            <= started + timing.max_first_election_timeout + timing.heartbeat_interval
+    );
+    state.leader_seen_since_start = true;
+    state.reset_election_timer(&timing);
+    assert!(state.next_election_at >= before + timing.min_election_timeout);
 }
 
 fn member(id: u64) -> Member {
@@ -80,14 +83,14 @@
     let timing = QuorumTiming::new();
     let mut state = ReplicaState::new(NodeId(1), Some(7), &timing);
     state.members.voters = (1..=3).map(member).collect();
-    state.begin_leading();
+    state.start_leadership();
     let began = state.leading_since;
     assert!(!state.has_lost_majority(&timing, began));
-    let nearly = began + (timing.election_min - Duration::from_millis(1));
+    let nearly = began + (timing.min_election_timeout - Duration::from_millis(1));
     assert!(!state.has_lost_majority(&timing, nearly));
-    assert!(state.has_lost_majority(&timing, began + timing.election_min));
+    assert!(state.has_lost_majority(&timing, began + timing.min_election_timeout));
     // It still holds no lease until a majority has answered.
-    assert!(!state.lease_lasts(&timing));
+    assert!(!state.has_valid_lease(&timing));
 }
 
 /// A leader whose machine was suspended while another one was elected believed its lease to last, since the
@@ -101,18 +104,18 @@
     let sent = BootInstant::now();
     for peer in [2, 3] {
         let progress = PeerProgress {
-            next: 1,
-            matched: 0,
-            told_commit: 0,
-            answered: Some(sent),
-            since: sent,
+            next_index: 1,
+            match_index: 0,
+            sent_commit: 0,
+            last_ack_sent_at: Some(sent),
+            started_at: sent,
         };
         state.progress.insert(NodeId(peer), progress);
     }
-    assert!(state.lease_lasts_at(&timing, sent + timing.lease / 2));
+    assert!(state.has_valid_lease_at(&timing, sent + timing.lease_duration / 2));
     // It wakes up; for the steady clock no time has passed.
-    let awake = sent + timing.election_min + timing.lease;
-    assert!(!state.lease_lasts_at(&timing, awake));
+    let awake = sent + timing.min_election_timeout + timing.lease_duration;
+    assert!(!state.has_valid_lease_at(&timing, awake));
     state.leading_since = sent;
     assert!(state.has_lost_majority(&timing, awake));
 }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,14 +1,13 @@
 //! Agreement over a replicated log: terms, pre-vote, commit after sync, leases, membership.
 //!
 //! - [`Replica`] is the handle: it starts the tasks, takes proposals and answers peers.
-//! - [`MachineHooks`] are the state machine that committed commands go to.
+//! - [`StateMachineHooks`] are the state machine that committed commands go to.
 //! - [`Members`] are the voters and learners; [`MemberChange`] changes one of them at a time.
 //! - [`grant_vote`], [`quorum_index`] and [`quorum_instant`] are the rules, kept as functions so
 //!   that tests can check them over many inputs.
 
 mod election;
 mod log;
-mod machine;
 mod member;
 mod message;
 mod propose;
@@ -17,15 +16,16 @@
 mod rule;
 mod serve;
 mod state;
+mod state_machine;
 mod storage;
 mod timing;
 
 pub use log::{LogEntry, LogPayload};
-pub use machine::MachineHooks;
 pub use member::{Member, MemberChange, MemberError, Members, NodeId};
 pub use message::{PeerReply, PeerRequest, VoteRequest};
 pub use propose::ProposeError;
 pub use replica::{FormError, Replica, ReplicaConfig, ReplicaStatus, Role, StartError};
-pub use rule::{LogPosition, VoteFacts, grant_vote, quorum_index, quorum_instant};
+pub use rule::{LogPosition, VoterState, grant_vote, quorum_index, quorum_instant};
 pub use serve::serve_peer;
+pub use state_machine::StateMachineHooks;
 pub use timing::QuorumTiming;
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -32,7 +32,7 @@
 
 impl LogEntry {
     /// Returns about how many bytes the entry takes in a message.
-    pub(crate) fn weight(&self) -> usize {
+    pub(crate) fn estimated_bytes(&self) -> usize {
         match &self.payload {
             LogPayload::Command(command) => command.len() + 24,
             LogPayload::Members(members) => members.all().count() * 96 + 24,
@@ -91,7 +91,7 @@
     /// Appends the entry that is due next.
     pub(crate) fn push(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
-        self.bytes += entry.weight();
+        self.bytes += entry.estimated_bytes();
         self.entries.push_back(entry);
     }
 
@@ -99,12 +99,12 @@
     pub(crate) fn truncate_from(&mut self, index: u64) {
         let keep = index.saturating_sub(self.base.index + 1);
         let dropped = self.entries.iter().skip(keep as usize);
-        self.bytes -= dropped.map(LogEntry::weight).sum::<usize>();
+        self.bytes -= dropped.map(LogEntry::estimated_bytes).sum::<usize>();
         self.entries.truncate(keep as usize);
     }
 
     /// Moves the base up to an index that the log holds, and drops what stands before it.
-    pub(crate) fn drop_through(&mut self, index: u64) {
+    pub(crate) fn compact_through(&mut self, index: u64) {
         while let Some(first) = self.entries.front() {
             if first.index > index {
                 return;
@@ -113,7 +113,7 @@
                 term: first.term,
                 index: first.index,
             };
-            self.bytes -= first.weight();
+            self.bytes -= first.estimated_bytes();
             self.entries.pop_front();
         }
     }
@@ -125,7 +125,7 @@
     }
 
     /// Returns the newest members that the log names, with their index.
-    pub(crate) fn newest_members(&self) -> Option<(u64, &Members)> {
+    pub(crate) fn latest_members(&self) -> Option<(u64, &Members)> {
         self.entries
             .iter()
             .rev()
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -7,7 +7,7 @@
 /// A request with its address. A replica refuses what is meant for another identity, so a host
 /// whose disk was wiped can never answer as its former self.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Addressed {
+pub(crate) struct AddressedRequest {
     pub(crate) cluster: u64,
     pub(crate) from: NodeId,
     pub(crate) to: NodeId,
@@ -41,7 +41,7 @@
         commit: u64,
     },
     /// Entries that follow a position.
-    Append {
+    AppendEntries {
         /// The leader's term.
         term: u64,
         /// The position that the entries follow.
@@ -52,7 +52,7 @@
         commit: u64,
     },
     /// A part of a snapshot.
-    Install {
+    InstallSnapshot {
         /// The leader's term.
         term: u64,
         /// The last entry that the snapshot holds.
@@ -63,7 +63,7 @@
         offset: u64,
         /// The bytes of the part.
         #[serde(with = "serde_bytes")]
-        part: Vec<u8>,
+        chunk: Vec<u8>,
         /// Whether the snapshot is whole with this part.
         done: bool,
     },
@@ -82,7 +82,7 @@
         leaderless: bool,
     },
     /// To a heartbeat.
-    Alive {
+    Acknowledged {
         /// The peer's term.
         term: u64,
     },
@@ -101,7 +101,7 @@
         next: u64,
     },
     /// Another replica runs at the address, so the one that was meant does not run any more.
-    OtherReplica,
+    WrongReplica,
     /// The peer is of another cluster, or its disk refused.
     Refused,
 }
--- a/crates/quorum/src/message/tests.rs
+++ b/crates/quorum/src/message/tests.rs
@@ -62,18 +62,18 @@
             term: 7,
             commit: 300,
         },
-        PeerRequest::Append {
+        PeerRequest::AppendEntries {
             term: 7,
             previous: POSITION,
             entries: entries(),
             commit: 300,
         },
-        PeerRequest::Install {
+        PeerRequest::InstallSnapshot {
             term: 7,
             last: POSITION,
             members: members(),
             offset: 128,
-            part: vec![1, 2, 3],
+            chunk: vec![1, 2, 3],
             done: true,
         },
     ]
@@ -86,20 +86,20 @@
             granted: true,
             leaderless: false,
         },
-        PeerReply::Alive { term: 7 },
+        PeerReply::Acknowledged { term: 7 },
         PeerReply::Matched {
             term: 7,
             index: 300,
         },
         PeerReply::Mismatch { term: 7, next: 299 },
-        PeerReply::OtherReplica,
+        PeerReply::WrongReplica,
         PeerReply::Refused,
     ]
 }
 
 #[test]
 fn messages_between_replicas_are_as_they_were_shipped() {
-    let addressed = |request| Addressed {
+    let addressed = |request| AddressedRequest {
         cluster: 5,
         from: NodeId(300),
         to: NodeId(7),
--- a/crates/quorum/src/propose.rs
+++ b/crates/quorum/src/propose.rs
@@ -7,14 +7,14 @@
 
 use crate::log::LogPayload;
 use crate::replica::ReplicaShared;
-use crate::state::{ReplicaState, Waiter};
+use crate::state::{ProposalWaiter, ReplicaState};
 use crate::{LogPosition, Member, MemberChange, MemberError, Role};
 
 /// Proposals that may wait at one time; more are refused.
-const MAX_WAITERS: usize = 4_096;
+const MAX_PENDING_PROPOSALS: usize = 4_096;
 
 /// The longest time that a proposal waits for its commit.
-pub(crate) const PROPOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
+pub(crate) const COMMIT_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// Why a proposal has no answer.
 #[derive(Debug, Clone, Display, derive_more::Error, Serialize, Deserialize)]
@@ -48,52 +48,55 @@
     ) -> Result<Vec<u8>, ProposeError> {
         let (answer, ticket, position) = {
             let mut state = self.lock();
-            self.check_can_propose(&state)?;
+            self.check_accepts_proposals(&state)?;
             if let LogPayload::Members(_) = payload {
-                check_members_settled(&state).map_err(ProposeError::Members)?;
+                check_membership_settled(&state).map_err(ProposeError::Members)?;
             }
-            let index = state.append_own(payload);
+            let index = state.append_as_leader(payload);
             let (done, answer) = oneshot::channel();
             let term = state.term;
-            state.waiters.insert(index, Waiter { term, done });
+            state.proposals.insert(index, ProposalWaiter { term, done });
             let ticket = state.flush(&self.writer);
             (answer, ticket, LogPosition { term, index })
         };
-        self.bump();
-        if self.await_synced(ticket, position).await.is_err() {
-            self.lock().waiters.remove(&position.index);
+        self.notify_change();
+        if self.wait_until_synced(ticket, position).await.is_err() {
+            self.lock().proposals.remove(&position.index);
             return Err(ProposeError::Unknown);
         }
-        match timeout(PROPOSE_TIMEOUT, answer).await {
+        match timeout(COMMIT_TIMEOUT, answer).await {
             Ok(Ok(result)) => result,
             _ => {
-                self.lock().waiters.remove(&position.index);
+                self.lock().proposals.remove(&position.index);
                 Err(ProposeError::Unknown)
             }
         }
     }
 
     /// Changes one member as the leader and waits for the commit.
-    pub(crate) async fn propose_members(&self, change: &MemberChange) -> Result<(), ProposeError> {
+    pub(crate) async fn propose_member_change(
+        &self,
+        change: &MemberChange,
+    ) -> Result<(), ProposeError> {
         let members = {
             let state = self.lock();
-            self.check_can_propose(&state)?;
+            self.check_accepts_proposals(&state)?;
             state.members.after(change).map_err(ProposeError::Members)?
         };
         self.propose_payload(LogPayload::Members(members)).await?;
         Ok(())
     }
 
-    fn check_can_propose(&self, state: &ReplicaState) -> Result<(), ProposeError> {
-        if !state.lease_lasts(&self.timing) {
-            let leader = state.leader.filter(|id| *id != state.me);
+    fn check_accepts_proposals(&self, state: &ReplicaState) -> Result<(), ProposeError> {
+        if !state.has_valid_lease(&self.timing) {
+            let leader = state.leader.filter(|id| *id != state.own_id);
             return Err(ProposeError::NotLeader {
                 leader: leader
                     .and_then(|id| state.members.find(id))
                     .map(|member| Box::new(member.clone())),
             });
         }
-        if state.waiters.len() >= MAX_WAITERS {
+        if state.proposals.len() >= MAX_PENDING_PROPOSALS {
             return Err(ProposeError::Busy);
         }
         Ok(())
@@ -103,7 +106,7 @@
     ///
     /// `position` is the last entry among them. It counts only while the log still holds it: a
     /// newer leader may have had it replaced meanwhile.
-    pub(crate) async fn await_synced(
+    pub(crate) async fn wait_until_synced(
         &self,
         ticket: Option<linnet_journal::JournalTicket>,
         position: LogPosition,
@@ -120,16 +123,16 @@
                 }
                 if state.advance_commit() {
                     drop(state);
-                    self.bump();
+                    self.notify_change();
                 }
                 Ok(())
             }
             Ok(Err(refusal)) => {
-                state.undo_refused(&self.timing);
+                state.roll_back_unsynced(&self.timing);
                 self.writer.resume();
                 drop(state);
-                self.note_refusal(&refusal);
-                self.bump();
+                self.record_disk_refusal(&refusal);
+                self.notify_change();
                 Err(refusal)
             }
             // The journal thread has ended, which ends the process.
@@ -159,22 +162,22 @@
                 index: entry.index,
             };
             let mut state = self.lock();
-            answer_waiter(&mut state, entry.index, entry.term, answer);
-            self.leave_if_removed(&mut state, entry.index);
+            resolve_proposal(&mut state, entry.index, entry.term, answer);
+            self.step_down_if_removed(&mut state, entry.index);
         }
     }
 
     // A leader that is no voter any more leads until the entry that says so is committed.
-    fn leave_if_removed(&self, state: &mut ReplicaState, applied: u64) {
-        let removed = applied >= state.members_index && !state.members.is_voter(state.me);
+    fn step_down_if_removed(&self, state: &mut ReplicaState, applied: u64) {
+        let removed = applied >= state.members_index && !state.members.is_voter(state.own_id);
         if state.role == Role::Leader && removed {
             state.step_down(state.term, &self.timing);
         }
     }
 }
 
-fn answer_waiter(state: &mut ReplicaState, index: u64, term: u64, answer: Vec<u8>) {
-    if let Some(waiter) = state.waiters.remove(&index) {
+fn resolve_proposal(state: &mut ReplicaState, index: u64, term: u64, answer: Vec<u8>) {
+    if let Some(waiter) = state.proposals.remove(&index) {
         let result = if waiter.term == term {
             Ok(answer)
         } else {
@@ -186,7 +189,7 @@
 
 // Two changes of members that overlap could have majorities that do not meet. A new leader must
 // have committed an entry of its own term first, for the same reason.
-fn check_members_settled(state: &ReplicaState) -> Result<(), MemberError> {
+fn check_membership_settled(state: &ReplicaState) -> Result<(), MemberError> {
     let own_term_committed = state.log.term_at(state.commit) == Some(state.term);
     if state.members_index > state.commit || !own_term_committed {
         return Err(MemberError::Pending);
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -10,25 +10,25 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::machine::MachineCell;
 use crate::state::ReplicaState;
+use crate::state_machine::AppliedStateMachine;
 use crate::storage::{StoredSnapshot, encode, restore_state};
 use crate::{
-    LogEntry, LogPayload, LogPosition, MachineHooks, MemberChange, Members, NodeId, ProposeError,
-    QuorumTiming, election, replicate,
+    LogEntry, LogPayload, LogPosition, MemberChange, Members, NodeId, ProposeError, QuorumTiming,
+    StateMachineHooks, election, replicate,
 };
 
 /// Entries in memory at which a snapshot is taken.
-const SNAPSHOT_ENTRIES: u64 = 2_000;
+const SNAPSHOT_LOG_ENTRIES: u64 = 2_000;
 
 /// Bytes of entries in memory at which a snapshot is taken; the journal holds about as many.
-const SNAPSHOT_BYTES: usize = 4 * 1024 * 1024;
+const SNAPSHOT_LOG_BYTES: usize = 4 * 1024 * 1024;
 
 /// Bytes of entries that stay beside a snapshot.
-const KEPT_BYTES: usize = 1024 * 1024;
+const RETAINED_LOG_BYTES: usize = 1024 * 1024;
 
 /// Entries that stay beside a snapshot, so that a replica a little behind gets entries instead.
-const KEPT_ENTRIES: u64 = 500;
+const RETAINED_LOG_ENTRIES: u64 = 500;
 
 /// What a replica is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
@@ -119,7 +119,7 @@
     pub(crate) timing: QuorumTiming,
     pub(crate) writer: JournalWriter,
     state: Mutex<ReplicaState>,
-    machine: Mutex<MachineCell>,
+    machine: Mutex<AppliedStateMachine>,
     folder: Mutex<DataFolder>,
     changed: watch::Sender<u64>,
     compacting: std::sync::atomic::AtomicBool,
@@ -139,7 +139,7 @@
     /// [`StartError`] when the folder is held, corrupt or cannot be read.
     pub fn start(
         folder: &Path,
-        hooks: MachineHooks,
+        hooks: StateMachineHooks,
         config: ReplicaConfig,
     ) -> Result<Self, StartError> {
         let fresh = getrandom::u64().map_err(|_| StartError::NoRandom)?;
@@ -149,7 +149,7 @@
         let stored = restore_state(recovered)?;
         let mark = folder.mark();
         let mut state = ReplicaState::new(NodeId(mark.identity), mark.cluster, &config.timing);
-        let mut machine = MachineCell {
+        let mut machine = AppliedStateMachine {
             hooks,
             applied: LogPosition::default(),
         };
@@ -163,10 +163,10 @@
         state.synced = stored.log.last().index;
         state.log = stored.log;
         state.base_members = stored.base_members;
-        state.refresh_members();
+        state.reload_members();
         let detail = format!(
             "identity={} term={} last={} torn_bytes={torn}",
-            state.me, state.term, state.synced
+            state.own_id, state.term, state.synced
         );
         config
             .recorder
@@ -184,7 +184,7 @@
         });
         ntex::rt::spawn(election::run_elections(shared.clone()));
         ntex::rt::spawn(replicate::run_membership(shared.clone()));
-        ntex::rt::spawn(apply_as_committed(shared.clone()));
+        ntex::rt::spawn(run_apply_loop(shared.clone()));
         Ok(Self { shared })
     }
 
@@ -205,7 +205,7 @@
     ///
     /// [`ProposeError`].
     pub async fn change_members(&self, change: &MemberChange) -> Result<(), ProposeError> {
-        self.shared.propose_members(change).await
+        self.shared.propose_member_change(change).await
     }
 
     /// Makes this blank replica a founder of a cluster. Asked again, it answers the same.
@@ -213,11 +213,11 @@
     /// # Errors
     ///
     /// [`FormError`]; the replica is as it was.
-    pub async fn form(&self, cluster: u64, founders: Members) -> Result<(), FormError> {
+    pub async fn form_cluster(&self, cluster: u64, founders: Members) -> Result<(), FormError> {
         let (ticket, position) = {
             let mut state = self.shared.lock();
-            if !founders.is_voter(state.me) {
-                return Err(FormError::NotAFounder(state.me));
+            if !founders.is_voter(state.own_id) {
+                return Err(FormError::NotAFounder(state.own_id));
             }
             match state.cluster {
                 Some(other) if other != cluster => return Err(FormError::OtherCluster(other)),
@@ -240,15 +240,15 @@
             )
         };
         self.shared
-            .await_synced(ticket, position)
+            .wait_until_synced(ticket, position)
             .await
             .map_err(FormError::Disk)
     }
 
     /// Says whether this replica leads and its lease lasts now. True answers allow reads of
     /// authority that began before the call.
-    pub fn lease_lasts(&self) -> bool {
-        self.shared.lock().lease_lasts(&self.shared.timing)
+    pub fn has_valid_lease(&self) -> bool {
+        self.shared.lock().has_valid_lease(&self.shared.timing)
     }
 
     /// Returns the term, which fences what a leader orders.
@@ -257,25 +257,26 @@
     }
 
     /// Returns the index that the state machine has reached.
-    pub fn applied(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.shared.lock_machine().applied.index
     }
 
     /// Says whether the state machine has reached all that was committed before the current term, as a leader
     /// of that term knows it. Until then what a replica that has just started holds may be older than what was
     /// acknowledged.
-    pub fn has_reached_term(&self) -> bool {
-        let applied = self.applied();
+    pub fn has_applied_current_term(&self) -> bool {
+        let applied = self.applied_index();
         let state = self.shared.lock();
         state.leader.is_some() && state.log.term_at(applied) == Some(state.term)
     }
 
     /// Says whether this replica leads, or has heard a leader within the longest time after which another is elected.
-    pub fn hears_leader(&self) -> bool {
+    pub fn has_recent_leader(&self) -> bool {
         let state = self.shared.lock();
         let timing = &self.shared.timing;
-        let heard = state.heard_since_start && state.leader_heard.elapsed() < timing.election_max;
-        heard || state.lease_lasts(timing)
+        let heard = state.leader_seen_since_start
+            && state.last_leader_contact.elapsed() < timing.max_election_timeout;
+        heard || state.has_valid_lease(timing)
     }
 
     /// Returns what the replica tells of itself.
@@ -283,12 +284,12 @@
         let incarnation = self.shared.lock_folder().mark().incarnation;
         let state = self.shared.lock();
         ReplicaStatus {
-            id: state.me,
+            id: state.own_id,
             cluster: state.cluster,
             incarnation,
             term: state.term,
             role: state.role,
-            lease_lasts: state.lease_lasts(&self.shared.timing),
+            lease_lasts: state.has_valid_lease(&self.shared.timing),
             leader: state.leader,
             last: state.log.last(),
             commit: state.commit,
@@ -300,11 +301,11 @@
     /// nothing where this replica does not lead.
     pub fn silent_voters(&self, span: std::time::Duration) -> Vec<NodeId> {
         let state = self.shared.lock();
-        if !state.lease_lasts(&self.shared.timing) {
+        if !state.has_valid_lease(&self.shared.timing) {
             return Vec::new();
         }
         let voters = state.members.voters.iter().map(|voter| voter.id);
-        let others = voters.filter(|id| *id != state.me);
+        let others = voters.filter(|id| *id != state.own_id);
         let mut silent: Vec<_> = others
             .map(|id| (state.silence_of(id), id))
             .filter(|(silence, _)| *silence >= span)
@@ -326,7 +327,7 @@
     }
 
     /// Locks the state machine. Order: machine before state.
-    pub(crate) fn lock_machine(&self) -> MutexGuard<'_, MachineCell> {
+    pub(crate) fn lock_machine(&self) -> MutexGuard<'_, AppliedStateMachine> {
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -335,7 +336,7 @@
     }
 
     /// Wakes every task that waits for a change.
-    pub(crate) fn bump(&self) {
+    pub(crate) fn notify_change(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
@@ -357,23 +358,23 @@
         Ok(())
     }
 
-    pub(crate) fn note_refusal(&self, refusal: &str) {
+    pub(crate) fn record_disk_refusal(&self, refusal: &str) {
         self.recorder
             .record(EventCode::DiskRefused, "", refusal.to_owned());
     }
 
     /// Takes a snapshot when the log has grown, and drops what the snapshot holds.
-    async fn compact_if_grown(&self) {
+    async fn compact_if_large(&self) {
         let job = {
             let mut machine = self.lock_machine();
             let mut state = self.lock();
             let applied = machine.applied;
             let entries = applied.index - state.log.base().index.min(applied.index);
-            let large = entries > 0 && state.log.bytes() >= SNAPSHOT_BYTES;
-            if entries < SNAPSHOT_ENTRIES && !large {
+            let large = entries > 0 && state.log.bytes() >= SNAPSHOT_LOG_BYTES;
+            if entries < SNAPSHOT_LOG_ENTRIES && !large {
                 return;
             }
-            let keep_from = first_kept(&state, applied.index);
+            let keep_from = first_retained_index(&state, applied.index);
             let base = LogPosition {
                 index: keep_from - 1,
                 term: state.log.term_at(keep_from - 1).unwrap_or(0),
@@ -400,27 +401,30 @@
             Ok(Ok(())) => {
                 let mut state = self.lock();
                 if base.index > state.log.base().index {
-                    state.log.drop_through(base.index);
+                    state.log.compact_through(base.index);
                     state.base_members = base_members;
                 }
                 drop(state);
                 let detail = format!("through={}", base.index);
                 self.recorder.record(EventCode::SnapshotTaken, "", detail);
             }
-            Ok(Err(refusal)) => self.note_refusal(&refusal),
+            Ok(Err(refusal)) => self.record_disk_refusal(&refusal),
             Err(_) => {}
         }
     }
 }
 
 /// Returns the first entry that stays beside a snapshot of what is applied.
-fn first_kept(state: &ReplicaState, applied: u64) -> u64 {
+fn first_retained_index(state: &ReplicaState, applied: u64) -> u64 {
     let mut first = applied + 1;
     let mut bytes = 0;
     let oldest = state.log.base().index + 1;
-    while first > oldest && applied - (first - 1) < KEPT_ENTRIES {
-        bytes += state.log.get(first - 1).map_or(0, LogEntry::weight);
-        if bytes > KEPT_BYTES {
+    while first > oldest && applied - (first - 1) < RETAINED_LOG_ENTRIES {
+        bytes += state
+            .log
+            .get(first - 1)
+            .map_or(0, LogEntry::estimated_bytes);
+        if bytes > RETAINED_LOG_BYTES {
             break;
         }
         first -= 1;
@@ -442,19 +446,19 @@
     named.last().unwrap_or(&state.base_members).clone()
 }
 
-async fn apply_as_committed(shared: Arc<ReplicaShared>) {
+async fn run_apply_loop(shared: Arc<ReplicaShared>) {
     let mut changes = shared.subscribe();
     loop {
         let before = shared.lock_machine().applied.index;
         shared.apply_committed();
         if shared.lock_machine().applied.index != before {
-            shared.bump();
+            shared.notify_change();
             // A snapshot is taken beside the applying, so that a slow disk does not hold it up.
             let busy = &shared.compacting;
             if !busy.swap(true, std::sync::atomic::Ordering::AcqRel) {
                 let shared = shared.clone();
                 ntex::rt::spawn(async move {
-                    shared.compact_if_grown().await;
+                    shared.compact_if_large().await;
                     shared
                         .compacting
                         .store(false, std::sync::atomic::Ordering::Release);
--- a/crates/quorum/src/replicate.rs
+++ b/crates/quorum/src/replicate.rs
@@ -11,7 +11,7 @@
 use linnet_wire::{PeerGreeting, PeerReader, PeerWriter, connect_peer};
 use tokio::time::{sleep, timeout};
 
-use crate::election::{address_request, note_term};
+use crate::election::{observe_term, to_addressed_request};
 use crate::replica::{ReplicaShared, members_at};
 use crate::state::{PeerProgress, ReplicaState};
 use crate::{
@@ -19,43 +19,43 @@
 };
 
 /// Bytes of entries that one message carries.
-const BATCH_BYTES: usize = 1024 * 1024;
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
 /// Bytes of a snapshot that one message carries.
-const PART_BYTES: usize = 1024 * 1024;
+const MAX_CHUNK_BYTES: usize = 1024 * 1024;
 
 /// Wait before a peer that could not be reached is tried again.
-const RETRY_WAIT: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a connection without work stays silent.
-const IDLE_PROBE: Duration = Duration::from_secs(2);
+const IDLE_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How often the leader looks whether a learner is caught up.
-const MEMBERSHIP_TICK: Duration = Duration::from_millis(200);
+const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A learner within so many entries of the leader's end is caught up.
-const CAUGHT_UP_ENTRIES: u64 = 16;
+const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 16;
 
 /// Starts the tasks of every peer that has none in this term.
-pub(crate) fn start_peers(shared: &Arc<ReplicaShared>, term: u64) {
+pub(crate) fn start_peer_tasks(shared: &Arc<ReplicaShared>, term: u64) {
     let fresh: Vec<Member> = {
         let mut state = shared.lock();
         if !leads(&state, term) {
             return;
         }
-        let me = state.me;
+        let own_id = state.own_id;
         let members: Vec<Member> = state.members.all().cloned().collect();
         let next = state.log.last().index + 1;
         members
             .into_iter()
-            .filter(|member| member.id != me)
+            .filter(|member| member.id != own_id)
             .filter(|member| {
                 let progress = PeerProgress {
-                    next,
-                    matched: 0,
-                    told_commit: 0,
-                    answered: None,
-                    since: BootInstant::now(),
+                    next_index: next,
+                    match_index: 0,
+                    sent_commit: 0,
+                    last_ack_sent_at: None,
+                    started_at: BootInstant::now(),
                 };
                 let known = state.progress.contains_key(&member.id);
                 state.progress.entry(member.id).or_insert(progress);
@@ -74,35 +74,35 @@
 }
 
 /// Says whether this replica still leads the term and the peer is still a member.
-fn serves_peer(shared: &ReplicaShared, peer: NodeId, term: u64) -> bool {
+fn should_serve_peer(shared: &ReplicaShared, peer: NodeId, term: u64) -> bool {
     let state = shared.lock();
     leads(&state, term) && state.members.find(peer).is_some()
 }
 
 async fn send_heartbeats(shared: Arc<ReplicaShared>, peer: Member, term: u64) {
-    while serves_peer(&shared, peer.id, term) {
+    while should_serve_peer(&shared, peer.id, term) {
         if let Some((mut reader, mut writer)) = open_connection(&shared, &peer).await {
-            while serves_peer(&shared, peer.id, term) {
-                if !beat_once(&shared, &peer, term, &mut reader, &mut writer).await {
+            while should_serve_peer(&shared, peer.id, term) {
+                if !send_heartbeat(&shared, &peer, term, &mut reader, &mut writer).await {
                     break;
                 }
-                sleep(shared.timing.heartbeat).await;
+                sleep(shared.timing.heartbeat_interval).await;
             }
         }
-        sleep(RETRY_WAIT).await;
+        sleep(RETRY_INTERVAL).await;
     }
-    forget_peer(&shared, peer.id, term);
+    remove_progress(&shared, peer.id, term);
 }
 
 // Without its progress a peer that comes back as a member gets fresh tasks.
-fn forget_peer(shared: &ReplicaShared, peer: NodeId, term: u64) {
+fn remove_progress(shared: &ReplicaShared, peer: NodeId, term: u64) {
     let mut state = shared.lock();
     if leads(&state, term) && state.members.find(peer).is_none() {
         state.progress.remove(&peer);
     }
 }
 
-async fn beat_once(
+async fn send_heartbeat(
     shared: &ReplicaShared,
     peer: &Member,
     term: u64,
@@ -112,19 +112,27 @@
     let commit = shared.lock().commit;
     let sent = BootInstant::now();
     let request = PeerRequest::Heartbeat { term, commit };
-    let reply = exchange(shared, peer, request, reader, writer, shared.timing.lease).await;
+    let reply = call_peer(
+        shared,
+        peer,
+        request,
+        reader,
+        writer,
+        shared.timing.lease_duration,
+    )
+    .await;
     match reply {
-        Some(PeerReply::Alive { term: theirs }) if theirs == term => {
+        Some(PeerReply::Acknowledged { term: theirs }) if theirs == term => {
             let mut state = shared.lock();
             if leads(&state, term)
                 && let Some(progress) = state.progress.get_mut(&peer.id)
             {
-                progress.answered = Some(sent);
+                progress.last_ack_sent_at = Some(sent);
             }
             true
         }
-        Some(PeerReply::Alive { term: theirs }) => {
-            note_term(shared, theirs);
+        Some(PeerReply::Acknowledged { term: theirs }) => {
+            observe_term(shared, theirs);
             false
         }
         _ => false,
@@ -140,7 +148,7 @@
     Some((reader, writer))
 }
 
-async fn exchange(
+async fn call_peer(
     shared: &ReplicaShared,
     peer: &Member,
     request: PeerRequest,
@@ -148,7 +156,7 @@
     writer: &mut PeerWriter,
     bound: Duration,
 ) -> Option<PeerReply> {
-    let message = address_request(shared, peer, request)?;
+    let message = to_addressed_request(shared, peer, request)?;
     let work = async {
         writer.send(&message).await.ok()?;
         reader.receive::<PeerReply>().await.ok()
@@ -158,36 +166,36 @@
 
 async fn send_entries(shared: Arc<ReplicaShared>, peer: Member, term: u64) {
     let mut lost = false;
-    while serves_peer(&shared, peer.id, term) {
+    while should_serve_peer(&shared, peer.id, term) {
         if let Some((mut reader, mut writer)) = open_connection(&shared, &peer).await {
             lost = false;
             shared
                 .recorder
                 .record(EventCode::PeerConnected, &peer.name, format!("term={term}"));
-            follow_log(&shared, &peer, term, &mut reader, &mut writer).await;
+            replicate_log(&shared, &peer, term, &mut reader, &mut writer).await;
         }
-        if !lost && serves_peer(&shared, peer.id, term) {
+        if !lost && should_serve_peer(&shared, peer.id, term) {
             lost = true;
             shared
                 .recorder
                 .record(EventCode::PeerLost, &peer.name, format!("term={term}"));
         }
-        sleep(RETRY_WAIT).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
 /// What is due to a peer.
-enum PeerWork {
+enum PendingWork {
     Entries {
         previous: LogPosition,
         entries: Vec<LogEntry>,
         commit: u64,
     },
     Snapshot,
-    Nothing,
+    None,
 }
 
-async fn follow_log(
+async fn replicate_log(
     shared: &ReplicaShared,
     peer: &Member,
     term: u64,
@@ -197,64 +205,66 @@
     let mut changes = shared.subscribe();
     // The first message of a connection finds out where the logs agree.
     let mut probe = true;
-    while serves_peer(shared, peer.id, term) {
+    while should_serve_peer(shared, peer.id, term) {
         changes.mark_unchanged();
-        let going_on = match next_work(shared, peer.id, probe) {
-            PeerWork::Nothing => {
+        let should_continue = match pending_work(shared, peer.id, probe) {
+            PendingWork::None => {
                 // An idle connection is probed now and then, so that the peer keeps it open.
-                probe = timeout(IDLE_PROBE, changes.changed()).await.is_err();
+                probe = timeout(IDLE_PROBE_INTERVAL, changes.changed())
+                    .await
+                    .is_err();
                 true
             }
-            PeerWork::Entries {
+            PendingWork::Entries {
                 previous,
                 entries,
                 commit,
             } => {
                 probe = false;
-                let request = PeerRequest::Append {
+                let request = PeerRequest::AppendEntries {
                     term,
                     previous,
                     entries,
                     commit,
                 };
                 let bound = shared.timing.append_timeout;
-                let reply = exchange(shared, peer, request, reader, writer, bound).await;
-                take_reply(shared, peer.id, term, commit, reply)
+                let reply = call_peer(shared, peer, request, reader, writer, bound).await;
+                apply_reply(shared, peer.id, term, commit, reply)
             }
-            PeerWork::Snapshot => send_snapshot(shared, peer, term, reader, writer).await,
+            PendingWork::Snapshot => send_snapshot(shared, peer, term, reader, writer).await,
         };
-        if !going_on {
+        if !should_continue {
             return;
         }
     }
 }
 
-fn next_work(shared: &ReplicaShared, peer: NodeId, probe: bool) -> PeerWork {
+fn pending_work(shared: &ReplicaShared, peer: NodeId, probe: bool) -> PendingWork {
     let state = shared.lock();
     let Some(progress) = state.progress.get(&peer) else {
-        return PeerWork::Nothing;
+        return PendingWork::None;
     };
     let last = state.log.last().index;
-    let told = progress.told_commit >= state.commit;
-    if !probe && progress.next > last && told {
-        return PeerWork::Nothing;
+    let told = progress.sent_commit >= state.commit;
+    if !probe && progress.next_index > last && told {
+        return PendingWork::None;
     }
-    let before = progress.next - 1;
+    let before = progress.next_index - 1;
     let Some(term) = state.log.term_at(before) else {
-        return PeerWork::Snapshot;
+        return PendingWork::Snapshot;
     };
-    let mut weight = 0;
+    let mut estimated_bytes = 0;
     let entries = state
         .log
-        .from(progress.next)
+        .from(progress.next_index)
         .take_while(|entry| {
-            let fits = weight < BATCH_BYTES;
-            weight += entry.weight();
+            let fits = estimated_bytes < MAX_BATCH_BYTES;
+            estimated_bytes += entry.estimated_bytes();
             fits
         })
         .cloned()
         .collect();
-    PeerWork::Entries {
+    PendingWork::Entries {
         previous: LogPosition {
             term,
             index: before,
@@ -264,11 +274,11 @@
     }
 }
 
-fn take_reply(
+fn apply_reply(
     shared: &ReplicaShared,
     peer: NodeId,
     term: u64,
-    told_commit: u64,
+    sent_commit: u64,
     reply: Option<PeerReply>,
 ) -> bool {
     let (theirs, matched, next) = match reply {
@@ -277,7 +287,7 @@
         _ => return false,
     };
     if theirs > term {
-        note_term(shared, theirs);
+        observe_term(shared, theirs);
         return false;
     }
     let mut state = shared.lock();
@@ -287,14 +297,14 @@
     let Some(progress) = state.progress.get_mut(&peer) else {
         return false;
     };
-    progress.next = next.max(1);
+    progress.next_index = next.max(1);
     if let Some(index) = matched {
-        progress.matched = progress.matched.max(index);
-        progress.told_commit = told_commit;
+        progress.match_index = progress.match_index.max(index);
+        progress.sent_commit = sent_commit;
     }
     if state.advance_commit() {
         drop(state);
-        shared.bump();
+        shared.notify_change();
     }
     true
 }
@@ -316,22 +326,22 @@
     };
     let mut offset = 0;
     loop {
-        let end = (offset + PART_BYTES).min(bytes.len());
+        let end = (offset + MAX_CHUNK_BYTES).min(bytes.len());
         let done = end == bytes.len();
-        let request = PeerRequest::Install {
+        let request = PeerRequest::InstallSnapshot {
             term,
             last,
             members: members.clone(),
             offset: offset as u64,
-            part: bytes[offset..end].to_vec(),
+            chunk: bytes[offset..end].to_vec(),
             done,
         };
         let bound = shared.timing.append_timeout;
-        let reply = exchange(shared, peer, request, reader, writer, bound).await;
+        let reply = call_peer(shared, peer, request, reader, writer, bound).await;
         if done {
-            return take_reply(shared, peer.id, term, 0, reply);
+            return apply_reply(shared, peer.id, term, 0, reply);
         }
-        if !matches!(reply, Some(PeerReply::Alive { .. })) {
+        if !matches!(reply, Some(PeerReply::Acknowledged { .. })) {
             return false;
         }
         offset = end;
@@ -342,7 +352,7 @@
 pub(crate) async fn run_membership(shared: Arc<ReplicaShared>) {
     let mut seen = Members::default();
     loop {
-        sleep(MEMBERSHIP_TICK).await;
+        sleep(MEMBERSHIP_INTERVAL).await;
         let (term, members, leads) = {
             let state = shared.lock();
             (
@@ -365,24 +375,24 @@
         if !leads {
             continue;
         }
-        start_peers(&shared, term);
-        if let Some(change) = due_change(&shared).or_else(|| due_removal(&shared)) {
+        start_peer_tasks(&shared, term);
+        if let Some(change) = next_promotion(&shared).or_else(|| next_removal(&shared)) {
             // A change that is refused or unknown is found due again at the next tick.
-            let _ = shared.propose_members(&change).await;
+            let _ = shared.propose_member_change(&change).await;
         }
     }
 }
 
 /// Voters below which none is taken out for its silence: one that returns counts again at once,
 /// and a cluster that shrinks bears less.
-const LEAST_VOTERS: usize = 3;
+const MIN_VOTERS: usize = 3;
 
 // A member that was lost for good would count against every majority for ever. One that was only
 // cut off finds itself left out when it returns, and joins again.
-fn due_removal(shared: &ReplicaShared) -> Option<MemberChange> {
-    let span = shared.timing.removal?;
+fn next_removal(shared: &ReplicaShared) -> Option<MemberChange> {
+    let span = shared.timing.removal_timeout?;
     let state = shared.lock();
-    let silent = |id: NodeId| id != state.me && state.silence_of(id) >= span;
+    let silent = |id: NodeId| id != state.own_id && state.silence_of(id) >= span;
     let learners = state.members.learners.iter().map(|member| member.id);
     if let Some(learner) = learners.into_iter().find(|id| silent(*id)) {
         return Some(MemberChange::Remove(learner));
@@ -393,15 +403,15 @@
         .iter()
         .map(|member| member.id)
         .collect();
-    if voters.len() <= LEAST_VOTERS || state.leading_since.elapsed() < span {
+    if voters.len() <= MIN_VOTERS || state.leading_since.elapsed() < span {
         return None;
     }
     // Only while all the others answer, so that what is left can commit without the one that goes.
     let (gone, left): (Vec<NodeId>, Vec<NodeId>) = voters.into_iter().partition(|id| silent(*id));
     let fresh = left
         .iter()
-        .filter(|id| **id == state.me || state.silence_of(**id) < shared.timing.lease);
-    if fresh.count() < LEAST_VOTERS {
+        .filter(|id| **id == state.own_id || state.silence_of(**id) < shared.timing.lease_duration);
+    if fresh.count() < MIN_VOTERS {
         return None;
     }
     gone.first().map(|id| MemberChange::Remove(*id))
@@ -409,15 +419,17 @@
 
 // The wiped voter goes before its successor counts: until then a majority is one of the voters
 // that hold every commit.
-fn due_change(shared: &ReplicaShared) -> Option<MemberChange> {
+fn next_promotion(shared: &ReplicaShared) -> Option<MemberChange> {
     let state = shared.lock();
     let last = state.log.last().index;
     let learner = state.members.learners.iter().find(|learner| {
         state.progress.get(&learner.id).is_some_and(|progress| {
             let alive = progress
-                .answered
-                .is_some_and(|at| at.elapsed() < shared.timing.lease);
-            alive && progress.matched > 0 && progress.matched + CAUGHT_UP_ENTRIES >= last
+                .last_ack_sent_at
+                .is_some_and(|at| at.elapsed() < shared.timing.lease_duration);
+            alive
+                && progress.match_index > 0
+                && progress.match_index + MAX_CAUGHT_UP_LAG_ENTRIES >= last
         })
     })?;
     match learner.replaces {
--- a/crates/quorum/src/rule.rs
+++ b/crates/quorum/src/rule.rs
@@ -15,7 +15,7 @@
 
 /// What a voter knows when it is asked for a vote.
 #[derive(Debug, Clone, Copy)]
-pub struct VoteFacts {
+pub struct VoterState {
     /// Its term.
     pub term: u64,
     /// Whom it voted for in that term.
@@ -30,7 +30,7 @@
 ///
 /// Invariants: one vote a term; never for a log that ends before the voter's own; never while
 /// another's lease may last.
-pub fn grant_vote(facts: &VoteFacts, term: u64, candidate: NodeId, last: LogPosition) -> bool {
+pub fn grant_vote(facts: &VoterState, term: u64, candidate: NodeId, last: LogPosition) -> bool {
     if facts.lease_may_last || term < facts.term || last < facts.last {
         return false;
     }
--- a/crates/quorum/src/serve.rs
+++ b/crates/quorum/src/serve.rs
@@ -7,7 +7,7 @@
 use linnet_telemetry::EventCode;
 use linnet_wire::{PeerReader, PeerWriter, WireError};
 
-use crate::message::Addressed;
+use crate::message::AddressedRequest;
 use crate::replica::ReplicaShared;
 use crate::state::ReplicaState;
 use crate::storage::{StoredSnapshot, encode};
@@ -17,14 +17,14 @@
 };
 
 /// A connection on which no byte passes for so long is closed; its leader is gone or cut off.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The largest snapshot that a peer may send, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 512 * 1024 * 1024;
 
 /// The parts of a snapshot that have come on one connection.
 #[derive(Default)]
-struct SnapshotParts {
+struct SnapshotBuffer {
     last: LogPosition,
     bytes: Vec<u8>,
 }
@@ -39,12 +39,12 @@
     reader: PeerReader,
     writer: PeerWriter,
 ) -> Result<(), WireError> {
-    let mut reader = reader.with_silence_limit(IDLE_TIMEOUT);
-    let mut writer = writer.with_silence_limit(IDLE_TIMEOUT);
+    let mut reader = reader.with_silence_limit(CONNECTION_IDLE_TIMEOUT);
+    let mut writer = writer.with_silence_limit(CONNECTION_IDLE_TIMEOUT);
     let shared = &replica.shared;
-    let mut parts = SnapshotParts::default();
+    let mut parts = SnapshotBuffer::default();
     loop {
-        let message: Addressed = reader.receive().await?;
+        let message: AddressedRequest = reader.receive().await?;
         let reply = answer(shared, message, &mut parts).await;
         writer.send(&reply).await?;
     }
@@ -52,52 +52,52 @@
 
 async fn answer(
     shared: &ReplicaShared,
-    message: Addressed,
-    parts: &mut SnapshotParts,
+    message: AddressedRequest,
+    parts: &mut SnapshotBuffer,
 ) -> PeerReply {
-    if message.to != shared.lock().me {
-        return PeerReply::OtherReplica;
+    if message.to != shared.lock().own_id {
+        return PeerReply::WrongReplica;
     }
-    if !admits(shared, &message) {
+    if !accepts_cluster(shared, &message) {
         return PeerReply::Refused;
     }
     let from = message.from;
     match message.request {
-        PeerRequest::PreVote(request) => answer_pre_vote(shared, from, &request),
-        PeerRequest::Vote(request) => answer_vote(shared, from, &request).await,
-        PeerRequest::Heartbeat { term, commit } => answer_heartbeat(shared, from, term, commit),
-        PeerRequest::Append {
+        PeerRequest::PreVote(request) => handle_pre_vote(shared, from, &request),
+        PeerRequest::Vote(request) => handle_vote(shared, from, &request).await,
+        PeerRequest::Heartbeat { term, commit } => handle_heartbeat(shared, from, term, commit),
+        PeerRequest::AppendEntries {
             term,
             previous,
             entries,
             commit,
-        } => answer_append(shared, from, term, previous, entries, commit).await,
-        PeerRequest::Install {
+        } => handle_append_entries(shared, from, term, previous, entries, commit).await,
+        PeerRequest::InstallSnapshot {
             term,
             last,
             members,
             offset,
-            part,
+            chunk,
             done,
         } => {
-            if !take_part(parts, last, offset, part) {
+            if !append_chunk(parts, last, offset, chunk) {
                 return PeerReply::Refused;
             }
-            if !hear_leader(shared, from, term) {
-                return stale_reply(shared);
+            if !record_leader_contact(shared, from, term) {
+                return current_term_reply(shared);
             }
             if !done {
-                return PeerReply::Alive { term };
+                return PeerReply::Acknowledged { term };
             }
             let bytes = std::mem::take(&mut parts.bytes);
-            install(shared, term, last, members, bytes).await
+            install_snapshot(shared, term, last, members, bytes).await
         }
     }
 }
 
 // A blank replica takes the cluster of the first leader that calls it by its identity: only an
 // operator who read that identity can have made it a member.
-fn admits(shared: &ReplicaShared, message: &Addressed) -> bool {
+fn accepts_cluster(shared: &ReplicaShared, message: &AddressedRequest) -> bool {
     let mut state = shared.lock();
     let from_leader = !matches!(
         message.request,
@@ -110,7 +110,7 @@
     }
 }
 
-fn answer_pre_vote(shared: &ReplicaShared, from: NodeId, request: &VoteRequest) -> PeerReply {
+fn handle_pre_vote(shared: &ReplicaShared, from: NodeId, request: &VoteRequest) -> PeerReply {
     let state = shared.lock();
     let mut facts = state.vote_facts(&shared.timing, request.leaderless);
     // A pre-vote asks about a term that the voter has not entered, so its vote there is free.
@@ -123,7 +123,7 @@
     }
 }
 
-async fn answer_vote(shared: &ReplicaShared, from: NodeId, request: &VoteRequest) -> PeerReply {
+async fn handle_vote(shared: &ReplicaShared, from: NodeId, request: &VoteRequest) -> PeerReply {
     let (ticket, term, granted, leaderless) = {
         let mut state = shared.lock();
         let facts = state.vote_facts(&shared.timing, request.leaderless);
@@ -133,12 +133,15 @@
         }
         if granted {
             state.set_ballot(request.term, Some(from));
-            state.put_off_election(&shared.timing);
+            state.reset_election_timer(&shared.timing);
         }
         let ticket = state.flush(&shared.writer);
         (ticket, state.term, granted, state.is_leaderless())
     };
-    match shared.await_synced(ticket, LogPosition::default()).await {
+    match shared
+        .wait_until_synced(ticket, LogPosition::default())
+        .await
+    {
         Ok(()) => PeerReply::Vote {
             term,
             granted,
@@ -149,7 +152,7 @@
 }
 
 /// Takes note of a leader; false when its term is over.
-fn hear_leader(shared: &ReplicaShared, leader: NodeId, term: u64) -> bool {
+fn record_leader_contact(shared: &ReplicaShared, leader: NodeId, term: u64) -> bool {
     let mut state = shared.lock();
     if term < state.term {
         return false;
@@ -158,26 +161,26 @@
         state.step_down(term, &shared.timing);
     }
     state.leader = Some(leader);
-    state.leader_heard = BootInstant::now();
-    state.heard_since_start = true;
-    state.put_off_election(&shared.timing);
+    state.last_leader_contact = BootInstant::now();
+    state.leader_seen_since_start = true;
+    state.reset_election_timer(&shared.timing);
     true
 }
 
-fn stale_reply(shared: &ReplicaShared) -> PeerReply {
-    PeerReply::Alive {
+fn current_term_reply(shared: &ReplicaShared) -> PeerReply {
+    PeerReply::Acknowledged {
         term: shared.lock().term,
     }
 }
 
-fn answer_heartbeat(shared: &ReplicaShared, from: NodeId, term: u64, commit: u64) -> PeerReply {
-    if hear_leader(shared, from, term) && shared.lock().follow_commit(commit) {
-        shared.bump();
+fn handle_heartbeat(shared: &ReplicaShared, from: NodeId, term: u64, commit: u64) -> PeerReply {
+    if record_leader_contact(shared, from, term) && shared.lock().follow_leader_commit(commit) {
+        shared.notify_change();
     }
-    stale_reply(shared)
+    current_term_reply(shared)
 }
 
-async fn answer_append(
+async fn handle_append_entries(
     shared: &ReplicaShared,
     from: NodeId,
     term: u64,
@@ -185,7 +188,7 @@
     entries: Vec<LogEntry>,
     commit: u64,
 ) -> PeerReply {
-    if !hear_leader(shared, from, term) {
+    if !record_leader_contact(shared, from, term) {
         let state = shared.lock();
         return PeerReply::Mismatch {
             term: state.term,
@@ -197,15 +200,15 @@
         if state.term != term {
             return PeerReply::Refused;
         }
-        if let Some(next) = mismatch(&state, previous) {
+        if let Some(next) = next_index_after_mismatch(&state, previous) {
             return PeerReply::Mismatch { term, next };
         }
-        let Some(matched) = take_entries(&mut state, previous, entries) else {
+        let Some(matched) = append_after(&mut state, previous, entries) else {
             return PeerReply::Refused;
         };
         (state.flush(&shared.writer), matched)
     };
-    if shared.await_synced(ticket, matched).await.is_err() {
+    if shared.wait_until_synced(ticket, matched).await.is_err() {
         return PeerReply::Refused;
     }
     let mut state = shared.lock();
@@ -216,11 +219,11 @@
     if state.synced < matched.index {
         return PeerReply::Refused;
     }
-    state.verified = state.verified.max(matched.index);
-    let moved = state.follow_commit(commit);
+    state.verified_index = state.verified_index.max(matched.index);
+    let moved = state.follow_leader_commit(commit);
     drop(state);
     if moved {
-        shared.bump();
+        shared.notify_change();
     }
     PeerReply::Matched {
         term,
@@ -229,20 +232,20 @@
 }
 
 /// Returns the index to try from when the log does not hold a position.
-fn mismatch(state: &ReplicaState, previous: LogPosition) -> Option<u64> {
+fn next_index_after_mismatch(state: &ReplicaState, previous: LogPosition) -> Option<u64> {
     let base = state.log.base().index;
     if previous.index < base {
         return Some(base + 1);
     }
     match state.log.term_at(previous.index) {
         Some(term) if term == previous.term => None,
-        Some(term) => Some(first_of_term(state, term, previous.index).max(base + 1)),
+        Some(term) => Some(first_index_of_term(state, term, previous.index).max(base + 1)),
         None => Some(state.log.last().index + 1),
     }
 }
 
 // Going back a whole term at a time finds the place where the logs agree in few steps.
-fn first_of_term(state: &ReplicaState, term: u64, index: u64) -> u64 {
+fn first_index_of_term(state: &ReplicaState, term: u64, index: u64) -> u64 {
     let mut first = index;
     while first > 1 && state.log.term_at(first - 1) == Some(term) {
         first -= 1;
@@ -253,7 +256,7 @@
 /// Appends entries after an agreed position; returns the last position that now agrees.
 ///
 /// Invariant: a committed entry is never dropped. A leader that would need it is refused.
-fn take_entries(
+fn append_after(
     state: &mut ReplicaState,
     previous: LogPosition,
     entries: Vec<LogEntry>,
@@ -281,20 +284,25 @@
     Some(matched)
 }
 
-fn take_part(parts: &mut SnapshotParts, last: LogPosition, offset: u64, part: Vec<u8>) -> bool {
+fn append_chunk(
+    parts: &mut SnapshotBuffer,
+    last: LogPosition,
+    offset: u64,
+    chunk: Vec<u8>,
+) -> bool {
     if offset == 0 {
         parts.last = last;
         parts.bytes.clear();
     }
     let in_order = parts.last == last && parts.bytes.len() as u64 == offset;
-    if !in_order || parts.bytes.len() + part.len() > MAX_SNAPSHOT_BYTES {
+    if !in_order || parts.bytes.len() + chunk.len() > MAX_SNAPSHOT_BYTES {
         return false;
     }
-    parts.bytes.extend(part);
+    parts.bytes.extend(chunk);
     true
 }
 
-async fn install(
+async fn install_snapshot(
     shared: &ReplicaShared,
     term: u64,
     last: LogPosition,
@@ -317,14 +325,14 @@
             base_members: members.clone(),
             state: bytes.clone(),
         };
-        state.reset_to(last, members);
+        state.reset_to_snapshot(last, members);
         let ballot = state.ballot_record();
         shared.writer.compact(encode(&snapshot), vec![ballot])
     };
     if !matches!(ticket.await, Ok(Ok(()))) {
         // Memory is ahead of the disk now. The next start reads the old state, and the leader
         // sends the snapshot again; going on would put entries behind a gap.
-        shared.note_refusal("a snapshot could not be written; the process ends");
+        shared.record_disk_refusal("a snapshot could not be written; the process ends");
         std::process::exit(1);
     }
     {
@@ -338,7 +346,7 @@
     shared
         .recorder
         .record(EventCode::SnapshotInstalled, "", detail);
-    shared.bump();
+    shared.notify_change();
     PeerReply::Matched {
         term,
         index: last.index,
--- a/crates/quorum/src/state.rs
+++ b/crates/quorum/src/state.rs
@@ -15,32 +15,33 @@
 use crate::rule::{quorum_index, quorum_instant};
 use crate::storage::{StoredRecord, encode};
 use crate::{
-    LogEntry, LogPayload, LogPosition, Members, NodeId, ProposeError, QuorumTiming, Role, VoteFacts,
+    LogEntry, LogPayload, LogPosition, Members, NodeId, ProposeError, QuorumTiming, Role,
+    VoterState,
 };
 
 /// What a leader knows of one peer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PeerProgress {
     /// The next index to send.
-    pub(crate) next: u64,
+    pub(crate) next_index: u64,
     /// The peer has synced everything up to here.
-    pub(crate) matched: u64,
+    pub(crate) match_index: u64,
     /// The commit index that the peer was last told with entries.
-    pub(crate) told_commit: u64,
+    pub(crate) sent_commit: u64,
     /// When the last heartbeat that the peer answered was sent.
-    pub(crate) answered: Option<BootInstant>,
+    pub(crate) last_ack_sent_at: Option<BootInstant>,
     /// When this replica began to call the peer.
-    pub(crate) since: BootInstant,
+    pub(crate) started_at: BootInstant,
 }
 
 /// Waits for the answer of the state machine to one proposal.
-pub(crate) struct Waiter {
+pub(crate) struct ProposalWaiter {
     pub(crate) term: u64,
     pub(crate) done: oneshot::Sender<Result<Vec<u8>, ProposeError>>,
 }
 
 pub(crate) struct ReplicaState {
-    pub(crate) me: NodeId,
+    pub(crate) own_id: NodeId,
     pub(crate) cluster: Option<u64>,
     pub(crate) term: u64,
     pub(crate) vote: Option<NodeId>,
@@ -51,7 +52,7 @@
     pub(crate) synced: u64,
     pub(crate) commit: u64,
     /// The last index at which the log is known to agree with the leader of this term.
-    pub(crate) verified: u64,
+    pub(crate) verified_index: u64,
     pub(crate) members: Members,
     /// The index of the entry that names `members`.
     pub(crate) members_index: u64,
@@ -60,24 +61,24 @@
     pub(crate) progress: BTreeMap<NodeId, PeerProgress>,
     /// When a leader was last heard; starts at the start of the process, because the process may
     /// have answered a heartbeat just before it died.
-    pub(crate) leader_heard: BootInstant,
+    pub(crate) last_leader_contact: BootInstant,
     /// Whether a leader was heard since the start of the process.
-    pub(crate) heard_since_start: bool,
+    pub(crate) leader_seen_since_start: bool,
     /// When this replica began to lead its term; of use only while it leads.
     pub(crate) leading_since: BootInstant,
     /// When this replica may next start an election.
-    pub(crate) election_due: Instant,
-    pub(crate) waiters: HashMap<u64, Waiter>,
+    pub(crate) next_election_at: Instant,
+    pub(crate) proposals: HashMap<u64, ProposalWaiter>,
     /// Whether term and vote in memory are newer than in the journal.
-    ballot_dirty: bool,
+    ballot_unsaved: bool,
     pending: Vec<StoredRecord>,
 }
 
 impl ReplicaState {
-    pub(crate) fn new(me: NodeId, cluster: Option<u64>, timing: &QuorumTiming) -> Self {
+    pub(crate) fn new(own_id: NodeId, cluster: Option<u64>, timing: &QuorumTiming) -> Self {
         let now = BootInstant::now();
         Self {
-            me,
+            own_id,
             cluster,
             term: 0,
             vote: None,
@@ -86,25 +87,25 @@
             log: ReplicaLog::default(),
             synced: 0,
             commit: 0,
-            verified: 0,
+            verified_index: 0,
             members: Members::default(),
             members_index: 0,
             base_members: Members::default(),
             progress: BTreeMap::new(),
-            leader_heard: now,
-            heard_since_start: false,
+            last_leader_contact: now,
+            leader_seen_since_start: false,
             leading_since: now,
-            election_due: Instant::now() + first_wait(timing),
-            waiters: HashMap::new(),
-            ballot_dirty: false,
+            next_election_at: Instant::now() + first_election_timeout(timing),
+            proposals: HashMap::new(),
+            ballot_unsaved: false,
             pending: Vec::new(),
         }
     }
 
     /// Hands what must survive to the journal; the ticket resolves when it is synced.
     pub(crate) fn flush(&mut self, writer: &JournalWriter) -> Option<JournalTicket> {
-        if self.ballot_dirty {
-            self.ballot_dirty = false;
+        if self.ballot_unsaved {
+            self.ballot_unsaved = false;
             let ballot = StoredRecord::Ballot {
                 term: self.term,
                 vote: self.vote,
@@ -124,30 +125,31 @@
 
     /// Says whether this replica neither leads nor has heard a leader since it started.
     pub(crate) fn is_leaderless(&self) -> bool {
-        self.role != Role::Leader && !self.heard_since_start
+        self.role != Role::Leader && !self.leader_seen_since_start
     }
 
     /// Returns what a vote depends on. A process may have answered a heartbeat just before it was
     /// started anew, so for a while it refuses votes, unless every voter said in this round that it
     /// knows no leader.
-    pub(crate) fn vote_facts(&self, timing: &QuorumTiming, leaderless: bool) -> VoteFacts {
+    pub(crate) fn vote_facts(&self, timing: &QuorumTiming, leaderless: bool) -> VoterState {
         let quiet = leaderless && self.is_leaderless();
-        let heard_lately = !quiet && self.leader_heard.elapsed() < timing.election_min;
-        VoteFacts {
+        let heard_lately =
+            !quiet && self.last_leader_contact.elapsed() < timing.min_election_timeout;
+        VoterState {
             term: self.term,
             vote: self.vote,
             last: self.log.last(),
-            lease_may_last: heard_lately || self.lease_lasts(timing),
+            lease_may_last: heard_lately || self.has_valid_lease(timing),
         }
     }
 
     /// Says whether this replica leads and its lease lasts at this moment.
-    pub(crate) fn lease_lasts(&self, timing: &QuorumTiming) -> bool {
-        self.lease_lasts_at(timing, BootInstant::now())
+    pub(crate) fn has_valid_lease(&self, timing: &QuorumTiming) -> bool {
+        self.has_valid_lease_at(timing, BootInstant::now())
     }
 
-    pub(crate) fn lease_lasts_at(&self, timing: &QuorumTiming, now: BootInstant) -> bool {
-        self.role == Role::Leader && self.heard_majority_within(timing.lease, now)
+    pub(crate) fn has_valid_lease_at(&self, timing: &QuorumTiming, now: BootInstant) -> bool {
+        self.role == Role::Leader && self.has_majority_contact_within(timing.lease_duration, now)
     }
 
     /// Says whether this replica leads and no majority has answered it for as long as others wait before
@@ -157,17 +159,19 @@
     pub(crate) fn has_lost_majority(&self, timing: &QuorumTiming, now: BootInstant) -> bool {
         let led = now - self.leading_since;
         self.role == Role::Leader
-            && led >= timing.election_min
-            && !self.heard_majority_within(timing.election_min, now)
+            && led >= timing.min_election_timeout
+            && !self.has_majority_contact_within(timing.min_election_timeout, now)
     }
 
     /// Says whether a majority answered a heartbeat that was sent within a span.
-    pub(crate) fn heard_majority_within(&self, span: Duration, now: BootInstant) -> bool {
+    pub(crate) fn has_majority_contact_within(&self, span: Duration, now: BootInstant) -> bool {
         let answered = self.members.voters.iter().map(|voter| {
-            if voter.id == self.me {
+            if voter.id == self.own_id {
                 Some(now)
             } else {
-                self.progress.get(&voter.id).and_then(|peer| peer.answered)
+                self.progress
+                    .get(&voter.id)
+                    .and_then(|peer| peer.last_ack_sent_at)
             }
         });
         quorum_instant(answered.collect()).is_some_and(|instant| now - instant < span)
@@ -177,19 +181,19 @@
     pub(crate) fn silence_of(&self, peer: NodeId) -> Duration {
         let progress = self.progress.get(&peer);
         progress.map_or(Duration::ZERO, |peer| {
-            peer.answered.unwrap_or(peer.since).elapsed()
+            peer.last_ack_sent_at.unwrap_or(peer.started_at).elapsed()
         })
     }
 
     /// Takes a vote or enters a term.
     pub(crate) fn set_ballot(&mut self, term: u64, vote: Option<NodeId>) {
         if term > self.term {
-            self.verified = 0;
+            self.verified_index = 0;
             self.leader = None;
         }
         self.term = term;
         self.vote = vote;
-        self.ballot_dirty = true;
+        self.ballot_unsaved = true;
     }
 
     /// Gives up leading or standing, and enters a higher term where one was seen.
@@ -199,34 +203,36 @@
         }
         if self.role == Role::Leader {
             self.leader = None;
-            self.verified = 0;
+            self.verified_index = 0;
         }
         self.role = Role::Follower;
         self.progress.clear();
-        self.put_off_election(timing);
+        self.reset_election_timer(timing);
     }
 
     /// Chooses by chance when this replica may next start an election.
-    pub(crate) fn put_off_election(&mut self, timing: &QuorumTiming) {
-        let wait = if self.is_leaderless() && self.leader_heard.elapsed() < timing.election_min {
-            first_wait(timing)
+    pub(crate) fn reset_election_timer(&mut self, timing: &QuorumTiming) {
+        let wait = if self.is_leaderless()
+            && self.last_leader_contact.elapsed() < timing.min_election_timeout
+        {
+            first_election_timeout(timing)
         } else {
-            between(timing.election_min, timing.election_max)
+            random_duration(timing.min_election_timeout, timing.max_election_timeout)
         };
-        self.election_due = Instant::now() + wait;
+        self.next_election_at = Instant::now() + wait;
     }
 
     /// Begins to lead the current term.
-    pub(crate) fn begin_leading(&mut self) {
+    pub(crate) fn start_leadership(&mut self) {
         self.role = Role::Leader;
         self.leading_since = BootInstant::now();
-        self.leader = Some(self.me);
+        self.leader = Some(self.own_id);
         self.progress.clear();
-        self.append_own(LogPayload::Noop);
+        self.append_as_leader(LogPayload::Noop);
     }
 
     /// Appends an entry of the current term and returns its index.
-    pub(crate) fn append_own(&mut self, payload: LogPayload) -> u64 {
+    pub(crate) fn append_as_leader(&mut self, payload: LogPayload) -> u64 {
         let entry = LogEntry {
             index: self.log.last().index + 1,
             term: self.term,
@@ -252,12 +258,12 @@
         self.log.truncate_from(index);
         self.synced = self.synced.min(index - 1);
         self.pending.push(StoredRecord::Truncate { from: index });
-        self.refresh_members();
+        self.reload_members();
     }
 
     /// Finds the members in force after the log changed other than by appending.
-    pub(crate) fn refresh_members(&mut self) {
-        match self.log.newest_members() {
+    pub(crate) fn reload_members(&mut self) {
+        match self.log.latest_members() {
             Some((index, members)) => {
                 self.members = members.clone();
                 self.members_index = index;
@@ -270,11 +276,11 @@
     }
 
     /// Takes back everything that the disk refused, so that memory and disk agree again.
-    pub(crate) fn undo_refused(&mut self, timing: &QuorumTiming) {
+    pub(crate) fn roll_back_unsynced(&mut self, timing: &QuorumTiming) {
         self.log.truncate_from(self.synced + 1);
-        self.refresh_members();
+        self.reload_members();
         // What the refused records held of term and vote must come before anything later.
-        self.ballot_dirty = true;
+        self.ballot_unsaved = true;
         self.step_down(self.term, timing);
     }
 
@@ -286,10 +292,12 @@
             return false;
         }
         let synced = self.members.voters.iter().map(|voter| {
-            if voter.id == self.me {
+            if voter.id == self.own_id {
                 self.synced
             } else {
-                self.progress.get(&voter.id).map_or(0, |peer| peer.matched)
+                self.progress
+                    .get(&voter.id)
+                    .map_or(0, |peer| peer.match_index)
             }
         });
         let index = quorum_index(synced.collect());
@@ -302,8 +310,8 @@
     }
 
     /// Moves a follower's commit index up to what the leader told, as far as the logs agree.
-    pub(crate) fn follow_commit(&mut self, leader_commit: u64) -> bool {
-        let commit = leader_commit.min(self.verified);
+    pub(crate) fn follow_leader_commit(&mut self, leader_commit: u64) -> bool {
+        let commit = leader_commit.min(self.verified_index);
         if commit <= self.commit {
             return false;
         }
@@ -312,19 +320,19 @@
     }
 
     /// Resets the log to a snapshot that the leader sent.
-    pub(crate) fn reset_to(&mut self, last: LogPosition, members: Members) {
+    pub(crate) fn reset_to_snapshot(&mut self, last: LogPosition, members: Members) {
         self.log = ReplicaLog::with_base(last);
         self.base_members = members;
-        self.refresh_members();
+        self.reload_members();
         self.synced = last.index;
         self.commit = self.commit.max(last.index);
-        self.verified = last.index;
+        self.verified_index = last.index;
         self.pending.clear();
     }
 
     /// Returns the ballot as a record, for the start of a new journal.
     pub(crate) fn ballot_record(&mut self) -> Vec<u8> {
-        self.ballot_dirty = false;
+        self.ballot_unsaved = false;
         encode(&StoredRecord::Ballot {
             term: self.term,
             vote: self.vote,
@@ -333,12 +341,15 @@
 }
 
 /// Returns how long a replica that has heard no leader since its start waits before it stands.
-fn first_wait(timing: &QuorumTiming) -> Duration {
-    between(timing.first_election_min, timing.first_election_max)
+fn first_election_timeout(timing: &QuorumTiming) -> Duration {
+    random_duration(
+        timing.min_first_election_timeout,
+        timing.max_first_election_timeout,
+    )
 }
 
 /// Returns a span between two, by chance, so that voters do not stand at the same moment again.
-fn between(least: Duration, most: Duration) -> Duration {
+fn random_duration(least: Duration, most: Duration) -> Duration {
     let least = least.as_millis() as u64;
     let most = most.as_millis() as u64;
     Duration::from_millis(fastrand::u64(least..=most.max(least)))
--- a/crates/quorum/src/machine.rs
+++ b/crates/quorum/src/state_machine.rs
@@ -9,13 +9,13 @@
 /// A state machine as three closures.
 ///
 /// `apply` must give the same answer on every replica: no clock, no randomness, no settings.
-pub struct MachineHooks {
+pub struct StateMachineHooks {
     pub(crate) apply: ApplyFn,
     pub(crate) snapshot: SnapshotFn,
     pub(crate) restore: RestoreFn,
 }
 
-impl MachineHooks {
+impl StateMachineHooks {
     /// Creates a state machine: `apply` takes index and command and returns the answer, `snapshot`
     /// returns the whole state as bytes, `restore` takes it back.
     pub fn new(
@@ -32,7 +32,7 @@
 }
 
 /// The state machine together with the position that it has reached.
-pub(crate) struct MachineCell {
-    pub(crate) hooks: MachineHooks,
+pub(crate) struct AppliedStateMachine {
+    pub(crate) hooks: StateMachineHooks,
     pub(crate) applied: LogPosition,
 }
--- a/crates/quorum/src/storage.rs
+++ b/crates/quorum/src/storage.rs
@@ -66,12 +66,12 @@
     for (number, bytes) in recovered.records.iter().enumerate() {
         let record = postcard::from_bytes(bytes)
             .map_err(|error| corrupt(number as u64, error.to_string()))?;
-        take_record(&mut state, record, number as u64)?;
+        apply_record(&mut state, record, number as u64)?;
     }
     Ok(state)
 }
 
-fn take_record(
+fn apply_record(
     state: &mut StoredState,
     record: StoredRecord,
     number: u64,
--- a/crates/quorum/src/timing.rs
+++ b/crates/quorum/src/timing.rs
@@ -4,61 +4,61 @@
 
 /// Spans of time of a quorum; all replicas of a cluster use the same.
 ///
-/// Invariant: `lease` is shorter than `election_min`, with room for clocks that run at different
-/// speed. A voter refuses every vote for `election_min` after it heard a leader, so no other
+/// Invariant: `lease` is shorter than `min_election_timeout`, with room for clocks that run at different
+/// speed. A voter refuses every vote for `min_election_timeout` after it heard a leader, so no other
 /// leader can be elected while a lease lasts.
 #[derive(Debug, Clone, Copy)]
 pub struct QuorumTiming {
     /// Between two heartbeats of a leader to one peer.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// How long a leader may act on a heartbeat that a majority answered, from its sending.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// The least silence of a leader after which a voter takes part in an election.
-    pub election_min: Duration,
+    pub min_election_timeout: Duration,
     /// The greatest silence that a voter waits for, by chance, before it starts an election.
-    pub election_max: Duration,
+    pub max_election_timeout: Duration,
     /// The least and the greatest wait of a replica that has heard no leader since its start before
     /// it asks whether any voter has.
-    pub first_election_min: Duration,
-    /// See [`QuorumTiming::first_election_min`].
-    pub first_election_max: Duration,
+    pub min_first_election_timeout: Duration,
+    /// See [`QuorumTiming::min_first_election_timeout`].
+    pub max_first_election_timeout: Duration,
     /// How long a peer may take to answer a vote request.
     pub vote_timeout: Duration,
     /// How long a peer may take to answer entries or a part of a snapshot.
     pub append_timeout: Duration,
     /// How long a member may be silent before the leader takes it out, where enough others are
     /// left; nothing where only operators take members out.
-    pub removal: Option<Duration>,
+    pub removal_timeout: Option<Duration>,
 }
 
 impl QuorumTiming {
     /// Creates the spans for halls that lie a few milliseconds apart.
     pub fn new() -> Self {
         Self {
-            heartbeat: Duration::from_millis(150),
-            lease: Duration::from_millis(500),
-            election_min: Duration::from_millis(650),
-            election_max: Duration::from_millis(1_100),
-            first_election_min: Duration::from_millis(40),
-            first_election_max: Duration::from_millis(120),
+            heartbeat_interval: Duration::from_millis(150),
+            lease_duration: Duration::from_millis(500),
+            min_election_timeout: Duration::from_millis(650),
+            max_election_timeout: Duration::from_millis(1_100),
+            min_first_election_timeout: Duration::from_millis(40),
+            max_first_election_timeout: Duration::from_millis(120),
             vote_timeout: Duration::from_millis(300),
             append_timeout: Duration::from_secs(5),
-            removal: None,
+            removal_timeout: None,
         }
     }
 
     /// Sets the pace of heartbeats; lease and elections follow it.
-    pub fn with_heartbeat(mut self, heartbeat: Duration) -> Self {
-        self.heartbeat = heartbeat;
-        self.lease = heartbeat.mul_f64(3.2);
-        self.election_min = heartbeat.mul_f64(4.2);
-        self.election_max = heartbeat.mul_f64(7.0);
+    pub fn with_heartbeat_interval(mut self, interval: Duration) -> Self {
+        self.heartbeat_interval = interval;
+        self.lease_duration = interval.mul_f64(3.2);
+        self.min_election_timeout = interval.mul_f64(4.2);
+        self.max_election_timeout = interval.mul_f64(7.0);
         self
     }
 
     /// Lets the leader take out members that are silent for a span.
-    pub fn with_removal(mut self, span: Duration) -> Self {
-        self.removal = Some(span);
+    pub fn with_removal_timeout(mut self, timeout: Duration) -> Self {
+        self.removal_timeout = Some(timeout);
         self
     }
 }
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use linnet_quorum::{LogPosition, NodeId, VoteFacts, grant_vote, quorum_index, quorum_instant};
+use linnet_quorum::{LogPosition, NodeId, VoterState, grant_vote, quorum_index, quorum_instant};
 use proptest::prelude::*;
 
 /// Every combination of a voter's facts and a request, with small numbers.
@@ -14,7 +14,7 @@
     for case in 0..4_u64.pow(7) * 2 {
         let digit = |place: u32| case / 2 / 4_u64.pow(place) % 4;
         let candidate = NodeId(digit(6));
-        let facts = VoteFacts {
+        let facts = VoterState {
             term: digit(0),
             vote: (digit(1) > 0).then(|| NodeId(digit(1))),
             last: LogPosition {
@@ -106,30 +106,30 @@
     prop::collection::vec(step, 1..120)
 }
 
-fn stand(voters: &mut [ModelVoter], who: usize, reach: u8) {
+fn run_election(voters: &mut [ModelVoter], who: usize, reach: u8) {
     let term = voters[who].term + 1;
     let last = voters[who].last();
-    let me = NodeId(who as u64);
+    let own_id = NodeId(who as u64);
     let mut votes = 0;
     for (number, voter) in voters.iter_mut().enumerate() {
         let reached = number == who || reach & (1 << number) != 0;
         if !reached {
             continue;
         }
-        let facts = VoteFacts {
+        let facts = VoterState {
             term: voter.term,
             vote: voter.vote,
             last: voter.last(),
             lease_may_last: false,
         };
-        let granted = grant_vote(&facts, term, me, last);
+        let granted = grant_vote(&facts, term, own_id, last);
         if term > voter.term {
             voter.term = term;
             voter.vote = None;
             voter.leads = None;
         }
         if granted {
-            voter.vote = Some(me);
+            voter.vote = Some(own_id);
             votes += 1;
         }
     }
@@ -171,7 +171,7 @@
         let mut leaders = std::collections::HashMap::new();
         for step in steps {
             match step {
-                ModelStep::Stand(who, reach) => stand(&mut voters, who % count, reach),
+                ModelStep::Stand(who, reach) => run_election(&mut voters, who % count, reach),
                 ModelStep::Append(who) => {
                     let voter = &mut voters[who % count];
                     if let Some(term) = voter.leads {
--- a/crates/rollout/src/count.rs
+++ b/crates/rollout/src/count.rs
@@ -5,7 +5,7 @@
 
 /// Times are counted in so many spans, each ending at 1.41 times the end of the one before; the first ends at 1 ms
 /// and the last, at 46 s, holds all that took longer.
-const SPANS: usize = 32;
+const BUCKET_COUNT: usize = 32;
 
 /// Which of the two versions of a roll-out a target has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,30 +18,30 @@
 
 /// How many answers took how long.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TimeCounts {
+pub struct ResponseTimeHistogram {
     /// By span; spans at the end that hold nothing are left out.
-    spans: Vec<u32>,
+    buckets: Vec<u32>,
 }
 
-impl TimeCounts {
+impl ResponseTimeHistogram {
     /// Counts a time in milliseconds.
-    pub fn note(&mut self, time_ms: f64) {
-        let span = (time_ms.max(1.0).log2() * 2.0).ceil() as usize;
-        let span = span.min(SPANS - 1);
-        if self.spans.len() <= span {
-            self.spans.resize(span + 1, 0);
+    pub fn record(&mut self, time_ms: f64) {
+        let bucket = (time_ms.max(1.0).log2() * 2.0).ceil() as usize;
+        let bucket = bucket.min(BUCKET_COUNT - 1);
+        if self.buckets.len() <= bucket {
+            self.buckets.resize(bucket + 1, 0);
         }
-        self.spans[span] = self.spans[span].saturating_add(1);
+        self.buckets[bucket] = self.buckets[bucket].saturating_add(1);
     }
 
     /// Returns how many were counted.
     pub fn total(&self) -> u64 {
-        self.above(0)
+        self.count_from(0)
     }
 
     /// Returns how many took longer than the spans before `first`.
-    pub fn above(&self, first: usize) -> u64 {
-        self.spans
+    pub fn count_from(&self, first: usize) -> u64 {
+        self.buckets
             .iter()
             .skip(first)
             .map(|count| u64::from(*count))
@@ -49,17 +49,17 @@
     }
 
     /// Returns the first span such that at most a part of the times lie in it or later ones.
-    pub fn span_of(&self, part: f64) -> usize {
+    pub fn tail_bucket(&self, part: f64) -> usize {
         let most = self.total() as f64 * part;
-        let is_rare = |span: &usize| self.above(*span) as f64 <= most;
-        (0..=SPANS).find(is_rare).unwrap_or(SPANS)
+        let is_rare = |bucket: &usize| self.count_from(*bucket) as f64 <= most;
+        (0..=BUCKET_COUNT).find(is_rare).unwrap_or(BUCKET_COUNT)
     }
 
     fn add(&mut self, other: &Self) {
-        if self.spans.len() < other.spans.len() {
-            self.spans.resize(other.spans.len(), 0);
+        if self.buckets.len() < other.buckets.len() {
+            self.buckets.resize(other.buckets.len(), 0);
         }
-        for (own, more) in self.spans.iter_mut().zip(&other.spans) {
+        for (own, more) in self.buckets.iter_mut().zip(&other.buckets) {
             *own = own.saturating_add(*more);
         }
     }
@@ -69,26 +69,26 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounts {
     /// Requests that were answered or failed.
-    pub answers: u64,
+    pub responses: u64,
     /// Of these, the ones that failed.
     pub failures: u64,
     /// How long the others took, in milliseconds, or as a part of what was expected.
-    pub times: TimeCounts,
+    pub times: ResponseTimeHistogram,
 }
 
 impl VersionCounts {
     /// Counts an answer, with its time where that says something; `None` for a failure.
-    pub(crate) fn note(&mut self, answered: Option<Option<f64>>) {
-        self.answers += 1;
-        match answered {
+    pub(crate) fn record(&mut self, response: Option<Option<f64>>) {
+        self.responses += 1;
+        match response {
             None => self.failures += 1,
-            Some(Some(time_ms)) => self.times.note(time_ms),
+            Some(Some(time_ms)) => self.times.record(time_ms),
             Some(None) => {}
         }
     }
 
     pub(crate) fn add(&mut self, other: &Self) {
-        self.answers = self.answers.saturating_add(other.answers);
+        self.responses = self.responses.saturating_add(other.responses);
         self.failures = self.failures.saturating_add(other.failures);
         self.times.add(&other.times);
     }
@@ -137,5 +137,5 @@
     /// By route.
     pub routes: Vec<(String, RouteCounts)>,
     /// Requests of this host that are under way at targets of other versions.
-    pub open_former: u32,
+    pub former_in_flight: u32,
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{PhaseCounts, ReporterCounts, RolloutBook, RolloutRecord, RouteCounts};
+use crate::{PhaseCounts, ReporterCounts, RolloutRecord, RolloutStore, RouteCounts};
 
 /// Entry hosts, each with its start, whose counts are kept.
 const MAX_REPORTERS: usize = 4_096;
@@ -20,33 +20,33 @@
 /// Counts by the start of the entry host that made them, so that a host which tells several control hosts, or
 /// comes back, is counted once.
 #[derive(Debug, Default)]
-pub struct EvidenceBook {
+pub struct EvidenceStore {
     number: u64,
     reporters: BTreeMap<String, Reporter>,
 }
 
 /// All counts of one roll-out.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RolloutSums {
+pub struct RolloutTotals {
     /// By phase, in their order, and route.
     pub phases: BTreeMap<(u64, u64), BTreeMap<String, RouteCounts>>,
     /// Requests under way at targets of other versions.
-    pub open_former: u32,
+    pub former_in_flight: u32,
     /// Entry hosts that counted in an earlier phase and have not reported the newest one.
-    pub behind: usize,
+    pub lagging_hosts: usize,
 }
 
-fn answers_of(counts: &PhaseCounts) -> u64 {
+fn responses_of(counts: &PhaseCounts) -> u64 {
     let routes = counts.routes.iter();
     routes
-        .map(|(_, one)| one.tested.answers + one.former.answers)
+        .map(|(_, one)| one.tested.responses + one.former.responses)
         .sum()
 }
 
-impl EvidenceBook {
+impl EvidenceStore {
     /// Takes what a start of an entry host told this control host.
-    pub fn take(&mut self, reporter: &str, told: &[PhaseCounts]) {
-        if !self.merge(reporter, told) {
+    pub fn record_report(&mut self, reporter: &str, reported: &[PhaseCounts]) {
+        if !self.merge(reporter, reported) {
             return;
         }
         self.number += 1;
@@ -56,8 +56,8 @@
     }
 
     /// Takes what another control host was told. It tells all others itself.
-    pub fn take_told(&mut self, told: &[ReporterCounts]) {
-        for one in told {
+    pub fn merge_forwarded(&mut self, reported: &[ReporterCounts]) {
+        for one in reported {
             self.merge(&one.reporter, &one.counted);
         }
     }
@@ -69,39 +69,39 @@
             .reporters
             .iter()
             .filter(|(_, one)| one.changed > number);
-        let told = changed.map(|(name, one)| ReporterCounts {
+        let reported = changed.map(|(name, one)| ReporterCounts {
             reporter: name.clone(),
             counted: one.phases.values().cloned().collect(),
         });
-        (told.collect(), self.number)
+        (reported.collect(), self.number)
     }
 
     /// Takes counts; says whether any of them are news.
-    fn merge(&mut self, reporter: &str, told: &[PhaseCounts]) -> bool {
-        if told.is_empty() {
+    fn merge(&mut self, reporter: &str, reported: &[PhaseCounts]) -> bool {
+        if reported.is_empty() {
             return false;
         }
         if self.reporters.len() >= MAX_REPORTERS && !self.reporters.contains_key(reporter) {
             return false;
         }
         let known = self.reporters.entry(reporter.to_owned()).or_default();
-        let mut news = false;
-        for counts in told {
+        let mut changed = false;
+        for counts in reported {
             let key = (counts.service.clone(), counts.phase);
             let before = known.phases.get(&key);
-            if before.is_none_or(|before| is_later(counts, before)) {
+            if before.is_none_or(|before| is_newer(counts, before)) {
                 known.phases.insert(key, counts.clone());
-                news = true;
+                changed = true;
             }
         }
-        news
+        changed
     }
 
     /// Forgets what was counted for other roll-outs than those under way.
-    pub fn set_book(&mut self, book: &RolloutBook) {
+    pub fn retain_in_progress(&mut self, store: &RolloutStore) {
         for reporter in self.reporters.values_mut() {
             reporter.phases.retain(|(service, (revision, _)), _| {
-                let newest = book.newest(service);
+                let newest = store.newest(service);
                 newest.is_some_and(|one| one.is_in_progress() && one.revision == *revision)
             });
         }
@@ -115,24 +115,26 @@
     }
 
     /// Sums up what was counted for one roll-out.
-    pub fn sums(&self, service: &str, record: &RolloutRecord) -> RolloutSums {
-        let mut sums = RolloutSums::default();
+    pub fn totals(&self, service: &str, record: &RolloutRecord) -> RolloutTotals {
+        let mut sums = RolloutTotals::default();
         let newest = (record.revision, record.step);
         for reporter in self.reporters.values() {
             let own = reporter.phases.values();
             let own = own.filter(|one| one.service == service && one.phase.0 == record.revision);
-            let mut is_behind = false;
+            let mut is_lagging = false;
             for counts in own {
-                is_behind = counts.phase != newest;
-                if !is_behind {
-                    sums.open_former = sums.open_former.saturating_add(counts.open_former);
+                is_lagging = counts.phase != newest;
+                if !is_lagging {
+                    sums.former_in_flight = sums
+                        .former_in_flight
+                        .saturating_add(counts.former_in_flight);
                 }
                 let routes = sums.phases.entry(counts.phase).or_default();
                 for (route, more) in &counts.routes {
                     routes.entry(route.clone()).or_default().add(more);
                 }
             }
-            sums.behind += usize::from(is_behind);
+            sums.lagging_hosts += usize::from(is_lagging);
         }
         sums
     }
@@ -140,17 +142,17 @@
 
 /// Says whether counts come after others of the same host and phase. Where no answer was counted between them only
 /// what is under way may differ.
-fn is_later(counts: &PhaseCounts, before: &PhaseCounts) -> bool {
-    let (now, then) = (answers_of(counts), answers_of(before));
+fn is_newer(counts: &PhaseCounts, before: &PhaseCounts) -> bool {
+    let (now, then) = (responses_of(counts), responses_of(before));
     now > then || (now == then && counts != before)
 }
 
-impl RolloutSums {
+impl RolloutTotals {
     /// Returns the answers of all phases, of the tested version and of others.
-    pub fn answers(&self) -> (u64, u64) {
+    pub fn responses(&self) -> (u64, u64) {
         let routes = self.phases.values().flat_map(BTreeMap::values);
         routes.fold((0, 0), |(tested, former), one| {
-            (tested + one.tested.answers, former + one.former.answers)
+            (tested + one.tested.responses, former + one.former.responses)
         })
     }
 
--- a/crates/rollout/src/evidence/tests.rs
+++ b/crates/rollout/src/evidence/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::{RolloutCause, RolloutState, VersionCounts};
 
-fn counts(step: u64, tested: u64, open_former: u32) -> PhaseCounts {
-    let side = |answers| VersionCounts {
-        answers,
+fn counts(step: u64, tested: u64, former_in_flight: u32) -> PhaseCounts {
+    let side = |responses| VersionCounts {
+        responses,
         ..VersionCounts::default()
     };
     let route = RouteCounts {
@@ -14,7 +14,7 @@
         service: "desk".to_owned(),
         phase: (1, step),
         routes: vec![("quote".to_owned(), route)],
-        open_former,
+        former_in_flight,
     }
 }
 
@@ -35,57 +35,57 @@
 /// A host tells every control host that it follows, and these tell each other.
 #[test]
 fn a_host_is_counted_once_whoever_tells_its_counts_and_in_whatever_order() {
-    let mut book = EvidenceBook::default();
-    book.take("entry-0/7", &[counts(1, 5, 2)]);
-    let (told, number) = book.changed_after(0);
-    assert_eq!(told.len(), 1);
-    book.take_told(&told);
-    book.take("entry-0/7", &[counts(1, 3, 0)]);
-    assert_eq!(book.changed_after(number), (Vec::new(), number));
-    book.take("entry-1/9", &[counts(1, 4, 1)]);
-    assert_eq!(book.changed_after(number).0.len(), 1);
-    let sums = book.sums("desk", &record(1));
-    assert_eq!(sums.answers(), (9, 90));
-    assert_eq!(sums.open_former, 3);
+    let mut store = EvidenceStore::default();
+    store.record_report("entry-0/7", &[counts(1, 5, 2)]);
+    let (reported, number) = store.changed_after(0);
+    assert_eq!(reported.len(), 1);
+    store.merge_forwarded(&reported);
+    store.record_report("entry-0/7", &[counts(1, 3, 0)]);
+    assert_eq!(store.changed_after(number), (Vec::new(), number));
+    store.record_report("entry-1/9", &[counts(1, 4, 1)]);
+    assert_eq!(store.changed_after(number).0.len(), 1);
+    let sums = store.totals("desk", &record(1));
+    assert_eq!(sums.responses(), (9, 90));
+    assert_eq!(sums.former_in_flight, 3);
 }
 
 /// Each control host tells only what entry hosts told it, so that nothing goes round.
 #[test]
 fn what_another_control_host_told_is_not_told_on() {
-    let mut first = EvidenceBook::default();
-    first.take("entry-0/7", &[counts(1, 5, 2)]);
-    let mut second = EvidenceBook::default();
-    second.take_told(&first.changed_after(0).0);
+    let mut first = EvidenceStore::default();
+    first.record_report("entry-0/7", &[counts(1, 5, 2)]);
+    let mut second = EvidenceStore::default();
+    second.merge_forwarded(&first.changed_after(0).0);
     assert!(second.changed_after(0).0.is_empty());
-    assert_eq!(second.sums("desk", &record(1)).answers(), (5, 50));
+    assert_eq!(second.totals("desk", &record(1)).responses(), (5, 50));
 }
 
 /// Another start of a host begins at 0; what the first one counted stays.
 #[test]
 fn counts_of_a_host_that_started_anew_are_added() {
-    let mut book = EvidenceBook::default();
-    book.take("entry-0/7", &[counts(1, 5, 2)]);
-    book.take("entry-0/8", &[counts(1, 1, 0)]);
-    assert_eq!(book.sums("desk", &record(1)).answers(), (6, 60));
+    let mut store = EvidenceStore::default();
+    store.record_report("entry-0/7", &[counts(1, 5, 2)]);
+    store.record_report("entry-0/8", &[counts(1, 1, 0)]);
+    assert_eq!(store.totals("desk", &record(1)).responses(), (6, 60));
 }
 
 #[test]
 fn a_host_that_has_not_reported_the_newest_phase_is_behind() {
-    let mut book = EvidenceBook::default();
-    book.take("entry-0/7", &[counts(1, 5, 2), counts(2, 1, 1)]);
-    book.take("entry-1/9", &[counts(1, 4, 4)]);
-    let sums = book.sums("desk", &record(2));
-    assert_eq!((sums.behind, sums.open_former), (1, 1));
-    assert_eq!(sums.answers(), (10, 100));
-    book.set_book(&RolloutBook::default());
-    assert!(book.is_empty());
+    let mut store = EvidenceStore::default();
+    store.record_report("entry-0/7", &[counts(1, 5, 2), counts(2, 1, 1)]);
+    store.record_report("entry-1/9", &[counts(1, 4, 4)]);
+    let sums = store.totals("desk", &record(2));
+    assert_eq!((sums.lagging_hosts, sums.former_in_flight), (1, 1));
+    assert_eq!(sums.responses(), (10, 100));
+    store.retain_in_progress(&RolloutStore::default());
+    assert!(store.is_empty());
 }
 
 #[test]
 fn so_many_names_of_hosts_are_kept_and_no_more() {
-    let mut book = EvidenceBook::default();
+    let mut store = EvidenceStore::default();
     for name in 0..MAX_REPORTERS + 10 {
-        book.take(&name.to_string(), &[counts(1, 1, 0)]);
+        store.record_report(&name.to_string(), &[counts(1, 1, 0)]);
     }
-    assert_eq!(book.changed_after(0).0.len(), MAX_REPORTERS);
+    assert_eq!(store.changed_after(0).0.len(), MAX_REPORTERS);
 }
--- a/crates/rollout/src/line.rs
+++ b/crates/rollout/src/line.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{RolloutRecord, RolloutSums, judge};
+use crate::{RolloutRecord, RolloutTotals, evaluate_rollout};
 
 /// Where control hosts show roll-outs to operators.
 pub const ROLLOUTS_PATH: &str = "/-/rollout-records";
@@ -42,9 +42,9 @@
 
 impl RolloutLine {
     /// Describes a roll-out, with what was counted for it.
-    pub fn new(service: &str, record: &RolloutRecord, sums: &RolloutSums) -> Self {
-        let (answers, former_answers) = sums.answers();
-        let (failures, former_failures) = sums.failures();
+    pub fn new(service: &str, record: &RolloutRecord, totals: &RolloutTotals) -> Self {
+        let (answers, former_answers) = totals.responses();
+        let (failures, former_failures) = totals.failures();
         Self {
             service: service.to_owned(),
             revision: record.revision,
@@ -59,7 +59,7 @@
             failures,
             former_answers,
             former_failures,
-            against: judge(sums).against,
+            against: evaluate_rollout(totals).against,
         }
     }
 }
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -22,21 +22,21 @@
 
 /// Why an order makes no sense, whoever gives it.
 #[derive(Debug, Clone, PartialEq, Eq, Display, derive_more::Error)]
-pub enum OrderFault {
+pub enum OrderError {
     /// The version has no name.
     #[display("the version has no name")]
-    NoVersion,
+    EmptyVersion,
     /// The name of the version is over [`MAX_VERSION_BYTES`].
     #[display("a version of {_0} bytes; {MAX_VERSION_BYTES} at most")]
     #[error(ignore)]
-    LongVersion(usize),
+    VersionTooLong(usize),
     /// The name has blanks or signs that cannot be printed.
     #[display("a version has printable signs only, and no blanks")]
-    BadVersion,
+    InvalidVersion,
     /// The time is 0, or over [`MAX_DURATION_MS`].
     #[display("a duration of {_0} ms; from 1 to {MAX_DURATION_MS}")]
     #[error(ignore)]
-    BadDuration(u64),
+    InvalidDuration(u64),
 }
 
 impl RolloutOrder {
@@ -44,19 +44,19 @@
     ///
     /// # Errors
     ///
-    /// The first [`OrderFault`].
-    pub fn check(&self) -> Result<(), OrderFault> {
+    /// The first [`OrderError`].
+    pub fn check(&self) -> Result<(), OrderError> {
         if self.version.is_empty() {
-            return Err(OrderFault::NoVersion);
+            return Err(OrderError::EmptyVersion);
         }
         if self.version.len() > MAX_VERSION_BYTES {
-            return Err(OrderFault::LongVersion(self.version.len()));
+            return Err(OrderError::VersionTooLong(self.version.len()));
         }
         if !self.version.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return Err(OrderFault::BadVersion);
+            return Err(OrderError::InvalidVersion);
         }
         if !(1..=MAX_DURATION_MS).contains(&self.duration_ms) {
-            return Err(OrderFault::BadDuration(self.duration_ms));
+            return Err(OrderError::InvalidDuration(self.duration_ms));
         }
         Ok(())
     }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -6,18 +6,18 @@
 
 use std::time::Duration;
 
-use crate::{RolloutCause, RolloutRecord, RolloutSums, Verdict, judge};
+use crate::{RolloutCause, RolloutRecord, RolloutTotals, RolloutVerdict, evaluate_rollout};
 
 /// How many requests a version may get before it is known to be good.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ExposureRule {
+pub struct ExposureLimit {
     /// As a part of all requests of the service until the roll-out has to have ended.
     pub share: f64,
     /// Requests beyond that.
     pub slack: f64,
 }
 
-impl Default for ExposureRule {
+impl Default for ExposureLimit {
     fn default() -> Self {
         Self {
             share: 0.1,
@@ -32,39 +32,39 @@
 const PHASES: [(f64, f64); 3] = [(0.0, 0.35), (0.7, 2.0), (0.78, 4.0)];
 
 /// The part of the time at which all requests move.
-const ALL_FROM: f64 = 0.83;
+const FULL_SHARE_FROM: f64 = 0.83;
 
 /// The part of the time from which a roll-out may complete, and the one at which it does whatever is under way.
 const COMPLETE_FROM: f64 = 0.88;
 const COMPLETE_AT: f64 = 0.95;
 
 /// The part of the time from which the rate of requests is known well enough to count the slack in.
-const RATE_FROM: f64 = 0.1;
+const SLACK_FROM: f64 = 0.1;
 
 /// The most by which the slack raises the share that may be exposed, as a factor.
-const MOST_RAISE: f64 = 3.0;
+const MAX_SLACK_FACTOR: f64 = 3.0;
 
 /// A share is changed by more than this factor, or not at all.
-const LEAST_CHANGE: f64 = 1.25;
+const MIN_SHARE_INCREASE: f64 = 1.25;
 
 /// The win of the tests against a version at which it is given up: one good version in 1,000 reaches it.
-const GIVE_UP: f64 = 6.91;
+const REVERT_THRESHOLD: f64 = 6.91;
 
 /// The win at which its share is not raised any more.
-const DOUBT: f64 = 3.0;
+const HOLD_THRESHOLD: f64 = 3.0;
 
 /// Answers of the version that are enough to speak for it.
-const ENOUGH_ANSWERS: u64 = 30;
+const MIN_RESPONSES: u64 = 30;
 
 /// The least part of the former targets' slots that the version has to have before it gets all requests.
-const LEAST_SLOTS: f64 = 0.5;
+const MIN_SLOT_RATIO: f64 = 0.5;
 
 /// All requests, in thousandths.
-const ALL: u16 = 1_000;
+const FULL_PERMILLE: u16 = 1_000;
 
 /// What a step is decided by.
 #[derive(Debug, Clone, Copy)]
-pub struct RolloutFacts<'a> {
+pub struct RolloutProgress<'a> {
     /// The roll-out.
     pub record: &'a RolloutRecord,
     /// Time since its order.
@@ -72,18 +72,18 @@
     /// Slots of targets that are up, of the version and of others.
     pub slots: (u32, u32),
     /// What was counted.
-    pub sums: &'a RolloutSums,
+    pub sums: &'a RolloutTotals,
     /// What may be exposed.
-    pub rule: ExposureRule,
+    pub rule: ExposureLimit,
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutStep {
     /// Nothing now.
-    Hold,
+    NoChange,
     /// Give the version this share, in thousandths.
-    Move(u16, RolloutCause),
+    SetShare(u16, RolloutCause),
     /// End the roll-out with all requests at the version.
     Complete(RolloutCause),
     /// End it with none.
@@ -91,82 +91,88 @@
 }
 
 /// Decides the next step of a roll-out that is under way.
-pub fn next_step(facts: &RolloutFacts<'_>) -> RolloutStep {
-    let verdict = judge(facts.sums);
-    if verdict.against >= GIVE_UP {
+pub fn next_step(facts: &RolloutProgress<'_>) -> RolloutStep {
+    let verdict = evaluate_rollout(facts.sums);
+    if verdict.against >= REVERT_THRESHOLD {
         return RolloutStep::Revert(verdict.cause);
     }
     let time = facts.elapsed.as_millis() as f64 / facts.record.duration_ms.max(1) as f64;
-    let doubts = verdict.against >= DOUBT;
+    let is_doubtful = verdict.against >= HOLD_THRESHOLD;
     if time >= COMPLETE_AT {
-        return last_step(facts, &verdict, doubts);
+        return final_step(facts, &verdict, is_doubtful);
     }
     let (tested, _) = facts.slots;
     if tested == 0 {
-        return RolloutStep::Hold;
+        return RolloutStep::NoChange;
     }
-    if facts.record.permille == ALL {
-        let ends = time >= COMPLETE_FROM && facts.sums.open_former == 0 && facts.sums.behind == 0;
-        return match ends && !doubts {
-            true => RolloutStep::Complete(cause_of(facts.sums)),
-            false => RolloutStep::Hold,
+    if facts.record.permille == FULL_PERMILLE {
+        let ends = time >= COMPLETE_FROM
+            && facts.sums.former_in_flight == 0
+            && facts.sums.lagging_hosts == 0;
+        return match ends && !is_doubtful {
+            true => RolloutStep::Complete(favorable_cause(facts.sums)),
+            false => RolloutStep::NoChange,
         };
     }
-    let planned = planned_permille(facts, time);
-    let raises = f64::from(planned) > f64::from(facts.record.permille) * LEAST_CHANGE;
-    if doubts || !(raises || planned == ALL) {
-        return RolloutStep::Hold;
+    let planned = target_permille(facts, time);
+    let raises = f64::from(planned) > f64::from(facts.record.permille) * MIN_SHARE_INCREASE;
+    if is_doubtful || !(raises || planned == FULL_PERMILLE) {
+        return RolloutStep::NoChange;
     }
-    RolloutStep::Move(planned, cause_of(facts.sums))
+    RolloutStep::SetShare(planned, favorable_cause(facts.sums))
 }
 
 /// Ends a roll-out at the end of its time.
-fn last_step(facts: &RolloutFacts<'_>, verdict: &Verdict, doubts: bool) -> RolloutStep {
-    if doubts {
+fn final_step(
+    facts: &RolloutProgress<'_>,
+    verdict: &RolloutVerdict,
+    is_doubtful: bool,
+) -> RolloutStep {
+    if is_doubtful {
         return RolloutStep::Revert(verdict.cause.clone());
     }
-    match has_slots(facts) && facts.record.permille == ALL {
-        true => RolloutStep::Complete(cause_of(facts.sums)),
+    match has_enough_slots(facts) && facts.record.permille == FULL_PERMILLE {
+        true => RolloutStep::Complete(favorable_cause(facts.sums)),
         false => RolloutStep::Revert(RolloutCause::NoTargets),
     }
 }
 
 /// Says whether so many targets of the version are up that it can take all requests.
-fn has_slots(facts: &RolloutFacts<'_>) -> bool {
+fn has_enough_slots(facts: &RolloutProgress<'_>) -> bool {
     let (tested, former) = facts.slots;
-    tested > 0 && f64::from(tested) >= f64::from(former) * LEAST_SLOTS
+    tested > 0 && f64::from(tested) >= f64::from(former) * MIN_SLOT_RATIO
 }
 
-fn planned_permille(facts: &RolloutFacts<'_>, time: f64) -> u16 {
-    let has_slots = has_slots(facts);
-    if time >= ALL_FROM && has_slots {
-        return ALL;
+fn target_permille(facts: &RolloutProgress<'_>, time: f64) -> u16 {
+    let has_enough_slots = has_enough_slots(facts);
+    if time >= FULL_SHARE_FROM && has_enough_slots {
+        return FULL_PERMILLE;
     }
-    let exposed = exposed_share(facts, time);
+    let exposed = allowed_exposure(facts, time);
     let begun = PHASES.iter().rev().find(|(from, _)| time >= *from);
-    let (_, multiple) = begun.filter(|_| has_slots).unwrap_or(&PHASES[0]);
-    let permille = exposed * multiple * f64::from(ALL);
+    let (_, multiple) = begun.filter(|_| has_enough_slots).unwrap_or(&PHASES[0]);
+    let permille = exposed * multiple * f64::from(FULL_PERMILLE);
     // At least something, and all only in its own time.
-    (permille.round() as u16).clamp(1, ALL - 1)
+    (permille.round() as u16).clamp(1, FULL_PERMILLE - 1)
 }
 
 /// Returns the part of the requests that may be exposed in all: with few requests the slack is much of it.
-fn exposed_share(facts: &RolloutFacts<'_>, time: f64) -> f64 {
+fn allowed_exposure(facts: &RolloutProgress<'_>, time: f64) -> f64 {
     let rule = facts.rule;
-    if time < RATE_FROM {
+    if time < SLACK_FROM {
         return rule.share;
     }
-    let (tested, former) = facts.sums.answers();
+    let (tested, former) = facts.sums.responses();
     let expected = (tested + former) as f64 / time;
     if expected < 1.0 {
         return rule.share;
     }
-    (rule.share + rule.slack / expected).min(rule.share * MOST_RAISE)
+    (rule.share + rule.slack / expected).min(rule.share * MAX_SLACK_FACTOR)
 }
 
 /// Says what a step in favour of the version rests on.
-fn cause_of(sums: &RolloutSums) -> RolloutCause {
-    match sums.answers().0 >= ENOUGH_ANSWERS {
+fn favorable_cause(sums: &RolloutTotals) -> RolloutCause {
+    match sums.responses().0 >= MIN_RESPONSES {
         true => RolloutCause::Evidence,
         false => RolloutCause::Time,
     }
--- a/crates/rollout/src/plan/tests.rs
+++ b/crates/rollout/src/plan/tests.rs
@@ -3,10 +3,12 @@
 use fastrand::Rng;
 
 use super::*;
-use crate::{EvidenceBook, RolloutBook, RolloutCommand, RolloutOrder, RolloutState, RolloutTally};
+use crate::{
+    EvidenceStore, ResponseTracker, RolloutCommand, RolloutOrder, RolloutState, RolloutStore,
+};
 
 const ROUTES: [&str; 3] = ["quote", "order", "audit"];
-const RULE: ExposureRule = ExposureRule {
+const RULE: ExposureLimit = ExposureLimit {
     share: 0.1,
     slack: 50.0,
 };
@@ -61,12 +63,12 @@
 }
 
 /// Decides when a version is given up, in place of the verdict; nothing for the verdict.
-type OtherWay = Option<fn(&RolloutSums) -> bool>;
+type OtherWay = Option<fn(&RolloutTotals) -> bool>;
 
 fn play(service: Service, bad: BadVersion, seed: u64, other: OtherWay) -> Outcome {
     let mut rng = Rng::with_seed(seed);
-    let (mut book, mut tally) = (RolloutBook::default(), RolloutTally::default());
-    book.apply(&RolloutCommand::Begin {
+    let (mut store, mut tracker) = (RolloutStore::default(), ResponseTracker::default());
+    store.apply(&RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: "v2".to_owned(),
@@ -79,7 +81,7 @@
     let mut due = 0.0;
     let mut elapsed_ms = 0;
     loop {
-        let record = book.newest("desk").unwrap().clone();
+        let record = store.newest("desk").unwrap().clone();
         let time = elapsed_ms as f64 / service.duration_ms as f64;
         if !record.is_in_progress() {
             return Outcome {
@@ -114,14 +116,14 @@
             tested += u64::from(to_tested);
             spoiled += u64::from(breaks || (faulty && slower > 1.0));
             let version = if to_tested { "v2" } else { "v1" };
-            let answered = (!fails).then_some(Some(time_ms));
-            tally.note(&book, "desk", (route, version), answered);
+            let response = (!fails).then_some(Some(time_ms));
+            tracker.record_response(&store, "desk", (route, version), response);
         }
         elapsed_ms += TICK_MS;
-        let mut evidence = EvidenceBook::default();
-        evidence.take("entry-0", &tally.counts(&book, |_, _| 0));
-        let sums = evidence.sums("desk", &record);
-        let facts = RolloutFacts {
+        let mut evidence = EvidenceStore::default();
+        evidence.record_report("entry-0", &tracker.counts(&store, |_, _| 0));
+        let sums = evidence.totals("desk", &record);
+        let facts = RolloutProgress {
             record: &record,
             elapsed: Duration::from_millis(elapsed_ms),
             slots: (18, 18),
@@ -136,42 +138,42 @@
             // The other way decides alone.
             (Some(is_bad), RolloutStep::Revert(_)) if !is_bad(&sums) => match time {
                 0.95.. => RolloutStep::Complete(RolloutCause::Time),
-                _ => RolloutStep::Hold,
+                _ => RolloutStep::NoChange,
             },
             (_, step) => step,
         };
-        take_step(&mut book, &record, step);
-        tally.set_book(&book);
+        take_step(&mut store, &record, step);
+        tracker.retain_in_progress(&store);
         assert!(elapsed_ms <= service.duration_ms, "never ended");
     }
 }
 
-fn take_step(book: &mut RolloutBook, record: &RolloutRecord, step: RolloutStep) {
+fn take_step(store: &mut RolloutStore, record: &RolloutRecord, step: RolloutStep) {
     let service = "desk".to_owned();
     let revision = record.revision;
-    let end = |completed, cause| RolloutCommand::End {
+    let end = |completed, cause| RolloutCommand::Finish {
         service: "desk".to_owned(),
         revision,
         completed,
         cause,
     };
     let command = match step {
-        RolloutStep::Hold => return,
-        RolloutStep::Move(permille, cause) => RolloutCommand::Move {
+        RolloutStep::NoChange => return,
+        RolloutStep::SetShare(permille, cause) => RolloutCommand::SetShare {
             service,
-            seen: (revision, record.step),
+            expected: (revision, record.step),
             permille,
             cause,
         },
         RolloutStep::Complete(cause) => end(true, cause),
         RolloutStep::Revert(cause) => end(false, cause),
     };
-    book.apply(&command);
+    store.apply(&command);
 }
 
 /// The way that was weighed against the verdict: the lower bound of the tested version's share of failures lies above
 /// the upper bound of the others', after thirty answers.
-fn bounds_differ(sums: &RolloutSums) -> bool {
+fn bounds_differ(sums: &RolloutTotals) -> bool {
     let bound = |bad: u64, all: u64, sign: f64| {
         let (n, z) = (all as f64, 3.0);
         let share = bad as f64 / n;
@@ -179,7 +181,7 @@
         let spread = z * (share * (1.0 - share) / n + z * z / (4.0 * n * n)).sqrt();
         (middle + sign * spread) / (1.0 + z * z / n)
     };
-    let ((tested, former), (tested_bad, former_bad)) = (sums.answers(), sums.failures());
+    let ((tested, former), (tested_bad, former_bad)) = (sums.responses(), sums.failures());
     tested >= 30 && former >= 30 && bound(tested_bad, tested, -1.0) > bound(former_bad, former, 1.0)
 }
 
@@ -271,11 +273,11 @@
 
 fn facts<'a>(
     record: &'a RolloutRecord,
-    sums: &'a RolloutSums,
+    sums: &'a RolloutTotals,
     time: f64,
     slots: (u32, u32),
-) -> RolloutFacts<'a> {
-    RolloutFacts {
+) -> RolloutProgress<'a> {
+    RolloutProgress {
         record,
         elapsed: Duration::from_millis((record.duration_ms as f64 * time) as u64),
         slots,
@@ -301,18 +303,18 @@
 /// Its predecessors stop once it is completed, so it has to have targets by then.
 #[test]
 fn a_version_with_too_few_targets_gets_no_more_than_a_little_and_is_given_up_at_the_end() {
-    let sums = RolloutSums::default();
+    let sums = RolloutTotals::default();
     let (none, first) = (record(0), record(35));
     let step = |record, time, slots| next_step(&facts(record, &sums, time, slots));
-    assert_eq!(step(&none, 0.5, (0, 18)), RolloutStep::Hold);
-    let little = RolloutStep::Move(35, RolloutCause::Time);
+    assert_eq!(step(&none, 0.5, (0, 18)), RolloutStep::NoChange);
+    let little = RolloutStep::SetShare(35, RolloutCause::Time);
     assert_eq!(step(&none, 0.9, (2, 18)), little);
-    assert_eq!(step(&first, 0.9, (2, 18)), RolloutStep::Hold);
+    assert_eq!(step(&first, 0.9, (2, 18)), RolloutStep::NoChange);
     let gone = RolloutStep::Revert(RolloutCause::NoTargets);
     assert_eq!(step(&first, 0.96, (2, 18)), gone);
     assert_eq!(step(&none, 0.96, (0, 18)), gone);
     // No other target is left: there is nothing to go back to.
-    let all = RolloutStep::Move(1_000, RolloutCause::Time);
+    let all = RolloutStep::SetShare(1_000, RolloutCause::Time);
     assert_eq!(step(&first, 0.9, (2, 0)), all);
 }
 
@@ -320,19 +322,19 @@
 #[test]
 fn it_completes_once_nothing_is_under_way_at_former_targets_and_in_time_whatever_is() {
     let all = record(1_000);
-    let step = |open_former, behind, time| {
-        let sums = RolloutSums {
-            open_former,
-            behind,
-            ..RolloutSums::default()
+    let step = |former_in_flight, lagging_hosts, time| {
+        let sums = RolloutTotals {
+            former_in_flight,
+            lagging_hosts,
+            ..RolloutTotals::default()
         };
         next_step(&facts(&all, &sums, time, (18, 18)))
     };
     let complete = RolloutStep::Complete(RolloutCause::Time);
-    assert_eq!(step(0, 0, 0.85), RolloutStep::Hold);
+    assert_eq!(step(0, 0, 0.85), RolloutStep::NoChange);
     assert_eq!(step(0, 0, 0.9), complete);
-    assert_eq!(step(3, 0, 0.9), RolloutStep::Hold);
-    assert_eq!(step(0, 1, 0.9), RolloutStep::Hold);
+    assert_eq!(step(3, 0, 0.9), RolloutStep::NoChange);
+    assert_eq!(step(0, 1, 0.9), RolloutStep::NoChange);
     assert_eq!(step(3, 1, 0.96), complete);
 }
 
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -45,13 +45,13 @@
 
 /// What a roll-out means for targets of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VersionStanding {
+pub enum VersionStatus {
     /// They get requests as if there were no roll-out.
-    Open,
+    Unrestricted,
     /// They get the share of the version that is rolled out.
     UnderTest,
     /// They get nothing.
-    Closed,
+    Excluded,
 }
 
 /// One roll-out.
@@ -85,15 +85,15 @@
 
     /// Says what holds of targets of a version. Those that say no version, and those of a third one, count as
     /// the former ones while the roll-out lasts; a version that comes later is not touched by it.
-    pub fn standing_of(&self, version: &str) -> VersionStanding {
+    pub fn version_status(&self, version: &str) -> VersionStatus {
         let is_tested = version == self.version;
         match self.state {
-            RolloutState::InProgress if is_tested => VersionStanding::UnderTest,
-            RolloutState::Reverted if is_tested => VersionStanding::Closed,
+            RolloutState::InProgress if is_tested => VersionStatus::UnderTest,
+            RolloutState::Reverted if is_tested => VersionStatus::Excluded,
             RolloutState::Completed if self.former.iter().any(|one| one == version) => {
-                VersionStanding::Closed
+                VersionStatus::Excluded
             }
-            _ => VersionStanding::Open,
+            _ => VersionStatus::Unrestricted,
         }
     }
 }
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/response_tracker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{PhaseCounts, RolloutBook, RouteCounts, VersionSide, VersionStanding};
+use crate::{PhaseCounts, RolloutStore, RouteCounts, VersionSide, VersionStatus};
 
 /// Routes that are counted apart for one service; the answers of others are counted together.
 const MAX_ROUTES: usize = 64;
@@ -14,61 +14,61 @@
 
 /// Counts the answers of both versions while roll-outs are under way.
 #[derive(Debug, Default)]
-pub struct RolloutTally {
+pub struct ResponseTracker {
     phases: BTreeMap<(String, Phase), BTreeMap<String, RouteCounts>>,
 }
 
-impl RolloutTally {
+impl ResponseTracker {
     /// Takes what is known of roll-outs; what was counted for others than those under way is forgotten.
-    pub fn set_book(&mut self, book: &RolloutBook) {
+    pub fn retain_in_progress(&mut self, store: &RolloutStore) {
         self.phases.retain(|(service, (revision, _)), _| {
-            let newest = book.newest(service);
+            let newest = store.newest(service);
             newest.is_some_and(|one| one.is_in_progress() && one.revision == *revision)
         });
     }
 
     /// Counts an answer of a target, with its time in milliseconds where that says something of the target; `None`
     /// for a failure. Nothing is counted where no roll-out of the service is under way.
-    pub fn note(
+    pub fn record_response(
         &mut self,
-        book: &RolloutBook,
+        store: &RolloutStore,
         service: &str,
         (route, version): (&str, &str),
-        answered: Option<Option<f64>>,
+        response: Option<Option<f64>>,
     ) {
-        let Some(record) = book.newest(service).filter(|one| one.is_in_progress()) else {
+        let Some(record) = store.newest(service).filter(|one| one.is_in_progress()) else {
             return;
         };
-        let side = match record.standing_of(version) {
-            VersionStanding::UnderTest => VersionSide::Tested,
-            VersionStanding::Open | VersionStanding::Closed => VersionSide::Former,
+        let side = match record.version_status(version) {
+            VersionStatus::UnderTest => VersionSide::Tested,
+            VersionStatus::Unrestricted | VersionStatus::Excluded => VersionSide::Former,
         };
         let phase = (service.to_owned(), (record.revision, record.step));
         let routes = self.phases.entry(phase).or_default();
         let is_counted = routes.contains_key(route) || routes.len() < MAX_ROUTES;
         let route = if is_counted { route } else { OTHER_ROUTES };
         let counts = routes.entry(route.to_owned()).or_default();
-        counts.side_mut(side).note(answered);
+        counts.side_mut(side).record(response);
     }
 
     /// Returns what was counted. `open_former` says how many requests are under way at targets of other versions
     /// than the one under test of a service.
     pub fn counts(
         &self,
-        book: &RolloutBook,
-        open_former: impl Fn(&str, &str) -> u32,
+        store: &RolloutStore,
+        former_in_flight: impl Fn(&str, &str) -> u32,
     ) -> Vec<PhaseCounts> {
         let mut all = Vec::new();
-        for (service, record) in book.in_progress() {
+        for (service, record) in store.in_progress() {
             let newest = (record.revision, record.step);
-            let open = open_former(service, &record.version);
+            let open = former_in_flight(service, &record.version);
             all.extend(self.phases_of(service).filter(|one| one.phase != newest));
             let routes = self.phases.get(&(service.to_owned(), newest));
             all.push(PhaseCounts {
                 service: service.to_owned(),
                 phase: newest,
                 routes: routes.map(list).unwrap_or_default(),
-                open_former: open,
+                former_in_flight: open,
             });
         }
         all
@@ -80,7 +80,7 @@
             service: service.clone(),
             phase: *phase,
             routes: list(routes),
-            open_former: 0,
+            former_in_flight: 0,
         })
     }
 }
--- a/crates/rollout/src/book.rs
+++ b/crates/rollout/src/store.rs
@@ -4,28 +4,28 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{RolloutCause, RolloutOrder, RolloutRecord, RolloutState, VersionStanding};
+use crate::{RolloutCause, RolloutOrder, RolloutRecord, RolloutState, VersionStatus};
 
 /// Roll-outs of one service that are remembered.
-const MAX_KEPT: usize = 8;
+const MAX_RECORDS_PER_SERVICE: usize = 8;
 
 /// How long after its time an order counts as a repeat of the one that has ended, in milliseconds: its
 /// acknowledgement may have been lost.
-const REPEAT_MS: u64 = 10_000;
+const REPEAT_WINDOW_MS: u64 = 10_000;
 
 /// The share that goes to a version once all requests do, in thousandths.
-const ALL: u16 = 1_000;
+const FULL_PERMILLE: u16 = 1_000;
 
 /// A change of the book.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutCommand {
     /// Change nothing, and answer what is held.
-    Look {
+    Query {
         /// The service.
         service: String,
     },
     /// Begin a roll-out.
-    Begin {
+    Start {
         /// What the operator asked.
         order: RolloutOrder,
         /// The versions that targets of the service have, without the one that is asked.
@@ -34,18 +34,18 @@
         now_ms: u64,
     },
     /// Send another share of the requests to the version.
-    Move {
+    SetShare {
         /// The service.
         service: String,
         /// The roll-out that is meant, by [`RolloutRecord::revision`] and [`RolloutRecord::step`].
-        seen: (u64, u64),
+        expected: (u64, u64),
         /// The share, in thousandths.
         permille: u16,
         /// What decided it.
         cause: RolloutCause,
     },
     /// End a roll-out.
-    End {
+    Finish {
         /// The service.
         service: String,
         /// The roll-out that is meant, by its revision.
@@ -61,19 +61,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutOutcome {
     /// The newest roll-out of the service is this one; nothing where there never was any.
-    Held(Option<RolloutRecord>),
+    Newest(Option<RolloutRecord>),
     /// Another one is under way, so that none was begun.
-    UnderWay(RolloutRecord),
+    InProgress(RolloutRecord),
 }
 
 /// The newest roll-outs of each service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutBook {
+pub struct RolloutStore {
     /// By service, the newest last.
     services: BTreeMap<String, Vec<RolloutRecord>>,
 }
 
-impl RolloutBook {
+impl RolloutStore {
     /// Returns the newest roll-out of a service.
     pub fn newest(&self, service: &str) -> Option<&RolloutRecord> {
         self.services.get(service)?.last()
@@ -96,44 +96,47 @@
     }
 
     /// Says what holds of targets of a version.
-    pub fn standing_of(&self, service: &str, version: &str) -> VersionStanding {
+    pub fn version_status(&self, service: &str, version: &str) -> VersionStatus {
         let newest = self.newest(service);
-        newest.map_or(VersionStanding::Open, |one| one.standing_of(version))
+        newest.map_or(VersionStatus::Unrestricted, |one| {
+            one.version_status(version)
+        })
     }
 
     /// Takes a committed command.
     pub fn apply(&mut self, command: &RolloutCommand) -> RolloutOutcome {
         match command {
-            RolloutCommand::Look { service } => self.held(service),
-            RolloutCommand::Begin {
+            RolloutCommand::Query { service } => self.held(service),
+            RolloutCommand::Start {
                 order,
                 former,
                 now_ms,
             } => self.begin(order, former, *now_ms),
-            RolloutCommand::Move {
+            RolloutCommand::SetShare {
                 service,
-                seen,
+                expected,
                 permille,
                 cause,
             } => {
                 let newest = self.newest_mut(service);
-                let meant = newest.filter(|one| (one.revision, one.step) == *seen);
-                if let Some(record) = meant.filter(|one| one.is_in_progress()) {
-                    record.permille = (*permille).min(ALL);
+                let matching = newest.filter(|one| (one.revision, one.step) == *expected);
+                if let Some(record) = matching.filter(|one| one.is_in_progress()) {
+                    record.permille = (*permille).min(FULL_PERMILLE);
                     record.cause = cause.clone();
                     record.step += 1;
                 }
                 self.held(service)
             }
-            RolloutCommand::End {
+            RolloutCommand::Finish {
                 service,
                 revision,
                 completed,
                 cause,
             } => {
                 let newest = self.newest_mut(service);
-                let meant = newest.filter(|one| one.revision == *revision && one.is_in_progress());
-                if let Some(record) = meant {
+                let matching =
+                    newest.filter(|one| one.revision == *revision && one.is_in_progress());
+                if let Some(record) = matching {
                     end(record, *completed, cause.clone());
                 }
                 self.held(service)
@@ -144,10 +147,10 @@
     fn begin(&mut self, order: &RolloutOrder, former: &[String], now_ms: u64) -> RolloutOutcome {
         if let Some(newest) = self.newest(&order.service) {
             if is_repeat(newest, order, now_ms) {
-                return RolloutOutcome::Held(Some(newest.clone()));
+                return RolloutOutcome::Newest(Some(newest.clone()));
             }
             if newest.is_in_progress() {
-                return RolloutOutcome::UnderWay(newest.clone());
+                return RolloutOutcome::InProgress(newest.clone());
             }
         }
         let records = self.services.entry(order.service.clone()).or_default();
@@ -163,15 +166,15 @@
             cause: RolloutCause::Ordered,
         };
         records.push(record.clone());
-        let past = records.len().saturating_sub(MAX_KEPT);
+        let past = records.len().saturating_sub(MAX_RECORDS_PER_SERVICE);
         records.drain(..past);
-        RolloutOutcome::Held(Some(record))
+        RolloutOutcome::Newest(Some(record))
     }
 
     /// Takes what another process knows; says whether that is news.
-    pub fn merge(&mut self, told: &Self) -> bool {
-        let mut news = false;
-        for (service, records) in &told.services {
+    pub fn merge(&mut self, reported: &Self) -> bool {
+        let mut changed = false;
+        for (service, records) in &reported.services {
             let Some(last) = records.last() else {
                 continue;
             };
@@ -181,14 +184,14 @@
                 .is_none_or(|known| age(known) < age(last))
             {
                 self.services.insert(service.clone(), records.clone());
-                news = true;
+                changed = true;
             }
         }
-        news
+        changed
     }
 
     fn held(&self, service: &str) -> RolloutOutcome {
-        RolloutOutcome::Held(self.newest(service).cloned())
+        RolloutOutcome::Newest(self.newest(service).cloned())
     }
 
     fn newest_mut(&mut self, service: &str) -> Option<&mut RolloutRecord> {
@@ -198,7 +201,7 @@
 
 fn end(record: &mut RolloutRecord, completed: bool, cause: RolloutCause) {
     (record.state, record.permille) = match completed {
-        true => (RolloutState::Completed, ALL),
+        true => (RolloutState::Completed, FULL_PERMILLE),
         false => (RolloutState::Reverted, 0),
     };
     record.cause = cause;
@@ -211,11 +214,11 @@
     if known.version != order.version {
         return false;
     }
-    let lately = known.started_ms + known.duration_ms + REPEAT_MS > now_ms;
+    let is_recent = known.started_ms + known.duration_ms + REPEAT_WINDOW_MS > now_ms;
     match known.state {
         RolloutState::InProgress => known.duration_ms == order.duration_ms,
         RolloutState::Completed => true,
-        RolloutState::Reverted => known.duration_ms == order.duration_ms && lately,
+        RolloutState::Reverted => known.duration_ms == order.duration_ms && is_recent,
     }
 }
 
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -8,36 +8,36 @@
 
 use std::collections::BTreeMap;
 
-use crate::{RolloutCause, RolloutSums, RouteCounts, VersionCounts};
+use crate::{RolloutCause, RolloutTotals, RouteCounts, VersionCounts};
 
 /// The rates at which is bet: each tests against an error share that is about so much higher.
-const BETS: [f64; 4] = [0.03, 0.1, 0.3, 0.7];
+const BET_SIZES: [f64; 4] = [0.03, 0.1, 0.3, 0.7];
 
 /// Shares of the former versions' times that count as late, one test each.
-const LATE_PARTS: [f64; 3] = [0.5, 0.2, 0.05];
+const TAIL_SHARES: [f64; 3] = [0.5, 0.2, 0.05];
 
 /// Spans by which the tested version's times may be longer: one is a factor of 1.41. Its targets may have started
 /// lately and hold little.
-const TIME_SLACK: usize = 1;
+const BUCKET_SLACK: usize = 1;
 
 /// Answers of former versions in a phase that are enough to compare with.
-const LEAST_FORMER: u64 = 20;
+const MIN_FORMER_RESPONSES: u64 = 20;
 
 /// The error share that is assumed where nothing is known of former versions.
-const UNKNOWN_SHARE: f64 = 0.2;
+const DEFAULT_BAD_SHARE: f64 = 0.2;
 
 /// The least error share that is assumed of former versions: fewer errors cannot be told from none.
-const LEAST_SHARE: f64 = 0.005;
+const MIN_BAD_SHARE: f64 = 0.005;
 
 /// By how many deviations a share that was counted may be too low.
-const DEVIATIONS: f64 = 1.64;
+const CONFIDENCE_DEVIATIONS: f64 = 1.64;
 
 /// The name of all routes together.
 const ALL_ROUTES: &str = "*";
 
 /// What the counts say.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Verdict {
+pub struct RolloutVerdict {
     /// The natural logarithm of the mean win of all tests; above 0 speaks against the version.
     pub against: f64,
     /// What speaks against it most.
@@ -46,13 +46,13 @@
 
 /// The wins of one test in one phase, as logarithms, by rate.
 #[derive(Clone, Copy)]
-struct Wins([f64; BETS.len()]);
+struct LogGains([f64; BET_SIZES.len()]);
 
-impl Wins {
+impl LogGains {
     /// Returns the wins with so many bad answers of all, where a part of them is expected to be bad.
-    fn of(bad: u64, all: u64, expected: f64) -> Self {
+    fn new(bad: u64, all: u64, expected: f64) -> Self {
         let good = all.saturating_sub(bad);
-        Self(BETS.map(|bet| {
+        Self(BET_SIZES.map(|bet| {
             let won = (1.0 + bet * (1.0 / expected - 1.0)).ln();
             let lost = (1.0 - bet).ln();
             bad as f64 * won + good as f64 * lost
@@ -62,11 +62,11 @@
 
 /// Returns the mean win over the rates, and over the phases in which the betting may begin: a version may have turned
 /// bad after many good answers.
-fn mean_win(phases: impl DoubleEndedIterator<Item = Wins>) -> f64 {
-    let mut sums = [0.0; BETS.len()];
+fn log_mean_gain(phases: impl DoubleEndedIterator<Item = LogGains>) -> f64 {
+    let mut sums = [0.0; BET_SIZES.len()];
     let mut logs = vec![0.0];
-    for wins in phases.rev() {
-        for (sum, win) in sums.iter_mut().zip(wins.0) {
+    for gains in phases.rev() {
+        for (sum, win) in sums.iter_mut().zip(gains.0) {
             *sum += win;
         }
         logs.extend(sums);
@@ -92,19 +92,19 @@
 /// Returns a share that is hardly too low for what was counted.
 fn upper_share(bad: u64, all: u64) -> f64 {
     if all == 0 {
-        return UNKNOWN_SHARE;
+        return DEFAULT_BAD_SHARE;
     }
-    share_bound(bad, all, DEVIATIONS).clamp(LEAST_SHARE, 0.99)
+    share_bound(bad, all, CONFIDENCE_DEVIATIONS).clamp(MIN_BAD_SHARE, 0.99)
 }
 
 /// Judges the version that is rolled out.
-pub fn judge(sums: &RolloutSums) -> Verdict {
-    let routes = by_route(sums);
+pub fn evaluate_rollout(totals: &RolloutTotals) -> RolloutVerdict {
+    let routes = by_route(totals);
     let mut logs = Vec::new();
     let mut worst = (f64::NEG_INFINITY, RolloutCause::Evidence);
     for (route, phases) in &routes {
-        let failures = failure_wins(phases);
-        let slowness = LATE_PARTS.map(|part| late_wins(phases, part));
+        let failures = failure_gains(phases);
+        let slowness = TAIL_SHARES.map(|part| slowness_gains(phases, part));
         if failures > worst.0 {
             worst = (failures, RolloutCause::Failures(route.clone()));
         }
@@ -116,7 +116,7 @@
         }
         logs.push(failures);
     }
-    Verdict {
+    RolloutVerdict {
         against: if logs.is_empty() {
             0.0
         } else {
@@ -127,9 +127,9 @@
 }
 
 /// Returns the counts of each route by phase, and of all together.
-fn by_route(sums: &RolloutSums) -> BTreeMap<String, Vec<RouteCounts>> {
+fn by_route(totals: &RolloutTotals) -> BTreeMap<String, Vec<RouteCounts>> {
     let mut routes: BTreeMap<String, Vec<RouteCounts>> = BTreeMap::new();
-    for phase in sums.phases.values() {
+    for phase in totals.phases.values() {
         let mut all = RouteCounts::default();
         for (route, counts) in phase {
             all.add(counts);
@@ -145,9 +145,10 @@
 
 /// Returns the share of bad answers that is expected of a version that is no worse: what was counted of the former
 /// ones in all phases, unless they clearly were worse in this one.
-fn expected_share((bad, all): (u64, u64), (whole_bad, whole): (u64, u64)) -> f64 {
-    let usual = upper_share(whole_bad, whole);
-    let is_worse = all >= LEAST_FORMER && share_bound(bad, all, -DEVIATIONS) > usual;
+fn expected_share((bad, all): (u64, u64), (whole_bad, total): (u64, u64)) -> f64 {
+    let usual = upper_share(whole_bad, total);
+    let is_worse =
+        all >= MIN_FORMER_RESPONSES && share_bound(bad, all, -CONFIDENCE_DEVIATIONS) > usual;
     if is_worse {
         upper_share(bad, all)
     } else {
@@ -155,35 +156,39 @@
     }
 }
 
-fn whole_former(phases: &[RouteCounts]) -> VersionCounts {
-    let mut whole = VersionCounts::default();
-    phases.iter().for_each(|phase| whole.add(&phase.former));
-    whole
+fn former_totals(phases: &[RouteCounts]) -> VersionCounts {
+    let mut total = VersionCounts::default();
+    phases.iter().for_each(|phase| total.add(&phase.former));
+    total
 }
 
-fn failure_wins(phases: &[RouteCounts]) -> f64 {
-    let whole = whole_former(phases);
-    let wins = phases.iter().map(|phase| {
-        let former = (phase.former.failures, phase.former.answers);
-        let expected = expected_share(former, (whole.failures, whole.answers));
-        Wins::of(phase.tested.failures, phase.tested.answers, expected)
+fn failure_gains(phases: &[RouteCounts]) -> f64 {
+    let total = former_totals(phases);
+    let gains = phases.iter().map(|phase| {
+        let former = (phase.former.failures, phase.former.responses);
+        let expected = expected_share(former, (total.failures, total.responses));
+        LogGains::new(phase.tested.failures, phase.tested.responses, expected)
     });
-    mean_win(wins)
+    log_mean_gain(gains)
 }
 
-fn late_wins(phases: &[RouteCounts], part: f64) -> f64 {
-    let whole = whole_former(phases).times;
-    if whole.total() < LEAST_FORMER {
+fn slowness_gains(phases: &[RouteCounts], part: f64) -> f64 {
+    let total = former_totals(phases).times;
+    if total.total() < MIN_FORMER_RESPONSES {
         return 0.0;
     }
-    let span = whole.span_of(part);
-    let wins = phases.iter().map(|phase| {
+    let bucket = total.tail_bucket(part);
+    let gains = phases.iter().map(|phase| {
         let (former, tested) = (&phase.former.times, &phase.tested.times);
-        let of_phase = (former.above(span), former.total());
-        let expected = expected_share(of_phase, (whole.above(span), whole.total()));
-        Wins::of(tested.above(span + TIME_SLACK), tested.total(), expected)
+        let of_phase = (former.count_from(bucket), former.total());
+        let expected = expected_share(of_phase, (total.count_from(bucket), total.total()));
+        LogGains::new(
+            tested.count_from(bucket + BUCKET_SLACK),
+            tested.total(),
+            expected,
+        )
     });
-    mean_win(wins)
+    log_mean_gain(gains)
 }
 
 #[cfg(test)]
--- a/crates/rollout/src/verdict/tests.rs
+++ b/crates/rollout/src/verdict/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn counts(answers: u64, failures: u64, time_ms: f64) -> VersionCounts {
+fn counts(responses: u64, failures: u64, time_ms: f64) -> VersionCounts {
     let mut counts = VersionCounts::default();
-    (0..failures).for_each(|_| counts.note(None));
-    (failures..answers).for_each(|_| counts.note(Some(Some(time_ms))));
+    (0..failures).for_each(|_| counts.record(None));
+    (failures..responses).for_each(|_| counts.record(Some(Some(time_ms))));
     counts
 }
 
-fn sums(routes: &[(&str, VersionCounts, VersionCounts)]) -> RolloutSums {
+fn sums(routes: &[(&str, VersionCounts, VersionCounts)]) -> RolloutTotals {
     let routes = routes.iter().map(|(route, tested, former)| {
         let counts = RouteCounts {
             tested: tested.clone(),
@@ -15,21 +15,21 @@
         };
         ((*route).to_owned(), counts)
     });
-    RolloutSums {
+    RolloutTotals {
         phases: [((1, 1), routes.collect())].into(),
-        ..RolloutSums::default()
+        ..RolloutTotals::default()
     }
 }
 
 #[test]
 fn nothing_counted_says_nothing() {
-    assert_eq!(judge(&RolloutSums::default()).against, 0.0);
+    assert_eq!(evaluate_rollout(&RolloutTotals::default()).against, 0.0);
 }
 
 #[test]
 fn versions_that_answer_alike_are_not_told_apart_however_bad_both_are() {
     for failures in [0, 20, 100, 200] {
-        let verdict = judge(&sums(&[(
+        let verdict = evaluate_rollout(&sums(&[(
             "quote",
             counts(20, failures / 10, 30.0),
             counts(200, failures, 30.0),
@@ -41,7 +41,7 @@
 #[test]
 fn failures_on_one_route_only_are_found_and_named() {
     let good = || counts(500, 0, 30.0);
-    let verdict = judge(&sums(&[
+    let verdict = evaluate_rollout(&sums(&[
         ("audit", good(), good()),
         ("order", counts(12, 6, 30.0), counts(200, 0, 30.0)),
         ("quote", good(), good()),
@@ -52,7 +52,7 @@
 
 #[test]
 fn answers_that_come_in_thrice_the_time_are_found() {
-    let verdict = judge(&sums(&[(
+    let verdict = evaluate_rollout(&sums(&[(
         "quote",
         counts(20, 0, 90.0),
         counts(200, 0, 30.0),
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_little_more_time_is_no_fault() {
-    let verdict = judge(&sums(&[(
+    let verdict = evaluate_rollout(&sums(&[(
         "quote",
         counts(200, 0, 40.0),
         counts(2_000, 0, 30.0),
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -66,7 +66,7 @@
 
 impl Route {
     /// Says whether a request of this route may run more than once.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::NonIdempotent => false,
@@ -90,7 +90,7 @@
     /// The service that runs the stage.
     pub service: String,
     /// Earlier stages whose results it takes.
-    pub after: Vec<usize>,
+    pub depends_on: Vec<usize>,
     /// About how large one result is, in bytes.
     pub result_bytes: u64,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -8,7 +8,7 @@
 mod config;
 mod matching;
 
-pub use check::{ConfigFault, check_config};
+pub use check::{ConfigError, check_config};
 pub use config::{
     Account, CallerLimits, EngineSpec, Route, RouteKind, RoutingConfig, Service, Split, StagePool,
     StageSpec,
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -69,9 +69,9 @@
         ("c.example", "/x/1", None),
         ("", "/x/1", None),
     ];
-    for (host, path, wanted) in cases {
+    for (host, path, expected) in cases {
         let found = table.find_route(host, path).map(|r| r.name.as_str());
-        assert_eq!(found, wanted, "{host} {path}");
+        assert_eq!(found, expected, "{host} {path}");
     }
 }
 
@@ -99,16 +99,16 @@
     bad.split[0].weight = 0;
     bad.stages.push(StageSpec {
         service: "nowhere".into(),
-        after: vec![0],
+        depends_on: vec![0],
         result_bytes: 1,
     });
     let mut config = config(vec![route("good", "A.example", "/x/"), bad]);
     config.accounts.push(account("b", "key-a"));
-    let told: Vec<String> = check_config(&config)
+    let reported: Vec<String> = check_config(&config)
         .iter()
         .map(|f| f.to_string())
         .collect();
-    let wanted = [
+    let expected = [
         "route bad: unknown service nowhere",
         "route bad: the weights add up to 0",
         "route bad: the timeout is 0",
@@ -116,7 +116,7 @@
         "routes good and bad share host and prefix",
         "accounts a and b share a key",
     ];
-    assert_eq!(told, wanted);
+    assert_eq!(reported, expected);
 }
 
 #[test]
