--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -183,8 +183,8 @@
             record,
             elapsed,
             slots: (of(true), of(false)),
-            sums: &sums,
-            rule: state.exposure,
+            totals: &sums,
+            exposure_limit: state.exposure,
         })
     }
 
--- a/crates/rollout/src/count.rs
+++ b/crates/rollout/src/count.rs
@@ -1,30 +1,30 @@
-//! Counts of the answers of both versions. All of them only grow, so that a later report of a host replaces an
+//! Counts of the responses of both versions. All counts only grow, so a later report of a host replaces an
 //! earlier one.
 
 use serde::{Deserialize, Serialize};
 
-/// Times are counted in so many spans, each ending at 1.41 times the end of the one before; the first ends at 1 ms
-/// and the last, at 46 s, holds all that took longer.
+/// Number of histogram buckets. The first ends at 1 ms, each later one at 1.41 times the end of the one before;
+/// the last, whose nominal end is 46 s, also holds everything longer.
 const BUCKET_COUNT: usize = 32;
 
-/// Which of the two versions of a roll-out a target has.
+/// The side of a roll-out that a target's version is on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionSide {
-    /// The one that is rolled out.
+    /// The version that is rolled out.
     Tested,
-    /// Any other.
+    /// Any other version.
     Former,
 }
 
-/// How many answers took how long.
+/// A histogram of response times.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseTimeHistogram {
-    /// By span; spans at the end that hold nothing are left out.
+    /// Counts by bucket; trailing empty buckets are left out.
     buckets: Vec<u32>,
 }
 
 impl ResponseTimeHistogram {
-    /// Counts a time in milliseconds.
+    /// Records a time in milliseconds.
     pub fn record(&mut self, time_ms: f64) {
         let bucket = (time_ms.max(1.0).log2() * 2.0).ceil() as usize;
         let bucket = bucket.min(BUCKET_COUNT - 1);
@@ -34,12 +34,12 @@
         self.buckets[bucket] = self.buckets[bucket].saturating_add(1);
     }
 
-    /// Returns how many were counted.
+    /// Returns the number of recorded times.
     pub fn total(&self) -> u64 {
         self.count_from(0)
     }
 
-    /// Returns how many took longer than the spans before `first`.
+    /// Returns the number of times in bucket `first` and later ones.
     pub fn count_from(&self, first: usize) -> u64 {
         self.buckets
             .iter()
@@ -48,10 +48,10 @@
             .sum()
     }
 
-    /// Returns the first span such that at most a part of the times lie in it or later ones.
-    pub fn tail_bucket(&self, part: f64) -> usize {
-        let most = self.total() as f64 * part;
-        let is_rare = |bucket: &usize| self.count_from(*bucket) as f64 <= most;
+    /// Returns the first bucket such that at most the given fraction of the times lies in it and later ones.
+    pub fn tail_bucket(&self, fraction: f64) -> usize {
+        let limit = self.total() as f64 * fraction;
+        let is_rare = |bucket: &usize| self.count_from(*bucket) as f64 <= limit;
         (0..=BUCKET_COUNT).find(is_rare).unwrap_or(BUCKET_COUNT)
     }
 
@@ -65,19 +65,19 @@
     }
 }
 
-/// Answers of targets of one version.
+/// Responses of targets of one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounts {
     /// Requests that were answered or failed.
     pub responses: u64,
-    /// Of these, the ones that failed.
+    /// Requests among them that failed.
     pub failures: u64,
-    /// How long the others took, in milliseconds, or as a part of what was expected.
+    /// Times of the others, in milliseconds or relative to the expected time.
     pub times: ResponseTimeHistogram,
 }
 
 impl VersionCounts {
-    /// Counts an answer, with its time where that says something; `None` for a failure.
+    /// Records a response, with its time if the time is meaningful; `None` is a failure.
     pub(crate) fn record(&mut self, response: Option<Option<f64>>) {
         self.responses += 1;
         match response {
@@ -94,12 +94,12 @@
     }
 }
 
-/// Answers of both versions on one route.
+/// Responses of both versions on one route.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteCounts {
-    /// Targets of the version that is rolled out.
+    /// Responses of the version that is rolled out.
     pub tested: VersionCounts,
-    /// All others.
+    /// Responses of all other versions.
     pub former: VersionCounts,
 }
 
@@ -117,25 +117,25 @@
     }
 }
 
-/// What one start of an entry host counted.
+/// The counts of one incarnation of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReporterCounts {
-    /// The start of the entry host.
+    /// The incarnation of the entry host.
     pub reporter: String,
-    /// Its counts.
+    /// Its counts, by service and phase.
     pub counted: Vec<PhaseCounts>,
 }
 
-/// What one entry host counted of a service while the share of the tested version was the same. Both versions are
-/// compared within such a phase only: between phases the load differs.
+/// The counts of one entry host for a service during one phase, in which the share of the tested version is
+/// constant. Versions are compared only within a phase, since the load differs between phases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PhaseCounts {
     /// The service.
     pub service: String,
-    /// The roll-out and the phase of it, by the revision and the step of its record.
+    /// The roll-out and its phase: the revision and step of its record.
     pub phase: (u64, u64),
-    /// By route.
+    /// Counts by route.
     pub routes: Vec<(String, RouteCounts)>,
-    /// Requests of this host that are under way at targets of other versions.
+    /// Requests of this host in flight at targets of other versions.
     pub former_in_flight: u32,
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,38 +1,39 @@
-//! The counts of all entry hosts, as one control host knows them.
+//! The counts of all entry hosts, as known to one control host.
 
 use std::collections::BTreeMap;
 
 use crate::{PhaseCounts, ReporterCounts, RolloutRecord, RolloutStore, RouteCounts};
 
-/// Entry hosts, each with its start, whose counts are kept.
+/// Maximum number of entry host incarnations whose counts are kept.
 const MAX_REPORTERS: usize = 4_096;
 
 type Phase = (u64, u64);
 
-/// What one start of an entry host counted.
+/// The counts of one incarnation of an entry host.
 #[derive(Debug, Clone, Default)]
 struct Reporter {
-    /// The number of the last change that came from the host itself; 0 where all came from other control hosts.
-    changed: u64,
+    /// Store revision of the last change received from the host itself; 0 if all counts came from other control
+    /// hosts.
+    changed_at: u64,
     phases: BTreeMap<(String, Phase), PhaseCounts>,
 }
 
-/// Counts by the start of the entry host that made them, so that a host which tells several control hosts, or
-/// comes back, is counted once.
+/// Counts by entry host incarnation, so that a host that reports to several control hosts, or reconnects, is
+/// counted once.
 #[derive(Debug, Default)]
 pub struct EvidenceStore {
-    number: u64,
+    revision: u64,
     reporters: BTreeMap<String, Reporter>,
 }
 
-/// All counts of one roll-out.
+/// The total counts of one roll-out.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RolloutTotals {
-    /// By phase, in their order, and route.
+    /// Counts by phase, in order, and route.
     pub phases: BTreeMap<(u64, u64), BTreeMap<String, RouteCounts>>,
-    /// Requests under way at targets of other versions.
+    /// Requests in flight at targets of other versions.
     pub former_in_flight: u32,
-    /// Entry hosts that counted in an earlier phase and have not reported the newest one.
+    /// Entry hosts that counted in an earlier phase and have not yet reported the newest one.
     pub lagging_hosts: usize,
 }
 
@@ -44,39 +45,40 @@
 }
 
 impl EvidenceStore {
-    /// Takes what a start of an entry host told this control host.
+    /// Records the counts that an entry host incarnation reported to this control host.
     pub fn record_report(&mut self, reporter: &str, reported: &[PhaseCounts]) {
         if !self.merge(reporter, reported) {
             return;
         }
-        self.number += 1;
+        self.revision += 1;
         if let Some(known) = self.reporters.get_mut(reporter) {
-            known.changed = self.number;
+            known.changed_at = self.revision;
         }
     }
 
-    /// Takes what another control host was told. It tells all others itself.
+    /// Merges counts that another control host received. They are not forwarded, since that host sends them to
+    /// all others itself.
     pub fn merge_forwarded(&mut self, reported: &[ReporterCounts]) {
         for one in reported {
             self.merge(&one.reporter, &one.counted);
         }
     }
 
-    /// Returns what changed after a change number by what entry hosts told this control host, and the number of the
-    /// newest change.
-    pub fn changed_after(&self, number: u64) -> (Vec<ReporterCounts>, u64) {
+    /// Returns the counts that entry hosts reported directly to this control host after a revision, and the
+    /// current revision.
+    pub fn changed_after(&self, revision: u64) -> (Vec<ReporterCounts>, u64) {
         let changed = self
             .reporters
             .iter()
-            .filter(|(_, one)| one.changed > number);
+            .filter(|(_, one)| one.changed_at > revision);
         let reported = changed.map(|(name, one)| ReporterCounts {
             reporter: name.clone(),
             counted: one.phases.values().cloned().collect(),
         });
-        (reported.collect(), self.number)
+        (reported.collect(), self.revision)
     }
 
-    /// Takes counts; says whether any of them are news.
+    /// Merges counts and returns whether any of them changed.
     fn merge(&mut self, reporter: &str, reported: &[PhaseCounts]) -> bool {
         if reported.is_empty() {
             return false;
@@ -97,7 +99,7 @@
         changed
     }
 
-    /// Forgets what was counted for other roll-outs than those under way.
+    /// Removes the counts of all roll-outs that are not in progress.
     pub fn retain_in_progress(&mut self, store: &RolloutStore) {
         for reporter in self.reporters.values_mut() {
             reporter.phases.retain(|(service, (revision, _)), _| {
@@ -109,46 +111,47 @@
             .retain(|_, reporter| !reporter.phases.is_empty());
     }
 
-    /// Says whether nothing is known.
+    /// Returns whether the store has no counts.
     pub fn is_empty(&self) -> bool {
         self.reporters.is_empty()
     }
 
-    /// Sums up what was counted for one roll-out.
+    /// Adds up the counts of one roll-out.
     pub fn totals(&self, service: &str, record: &RolloutRecord) -> RolloutTotals {
-        let mut sums = RolloutTotals::default();
+        let mut totals = RolloutTotals::default();
         let newest = (record.revision, record.step);
         for reporter in self.reporters.values() {
-            let own = reporter.phases.values();
-            let own = own.filter(|one| one.service == service && one.phase.0 == record.revision);
+            let phases = reporter.phases.values();
+            let phases =
+                phases.filter(|one| one.service == service && one.phase.0 == record.revision);
             let mut is_lagging = false;
-            for counts in own {
+            for counts in phases {
                 is_lagging = counts.phase != newest;
                 if !is_lagging {
-                    sums.former_in_flight = sums
+                    totals.former_in_flight = totals
                         .former_in_flight
                         .saturating_add(counts.former_in_flight);
                 }
-                let routes = sums.phases.entry(counts.phase).or_default();
+                let routes = totals.phases.entry(counts.phase).or_default();
                 for (route, more) in &counts.routes {
                     routes.entry(route.clone()).or_default().add(more);
                 }
             }
-            sums.lagging_hosts += usize::from(is_lagging);
+            totals.lagging_hosts += usize::from(is_lagging);
         }
-        sums
+        totals
     }
 }
 
-/// Says whether counts come after others of the same host and phase. Where no answer was counted between them only
-/// what is under way may differ.
+/// Returns whether counts are newer than others of the same host and phase. If no response was counted in
+/// between, only the requests in flight may differ.
 fn is_newer(counts: &PhaseCounts, before: &PhaseCounts) -> bool {
     let (now, then) = (responses_of(counts), responses_of(before));
     now > then || (now == then && counts != before)
 }
 
 impl RolloutTotals {
-    /// Returns the answers of all phases, of the tested version and of others.
+    /// Returns the responses over all phases, of the tested version and of others.
     pub fn responses(&self) -> (u64, u64) {
         let routes = self.phases.values().flat_map(BTreeMap::values);
         routes.fold((0, 0), |(tested, former), one| {
@@ -156,7 +159,7 @@
         })
     }
 
-    /// Returns the failures of all phases, of the tested version and of others.
+    /// Returns the failures over all phases, of the tested version and of others.
     pub fn failures(&self) -> (u64, u64) {
         let routes = self.phases.values().flat_map(BTreeMap::values);
         routes.fold((0, 0), |(tested, former), one| {
--- a/crates/rollout/src/evidence/tests.rs
+++ b/crates/rollout/src/evidence/tests.rs
@@ -32,26 +32,26 @@
     }
 }
 
-/// A host tells every control host that it follows, and these tell each other.
+/// A host reports to every control host that it is connected to, and these forward the counts to each other.
 #[test]
-fn a_host_is_counted_once_whoever_tells_its_counts_and_in_whatever_order() {
+fn a_host_is_counted_once_for_any_reporting_path_and_order() {
     let mut store = EvidenceStore::default();
     store.record_report("entry-0/7", &[counts(1, 5, 2)]);
-    let (reported, number) = store.changed_after(0);
+    let (reported, revision) = store.changed_after(0);
     assert_eq!(reported.len(), 1);
     store.merge_forwarded(&reported);
     store.record_report("entry-0/7", &[counts(1, 3, 0)]);
-    assert_eq!(store.changed_after(number), (Vec::new(), number));
+    assert_eq!(store.changed_after(revision), (Vec::new(), revision));
     store.record_report("entry-1/9", &[counts(1, 4, 1)]);
-    assert_eq!(store.changed_after(number).0.len(), 1);
-    let sums = store.totals("desk", &record(1));
-    assert_eq!(sums.responses(), (9, 90));
-    assert_eq!(sums.former_in_flight, 3);
+    assert_eq!(store.changed_after(revision).0.len(), 1);
+    let totals = store.totals("desk", &record(1));
+    assert_eq!(totals.responses(), (9, 90));
+    assert_eq!(totals.former_in_flight, 3);
 }
 
-/// Each control host tells only what entry hosts told it, so that nothing goes round.
+/// Each control host forwards only what entry hosts reported to it, so that counts do not circulate.
 #[test]
-fn what_another_control_host_told_is_not_told_on() {
+fn counts_from_another_control_host_are_not_forwarded() {
     let mut first = EvidenceStore::default();
     first.record_report("entry-0/7", &[counts(1, 5, 2)]);
     let mut second = EvidenceStore::default();
@@ -60,9 +60,9 @@
     assert_eq!(second.totals("desk", &record(1)).responses(), (5, 50));
 }
 
-/// Another start of a host begins at 0; what the first one counted stays.
+/// The counts of a new incarnation begin at 0; those of the earlier one remain.
 #[test]
-fn counts_of_a_host_that_started_anew_are_added() {
+fn counts_of_a_new_incarnation_are_added() {
     let mut store = EvidenceStore::default();
     store.record_report("entry-0/7", &[counts(1, 5, 2)]);
     store.record_report("entry-0/8", &[counts(1, 1, 0)]);
@@ -70,19 +70,19 @@
 }
 
 #[test]
-fn a_host_that_has_not_reported_the_newest_phase_is_behind() {
+fn a_host_that_has_not_reported_the_newest_phase_is_lagging() {
     let mut store = EvidenceStore::default();
     store.record_report("entry-0/7", &[counts(1, 5, 2), counts(2, 1, 1)]);
     store.record_report("entry-1/9", &[counts(1, 4, 4)]);
-    let sums = store.totals("desk", &record(2));
-    assert_eq!((sums.lagging_hosts, sums.former_in_flight), (1, 1));
-    assert_eq!(sums.responses(), (10, 100));
+    let totals = store.totals("desk", &record(2));
+    assert_eq!((totals.lagging_hosts, totals.former_in_flight), (1, 1));
+    assert_eq!(totals.responses(), (10, 100));
     store.retain_in_progress(&RolloutStore::default());
     assert!(store.is_empty());
 }
 
 #[test]
-fn so_many_names_of_hosts_are_kept_and_no_more() {
+fn the_number_of_reporters_is_bounded() {
     let mut store = EvidenceStore::default();
     for name in 0..MAX_REPORTERS + 10 {
         store.record_report(&name.to_string(), &[counts(1, 1, 0)]);
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,14 +1,14 @@
-//! Roll-outs: moving the requests of a service to targets of another version of its software, by steps, and
-//! back where that version is bad.
+//! Roll-outs: shifting the requests of a service step by step to targets of another version of its software,
+//! and back if that version is bad.
 //!
-//! - [`RolloutOrder`] is what an operator asks; [`RolloutStore`] holds what became of each order, as a state
-//!   machine that the replicated log drives.
-//! - [`ResponseTracker`] counts the answers of both versions on an entry host; [`EvidenceStore`] sums the counts of
-//!   all entry hosts up on a control host.
-//! - [`Verdict`] says how strongly the counts speak against the version; [`next_step`] decides by it, by the time
-//!   and by the targets that are up.
+//! - [`RolloutOrder`] is the operator's order; [`RolloutStore`] holds the state of each order, as a state
+//!   machine driven by the replicated log.
+//! - [`ResponseTracker`] counts the responses of both versions on an entry host; [`EvidenceStore`] adds up the
+//!   counts of all entry hosts on a control host.
+//! - [`RolloutVerdict`] rates how strongly the counts speak against the version; [`next_step`] decides by the
+//!   verdict, the elapsed time and the targets that are up.
 //!
-//! Nothing here opens a connection or reads a clock.
+//! This crate opens no connections and reads no clock.
 
 mod count;
 mod evidence;
--- a/crates/rollout/src/line.rs
+++ b/crates/rollout/src/line.rs
@@ -1,10 +1,10 @@
-//! Roll-outs as operators are shown them.
+//! The representation of roll-outs for operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{RolloutRecord, RolloutTotals, evaluate_rollout};
 
-/// Where control hosts show roll-outs to operators.
+/// Path at which control hosts serve roll-outs to operators.
 pub const ROLLOUTS_PATH: &str = "/-/rollout-records";
 
 /// One roll-out.
@@ -12,36 +12,37 @@
 pub struct RolloutLine {
     /// The service.
     pub service: String,
-    /// Its number among those of the service.
+    /// The number of the roll-out within the service, from 1.
     pub revision: u64,
     /// The version that is rolled out.
     pub version: String,
-    /// The versions before it.
+    /// The versions that it replaces.
     pub former: Vec<String>,
     /// `in_progress`, `completed` or `reverted`.
     pub state: String,
-    /// What decided the newest step.
+    /// The reason for the newest step.
     pub cause: String,
-    /// The share of the requests that goes to the version, in thousandths.
+    /// The share of requests that the version receives, in thousandths.
     pub permille: u16,
     /// When it was ordered, in Unix milliseconds.
     pub started_ms: u64,
-    /// Time that it has, in milliseconds.
+    /// The duration that it was given, in milliseconds.
     pub duration_ms: u64,
-    /// Answers of the version, and failures among them. These and the ones below are 0 once it has ended.
+    /// Responses of the version, including failures. This count and the ones below are 0 once the roll-out has
+    /// ended.
     pub answers: u64,
-    /// See above.
+    /// Failures among these.
     pub failures: u64,
-    /// Answers of former versions meanwhile.
+    /// Responses of former versions during the roll-out.
     pub former_answers: u64,
     /// Failures among these.
     pub former_failures: u64,
-    /// How strongly the counts speak against the version: it is given up at 6.91.
+    /// How strongly the counts speak against the version, as a natural logarithm; it is reverted at 6.91.
     pub against: f64,
 }
 
 impl RolloutLine {
-    /// Describes a roll-out, with what was counted for it.
+    /// Describes a roll-out and its counts.
     pub fn new(service: &str, record: &RolloutRecord, totals: &RolloutTotals) -> Self {
         let (answers, former_answers) = totals.responses();
         let (failures, former_failures) = totals.failures();
@@ -59,7 +60,7 @@
             failures,
             former_answers,
             former_failures,
-            against: evaluate_rollout(totals).against,
+            against: evaluate_rollout(totals).log_gain,
         }
     }
 }
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,46 +1,46 @@
-//! What an operator asks: all requests of a service to targets of one version, within a time.
+//! The operator's order: move all requests of a service to targets of one version within a given time.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a version, in bytes.
+/// Maximum length of a version name, in bytes.
 pub const MAX_VERSION_BYTES: usize = 128;
 
-/// The longest time that a roll-out may take, in milliseconds: a day.
+/// Maximum duration of a roll-out, in milliseconds: one day.
 pub const MAX_DURATION_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// An order to roll a version out.
+/// An order to roll out a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
     /// The service whose requests move.
     pub service: String,
     /// The version that they move to.
     pub version: String,
-    /// Time until they have to have moved, in milliseconds.
+    /// Time within which all requests must have moved, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// Why an order makes no sense, whoever gives it.
+/// Why an order is invalid, independent of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Display, derive_more::Error)]
 pub enum OrderError {
-    /// The version has no name.
-    #[display("the version has no name")]
+    /// The version name is empty.
+    #[display("the version name is empty")]
     EmptyVersion,
-    /// The name of the version is over [`MAX_VERSION_BYTES`].
+    /// The version name is longer than [`MAX_VERSION_BYTES`].
     #[display("a version of {_0} bytes; {MAX_VERSION_BYTES} at most")]
     #[error(ignore)]
     VersionTooLong(usize),
-    /// The name has blanks or signs that cannot be printed.
-    #[display("a version has printable signs only, and no blanks")]
+    /// The version name has blanks or non-printable characters.
+    #[display("the version name has blanks or characters that are not printable ASCII")]
     InvalidVersion,
-    /// The time is 0, or over [`MAX_DURATION_MS`].
-    #[display("a duration of {_0} ms; from 1 to {MAX_DURATION_MS}")]
+    /// The duration is 0 or over [`MAX_DURATION_MS`].
+    #[display("duration of {_0} ms is not from 1 to {MAX_DURATION_MS} ms")]
     #[error(ignore)]
     InvalidDuration(u64),
 }
 
 impl RolloutOrder {
-    /// Checks what can be checked without knowing the services.
+    /// Checks everything that does not depend on the configured services.
     ///
     /// # Errors
     ///
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,19 +1,19 @@
-//! When a version gets which share of the requests.
+//! The schedule of the share of requests that a version receives.
 //!
-//! A version may turn bad late, so most of the time passes with a share that harms few. What the rule on exposure
-//! leaves is spent near the end, on shares that show what comes of load. All requests move when a sixth of the time
-//! is left, so that those under way at former targets may end before these stop.
+//! A fault may appear late, so most of the time is spent at a share that harms few requests. The remaining
+//! exposure is used near the end, at shares that reveal faults under load. All requests move when a sixth of
+//! the time is left, so that requests in flight at former targets can finish before these stop.
 
 use std::time::Duration;
 
 use crate::{RolloutCause, RolloutRecord, RolloutTotals, RolloutVerdict, evaluate_rollout};
 
-/// How many requests a version may get before it is known to be good.
+/// Limit on the requests that a version may receive before it is known to be good.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureLimit {
-    /// As a part of all requests of the service until the roll-out has to have ended.
+    /// Share of all requests of the service over the duration of the roll-out.
     pub share: f64,
-    /// Requests beyond that.
+    /// Additional requests beyond that share.
     pub slack: f64,
 }
 
@@ -26,153 +26,155 @@
     }
 }
 
-/// The phases of a roll-out: the part of its time at which each begins, and the share that it gives, as a multiple of
-/// the share that may be exposed in all. Their sum over time is 0.6 of that.
-/// The rest is for what passes until a fault that shows late is found.
+/// The phases of a roll-out: the fraction of its time at which each begins, and its share as a multiple of the
+/// total allowed exposure. The shares integrate to 0.6 of that exposure over time; the rest is a reserve for
+/// the delay until a late fault is detected.
 const PHASES: [(f64, f64); 3] = [(0.0, 0.35), (0.7, 2.0), (0.78, 4.0)];
 
-/// The part of the time at which all requests move.
+/// Fraction of the time at which all requests move.
 const FULL_SHARE_FROM: f64 = 0.83;
 
-/// The part of the time from which a roll-out may complete, and the one at which it does whatever is under way.
+/// Fractions of the time from which a roll-out may complete, and at which it completes regardless of requests
+/// in flight.
 const COMPLETE_FROM: f64 = 0.88;
 const COMPLETE_AT: f64 = 0.95;
 
-/// The part of the time from which the rate of requests is known well enough to count the slack in.
+/// Fraction of the time from which the request rate is known well enough to include the slack.
 const SLACK_FROM: f64 = 0.1;
 
-/// The most by which the slack raises the share that may be exposed, as a factor.
+/// Maximum factor by which the slack raises the allowed exposure.
 const MAX_SLACK_FACTOR: f64 = 3.0;
 
-/// A share is changed by more than this factor, or not at all.
+/// Minimum factor by which a share is raised; smaller increases are skipped.
 const MIN_SHARE_INCREASE: f64 = 1.25;
 
-/// The win of the tests against a version at which it is given up: one good version in 1,000 reaches it.
+/// Logarithm of the mean gain of the tests at which a version is reverted: one good version in 1,000 reaches
+/// it.
 const REVERT_THRESHOLD: f64 = 6.91;
 
-/// The win at which its share is not raised any more.
+/// Logarithm of the mean gain from which the share is not raised further.
 const HOLD_THRESHOLD: f64 = 3.0;
 
-/// Answers of the version that are enough to speak for it.
+/// Minimum number of responses of the version that count as evidence for it.
 const MIN_RESPONSES: u64 = 30;
 
-/// The least part of the former targets' slots that the version has to have before it gets all requests.
+/// Minimum ratio of the version's slots to those of former targets before it receives all requests.
 const MIN_SLOT_RATIO: f64 = 0.5;
 
 /// All requests, in thousandths.
 const FULL_PERMILLE: u16 = 1_000;
 
-/// What a step is decided by.
+/// The inputs to the decision on the next step.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutProgress<'a> {
     /// The roll-out.
     pub record: &'a RolloutRecord,
-    /// Time since its order.
+    /// Time since the order.
     pub elapsed: Duration,
-    /// Slots of targets that are up, of the version and of others.
+    /// Slots of available targets, of the version and of others.
     pub slots: (u32, u32),
-    /// What was counted.
-    pub sums: &'a RolloutTotals,
-    /// What may be exposed.
-    pub rule: ExposureLimit,
+    /// The total counts.
+    pub totals: &'a RolloutTotals,
+    /// The limit on exposed requests.
+    pub exposure_limit: ExposureLimit,
 }
 
-/// What is to be done.
+/// The next step of a roll-out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutStep {
-    /// Nothing now.
+    /// Change nothing for now.
     NoChange,
     /// Give the version this share, in thousandths.
     SetShare(u16, RolloutCause),
     /// End the roll-out with all requests at the version.
     Complete(RolloutCause),
-    /// End it with none.
+    /// End the roll-out with no requests at the version.
     Revert(RolloutCause),
 }
 
-/// Decides the next step of a roll-out that is under way.
-pub fn next_step(facts: &RolloutProgress<'_>) -> RolloutStep {
-    let verdict = evaluate_rollout(facts.sums);
-    if verdict.against >= REVERT_THRESHOLD {
+/// Decides the next step of a roll-out in progress.
+pub fn next_step(progress: &RolloutProgress<'_>) -> RolloutStep {
+    let verdict = evaluate_rollout(progress.totals);
+    if verdict.log_gain >= REVERT_THRESHOLD {
         return RolloutStep::Revert(verdict.cause);
     }
-    let time = facts.elapsed.as_millis() as f64 / facts.record.duration_ms.max(1) as f64;
-    let is_doubtful = verdict.against >= HOLD_THRESHOLD;
+    let time = progress.elapsed.as_millis() as f64 / progress.record.duration_ms.max(1) as f64;
+    let is_doubtful = verdict.log_gain >= HOLD_THRESHOLD;
     if time >= COMPLETE_AT {
-        return final_step(facts, &verdict, is_doubtful);
+        return final_step(progress, &verdict, is_doubtful);
     }
-    let (tested, _) = facts.slots;
+    let (tested, _) = progress.slots;
     if tested == 0 {
         return RolloutStep::NoChange;
     }
-    if facts.record.permille == FULL_PERMILLE {
-        let ends = time >= COMPLETE_FROM
-            && facts.sums.former_in_flight == 0
-            && facts.sums.lagging_hosts == 0;
-        return match ends && !is_doubtful {
-            true => RolloutStep::Complete(favorable_cause(facts.sums)),
+    if progress.record.permille == FULL_PERMILLE {
+        let may_complete = time >= COMPLETE_FROM
+            && progress.totals.former_in_flight == 0
+            && progress.totals.lagging_hosts == 0;
+        return match may_complete && !is_doubtful {
+            true => RolloutStep::Complete(favorable_cause(progress.totals)),
             false => RolloutStep::NoChange,
         };
     }
-    let planned = target_permille(facts, time);
-    let raises = f64::from(planned) > f64::from(facts.record.permille) * MIN_SHARE_INCREASE;
+    let planned = target_permille(progress, time);
+    let raises = f64::from(planned) > f64::from(progress.record.permille) * MIN_SHARE_INCREASE;
     if is_doubtful || !(raises || planned == FULL_PERMILLE) {
         return RolloutStep::NoChange;
     }
-    RolloutStep::SetShare(planned, favorable_cause(facts.sums))
+    RolloutStep::SetShare(planned, favorable_cause(progress.totals))
 }
 
-/// Ends a roll-out at the end of its time.
+/// Ends a roll-out whose time is nearly used up.
 fn final_step(
-    facts: &RolloutProgress<'_>,
+    progress: &RolloutProgress<'_>,
     verdict: &RolloutVerdict,
     is_doubtful: bool,
 ) -> RolloutStep {
     if is_doubtful {
         return RolloutStep::Revert(verdict.cause.clone());
     }
-    match has_enough_slots(facts) && facts.record.permille == FULL_PERMILLE {
-        true => RolloutStep::Complete(favorable_cause(facts.sums)),
+    match has_enough_slots(progress) && progress.record.permille == FULL_PERMILLE {
+        true => RolloutStep::Complete(favorable_cause(progress.totals)),
         false => RolloutStep::Revert(RolloutCause::NoTargets),
     }
 }
 
-/// Says whether so many targets of the version are up that it can take all requests.
-fn has_enough_slots(facts: &RolloutProgress<'_>) -> bool {
-    let (tested, former) = facts.slots;
+/// Returns whether enough targets of the version are up to serve all requests.
+fn has_enough_slots(progress: &RolloutProgress<'_>) -> bool {
+    let (tested, former) = progress.slots;
     tested > 0 && f64::from(tested) >= f64::from(former) * MIN_SLOT_RATIO
 }
 
-fn target_permille(facts: &RolloutProgress<'_>, time: f64) -> u16 {
-    let has_enough_slots = has_enough_slots(facts);
+fn target_permille(progress: &RolloutProgress<'_>, time: f64) -> u16 {
+    let has_enough_slots = has_enough_slots(progress);
     if time >= FULL_SHARE_FROM && has_enough_slots {
         return FULL_PERMILLE;
     }
-    let exposed = allowed_exposure(facts, time);
-    let begun = PHASES.iter().rev().find(|(from, _)| time >= *from);
-    let (_, multiple) = begun.filter(|_| has_enough_slots).unwrap_or(&PHASES[0]);
-    let permille = exposed * multiple * f64::from(FULL_PERMILLE);
-    // At least something, and all only in its own time.
+    let exposure = allowed_exposure(progress, time);
+    let phase = PHASES.iter().rev().find(|(from, _)| time >= *from);
+    let (_, multiple) = phase.filter(|_| has_enough_slots).unwrap_or(&PHASES[0]);
+    let permille = exposure * multiple * f64::from(FULL_PERMILLE);
+    // The version always gets some requests, and all of them only in the final phase.
     (permille.round() as u16).clamp(1, FULL_PERMILLE - 1)
 }
 
-/// Returns the part of the requests that may be exposed in all: with few requests the slack is much of it.
-fn allowed_exposure(facts: &RolloutProgress<'_>, time: f64) -> f64 {
-    let rule = facts.rule;
+/// Returns the allowed exposure as a share of all requests. With few requests, the slack dominates it.
+fn allowed_exposure(progress: &RolloutProgress<'_>, time: f64) -> f64 {
+    let limit = progress.exposure_limit;
     if time < SLACK_FROM {
-        return rule.share;
+        return limit.share;
     }
-    let (tested, former) = facts.sums.responses();
+    let (tested, former) = progress.totals.responses();
     let expected = (tested + former) as f64 / time;
     if expected < 1.0 {
-        return rule.share;
+        return limit.share;
     }
-    (rule.share + rule.slack / expected).min(rule.share * MAX_SLACK_FACTOR)
+    (limit.share + limit.slack / expected).min(limit.share * MAX_SLACK_FACTOR)
 }
 
-/// Says what a step in favour of the version rests on.
-fn favorable_cause(sums: &RolloutTotals) -> RolloutCause {
-    match sums.responses().0 >= MIN_RESPONSES {
+/// Returns the cause of a step in favour of the version.
+fn favorable_cause(totals: &RolloutTotals) -> RolloutCause {
+    match totals.responses().0 >= MIN_RESPONSES {
         true => RolloutCause::Evidence,
         false => RolloutCause::Time,
     }
--- a/crates/rollout/src/plan/tests.rs
+++ b/crates/rollout/src/plan/tests.rs
@@ -1,4 +1,5 @@
-//! Whole roll-outs without a network: requests of several routes, versions with faults, and what becomes of them.
+//! Simulates complete roll-outs without a network: requests on several routes, versions with faults, and the
+//! outcomes.
 
 use fastrand::Rng;
 
@@ -8,39 +9,39 @@
 };
 
 const ROUTES: [&str; 3] = ["quote", "order", "audit"];
-const RULE: ExposureLimit = ExposureLimit {
+const EXPOSURE_LIMIT: ExposureLimit = ExposureLimit {
     share: 0.1,
     slack: 50.0,
 };
-const TICK_MS: u64 = 100;
+const STEP_MS: u64 = 100;
 
-/// What the tested version does wrong.
+/// The fault of the tested version.
 #[derive(Debug, Clone, Copy)]
-struct BadVersion {
+struct VersionFault {
     errors: f64,
-    slower: f64,
-    /// From which part of the time on.
+    slowdown: f64,
+    /// Fraction of the time from which the fault is present.
     from: f64,
-    /// On the first route only.
+    /// Whether only the first route is affected.
     one_route: bool,
-    /// While it gets at least this share, in thousandths.
+    /// Minimum share of requests at which the fault shows, in thousandths.
     load: u16,
 }
 
-const GOOD: BadVersion = BadVersion {
+const GOOD: VersionFault = VersionFault {
     errors: 0.0,
-    slower: 1.0,
+    slowdown: 1.0,
     from: 0.0,
     one_route: false,
     load: 0,
 };
 
-/// The requests of a service.
+/// The load of a service.
 #[derive(Debug, Clone, Copy)]
 struct Service {
     per_s: f64,
     duration_ms: u64,
-    /// Error share of every version.
+    /// Failure share of every version.
     errors: f64,
 }
 
@@ -54,18 +55,18 @@
 struct Outcome {
     state: RolloutState,
     cause: RolloutCause,
-    /// When it ended, as a part of its time.
+    /// End of the roll-out, as a fraction of its time.
     time: f64,
     tested: u64,
-    /// Answers of the tested version that its fault spoiled.
+    /// Responses of the tested version that were affected by its fault.
     spoiled: u64,
     requests: u64,
 }
 
-/// Decides when a version is given up, in place of the verdict; nothing for the verdict.
-type OtherWay = Option<fn(&RolloutTotals) -> bool>;
+/// A rule that decides when a version is reverted; `None` stands for the verdict.
+type Rule = Option<fn(&RolloutTotals) -> bool>;
 
-fn play(service: Service, bad: BadVersion, seed: u64, other: OtherWay) -> Outcome {
+fn simulate(service: Service, bad: VersionFault, seed: u64, rule: Rule) -> Outcome {
     let mut rng = Rng::with_seed(seed);
     let (mut store, mut tracker) = (RolloutStore::default(), ResponseTracker::default());
     store.apply(&RolloutCommand::Start {
@@ -93,7 +94,7 @@
                 requests,
             };
         }
-        due += service.per_s * TICK_MS as f64 / 1_000.0;
+        due += service.per_s * STEP_MS as f64 / 1_000.0;
         while due >= 1.0 {
             due -= 1.0;
             requests += 1;
@@ -103,52 +104,52 @@
                 && time >= bad.from
                 && record.permille >= bad.load
                 && (!bad.one_route || route == ROUTES[0]);
-            let (errors, slower) = if faulty {
-                (bad.errors, bad.slower)
+            let (errors, slowdown) = if faulty {
+                (bad.errors, bad.slowdown)
             } else {
                 (0.0, 1.0)
             };
-            let breaks = rng.f64() < errors;
-            let fails = breaks || rng.f64() < service.errors;
-            // Most take from 20 to 60 ms, a tenth up to three times as long.
+            let fails_by_fault = rng.f64() < errors;
+            let fails = fails_by_fault || rng.f64() < service.errors;
+            // Most take 20 to 60 ms; a tenth takes up to three times as long.
             let tail = if rng.u8(0..10) == 0 { 3.0 } else { 1.0 };
-            let time_ms = (20.0 + 40.0 * rng.f64()) * tail * slower;
+            let time_ms = (20.0 + 40.0 * rng.f64()) * tail * slowdown;
             tested += u64::from(to_tested);
-            spoiled += u64::from(breaks || (faulty && slower > 1.0));
+            spoiled += u64::from(fails_by_fault || (faulty && slowdown > 1.0));
             let version = if to_tested { "v2" } else { "v1" };
             let response = (!fails).then_some(Some(time_ms));
             tracker.record_response(&store, "desk", (route, version), response);
         }
-        elapsed_ms += TICK_MS;
+        elapsed_ms += STEP_MS;
         let mut evidence = EvidenceStore::default();
         evidence.record_report("entry-0", &tracker.counts(&store, |_, _| 0));
-        let sums = evidence.totals("desk", &record);
-        let facts = RolloutProgress {
+        let totals = evidence.totals("desk", &record);
+        let progress = RolloutProgress {
             record: &record,
             elapsed: Duration::from_millis(elapsed_ms),
             slots: (18, 18),
-            sums: &sums,
-            rule: RULE,
+            totals: &totals,
+            exposure_limit: EXPOSURE_LIMIT,
         };
-        let step = match other {
-            Some(is_bad) if is_bad(&sums) => RolloutStep::Revert(RolloutCause::Evidence),
-            _ => next_step(&facts),
+        let step = match rule {
+            Some(is_bad) if is_bad(&totals) => RolloutStep::Revert(RolloutCause::Evidence),
+            _ => next_step(&progress),
         };
-        let step = match (other, step) {
-            // The other way decides alone.
-            (Some(is_bad), RolloutStep::Revert(_)) if !is_bad(&sums) => match time {
+        let step = match (rule, step) {
+            // The other rule alone decides on a revert.
+            (Some(is_bad), RolloutStep::Revert(_)) if !is_bad(&totals) => match time {
                 0.95.. => RolloutStep::Complete(RolloutCause::Time),
                 _ => RolloutStep::NoChange,
             },
             (_, step) => step,
         };
-        take_step(&mut store, &record, step);
+        apply_step(&mut store, &record, step);
         tracker.retain_in_progress(&store);
         assert!(elapsed_ms <= service.duration_ms, "never ended");
     }
 }
 
-fn take_step(store: &mut RolloutStore, record: &RolloutRecord, step: RolloutStep) {
+fn apply_step(store: &mut RolloutStore, record: &RolloutRecord, step: RolloutStep) {
     let service = "desk".to_owned();
     let revision = record.revision;
     let end = |completed, cause| RolloutCommand::Finish {
@@ -171,17 +172,17 @@
     store.apply(&command);
 }
 
-/// The way that was weighed against the verdict: the lower bound of the tested version's share of failures lies above
-/// the upper bound of the others', after thirty answers.
-fn bounds_differ(sums: &RolloutTotals) -> bool {
+/// The alternative to the verdict that was considered: the lower bound of the tested version's failure share is
+/// above the upper bound of the others', after at least thirty responses.
+fn bounds_are_disjoint(totals: &RolloutTotals) -> bool {
     let bound = |bad: u64, all: u64, sign: f64| {
         let (n, z) = (all as f64, 3.0);
         let share = bad as f64 / n;
-        let middle = share + z * z / (2.0 * n);
+        let center = share + z * z / (2.0 * n);
         let spread = z * (share * (1.0 - share) / n + z * z / (4.0 * n * n)).sqrt();
-        (middle + sign * spread) / (1.0 + z * z / n)
+        (center + sign * spread) / (1.0 + z * z / n)
     };
-    let ((tested, former), (tested_bad, former_bad)) = (sums.responses(), sums.failures());
+    let ((tested, former), (tested_bad, former_bad)) = (totals.responses(), totals.failures());
     tested >= 30 && former >= 30 && bound(tested_bad, tested, -1.0) > bound(former_bad, former, 1.0)
 }
 
@@ -189,9 +190,9 @@
     (0..seeds).filter(|seed| holds(*seed)).count() as f64 / seeds as f64
 }
 
-/// One in a thousand is allowed; the times of one service are those of no other.
+/// One false revert in a thousand is allowed, and response times of a service are compared only with its own.
 #[test]
-fn a_good_version_has_all_requests_in_time_whatever_its_service_is_like() {
+fn a_good_version_receives_all_requests_in_time_for_every_load() {
     for (per_s, errors) in [(113.0, 0.005), (260.0, 0.0), (40.0, 0.05), (400.0, 0.14)] {
         let service = Service {
             per_s,
@@ -199,7 +200,7 @@
             ..DESK
         };
         let reverted = share_of(500, |seed| {
-            let outcome = play(service, GOOD, seed, None);
+            let outcome = simulate(service, GOOD, seed, None);
             assert!(outcome.time <= 0.96, "{outcome:?}");
             outcome.state == RolloutState::Reverted
         });
@@ -208,18 +209,18 @@
 }
 
 #[test]
-fn a_version_with_many_errors_is_given_up_before_it_is_exposed_to_more_than_is_allowed() {
+fn a_version_with_many_errors_is_reverted_within_its_allowed_exposure() {
     for errors in [0.2, 0.5, 1.0] {
         for from in [0.0, 0.4, 0.6] {
-            let bad = BadVersion {
+            let bad = VersionFault {
                 errors,
                 from,
                 ..GOOD
             };
             for seed in 0..50 {
-                let outcome = play(DESK, bad, seed, None);
+                let outcome = simulate(DESK, bad, seed, None);
                 assert_eq!(outcome.state, RolloutState::Reverted, "{bad:?} {outcome:?}");
-                let allowed = RULE.share * DESK.per_s * 12.0 + RULE.slack;
+                let allowed = EXPOSURE_LIMIT.share * DESK.per_s * 12.0 + EXPOSURE_LIMIT.slack;
                 assert!(outcome.tested as f64 <= allowed, "{bad:?} {outcome:?}");
                 assert!(outcome.spoiled <= 50, "{bad:?} {outcome:?}");
             }
@@ -228,52 +229,52 @@
 }
 
 #[test]
-fn a_version_that_is_bad_on_one_route_or_slow_or_under_load_only_is_given_up() {
-    let one_route = BadVersion {
+fn a_version_that_is_bad_on_one_route_or_slow_or_bad_under_load_is_reverted() {
+    let one_route = VersionFault {
         errors: 0.5,
         one_route: true,
         ..GOOD
     };
-    let slow = BadVersion {
-        slower: 3.0,
+    let slow = VersionFault {
+        slowdown: 3.0,
         ..GOOD
     };
-    let slow_route = BadVersion {
-        slower: 5.0,
+    let slow_route = VersionFault {
+        slowdown: 5.0,
         one_route: true,
         ..GOOD
     };
-    let loaded = BadVersion {
+    let loaded = VersionFault {
         errors: 0.5,
         load: 200,
         ..GOOD
     };
     for bad in [one_route, slow, slow_route, loaded] {
         for seed in 0..50 {
-            let outcome = play(DESK, bad, seed, None);
+            let outcome = simulate(DESK, bad, seed, None);
             assert_eq!(outcome.state, RolloutState::Reverted, "{bad:?} {outcome:?}");
-            let allowed = RULE.share * DESK.per_s * 12.0 + RULE.slack;
+            let allowed = EXPOSURE_LIMIT.share * DESK.per_s * 12.0 + EXPOSURE_LIMIT.slack;
             assert!(outcome.tested as f64 <= allowed, "{bad:?} {outcome:?}");
         }
     }
 }
 
-/// Too few requests to tell: it goes on by time, and says so.
+/// With too few requests for evidence, the roll-out proceeds by time and records that as the cause.
 #[test]
-fn with_a_few_requests_the_time_decides() {
+fn a_rollout_with_few_requests_is_decided_by_time() {
     let service = Service {
         per_s: 1.0,
         errors: 0.0,
         ..DESK
     };
-    let outcome = play(service, GOOD, 1, None);
+    let outcome = simulate(service, GOOD, 1, None);
     assert_eq!(outcome.state, RolloutState::Completed);
     assert_eq!(outcome.cause, RolloutCause::Time);
 }
 
-fn facts<'a>(
+fn progress<'a>(
     record: &'a RolloutRecord,
-    sums: &'a RolloutTotals,
+    totals: &'a RolloutTotals,
     time: f64,
     slots: (u32, u32),
 ) -> RolloutProgress<'a> {
@@ -281,8 +282,8 @@
         record,
         elapsed: Duration::from_millis((record.duration_ms as f64 * time) as u64),
         slots,
-        sums,
-        rule: RULE,
+        totals,
+        exposure_limit: EXPOSURE_LIMIT,
     }
 }
 
@@ -300,12 +301,13 @@
     }
 }
 
-/// Its predecessors stop once it is completed, so it has to have targets by then.
+/// Targets of former versions stop once the roll-out completes, so the version must have enough targets by
+/// then.
 #[test]
-fn a_version_with_too_few_targets_gets_no_more_than_a_little_and_is_given_up_at_the_end() {
-    let sums = RolloutTotals::default();
+fn a_version_with_too_few_targets_gets_a_small_share_and_is_reverted_at_the_end() {
+    let totals = RolloutTotals::default();
     let (none, first) = (record(0), record(35));
-    let step = |record, time, slots| next_step(&facts(record, &sums, time, slots));
+    let step = |record, time, slots| next_step(&progress(record, &totals, time, slots));
     assert_eq!(step(&none, 0.5, (0, 18)), RolloutStep::NoChange);
     let little = RolloutStep::SetShare(35, RolloutCause::Time);
     assert_eq!(step(&none, 0.9, (2, 18)), little);
@@ -313,22 +315,22 @@
     let gone = RolloutStep::Revert(RolloutCause::NoTargets);
     assert_eq!(step(&first, 0.96, (2, 18)), gone);
     assert_eq!(step(&none, 0.96, (0, 18)), gone);
-    // No other target is left: there is nothing to go back to.
+    // No former target is left, so there is nothing to revert to.
     let all = RolloutStep::SetShare(1_000, RolloutCause::Time);
     assert_eq!(step(&first, 0.9, (2, 0)), all);
 }
 
-/// Former targets stop at once when it is completed, also with requests of theirs under way.
+/// Former targets stop as soon as the roll-out completes, even with requests in flight.
 #[test]
-fn it_completes_once_nothing_is_under_way_at_former_targets_and_in_time_whatever_is() {
+fn a_rollout_completes_once_former_targets_are_idle_and_always_in_time() {
     let all = record(1_000);
     let step = |former_in_flight, lagging_hosts, time| {
-        let sums = RolloutTotals {
+        let totals = RolloutTotals {
             former_in_flight,
             lagging_hosts,
             ..RolloutTotals::default()
         };
-        next_step(&facts(&all, &sums, time, (18, 18)))
+        next_step(&progress(&all, &totals, time, (18, 18)))
     };
     let complete = RolloutStep::Complete(RolloutCause::Time);
     assert_eq!(step(0, 0, 0.85), RolloutStep::NoChange);
@@ -338,21 +340,21 @@
     assert_eq!(step(3, 1, 0.96), complete);
 }
 
-/// Prints the table of docs/design/ROLLOUTS.md:
-/// `cargo test --release -p linnet-rollout -- --ignored --nocapture two_ways`.
+/// Prints the table of docs/design/ROLLOUTS.md: `cargo test --release -p linnet-rollout -- --ignored
+/// --nocapture compare_decision_rules`.
 #[test]
 #[ignore = "prints a table"]
-fn two_ways_to_decide_by_fault() {
-    let ways: [(&str, OtherWay); 2] = [("bets", None), ("bounds", Some(bounds_differ))];
+fn compare_decision_rules_by_fault() {
+    let rules: [(&str, Rule); 2] = [("bets", None), ("bounds", Some(bounds_are_disjoint))];
     let seeds = 300;
     for per_s in [40.0, 113.0, 260.0] {
         let service = Service { per_s, ..DESK };
-        for (way, other) in ways {
+        for (rule_name, rule) in rules {
             let reverted = share_of(10 * seeds, |seed| {
-                play(service, GOOD, seed, other).state == RolloutState::Reverted
+                simulate(service, GOOD, seed, rule).state == RolloutState::Reverted
             });
-            println!("{per_s}/s {way}: good reverted {reverted:.4}");
-            for (errors, slower) in [
+            println!("{per_s}/s {rule_name}: good reverted {reverted:.4}");
+            for (errors, slowdown) in [
                 (0.05, 1.0),
                 (0.1, 1.0),
                 (0.2, 1.0),
@@ -362,13 +364,13 @@
                 (0.0, 5.0),
                 (0.0, 10.0),
             ] {
-                let bad = BadVersion {
+                let bad = VersionFault {
                     errors,
-                    slower,
+                    slowdown,
                     ..GOOD
                 };
                 let outcomes: Vec<Outcome> = (0..seeds)
-                    .map(|seed| play(service, bad, seed, other))
+                    .map(|seed| simulate(service, bad, seed, rule))
                     .collect();
                 let found = outcomes
                     .iter()
@@ -376,13 +378,13 @@
                 let found: Vec<&Outcome> = found.collect();
                 let mut spoiled: Vec<u64> = found.iter().map(|one| one.spoiled).collect();
                 spoiled.sort();
-                let middle = spoiled.get(spoiled.len() / 2).copied().unwrap_or(0);
+                let median = spoiled.get(spoiled.len() / 2).copied().unwrap_or(0);
                 let most = outcomes
                     .iter()
                     .map(|one| one.tested as f64 / one.requests as f64);
                 let most = most.fold(0.0, f64::max);
                 println!(
-                    "{per_s}/s {way}: errors {errors} slower {slower}: found {:.3}, bad answers until then {middle} (p50) {} (most), exposed {most:.3} at most",
+                    "{per_s}/s {rule_name}: errors {errors} slower {slowdown}: found {:.3}, bad responses until then {median} (p50) {} (most), exposed {most:.3} at most",
                     found.len() as f64 / seeds as f64,
                     spoiled.last().copied().unwrap_or(0)
                 );
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,90 +1,90 @@
-//! One roll-out as the replicated log holds it.
+//! The record of a roll-out in the replicated log.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// How far a roll-out is.
+/// The state of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// Both versions get requests, or are about to.
+    /// Both versions receive requests, or are about to.
     #[display("in_progress")]
     InProgress,
-    /// All requests go to the version; its predecessors may stop.
+    /// All requests go to the version; targets of former versions may stop.
     #[display("completed")]
     Completed,
-    /// No request goes to the version; its targets may stop.
+    /// No requests go to the version; its targets may stop.
     #[display("reverted")]
     Reverted,
 }
 
-/// What decided the newest step of a roll-out.
+/// The reason for the newest step of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum RolloutCause {
-    /// The order.
+    /// The operator's order.
     #[display("ordered")]
     Ordered,
-    /// As many answers as are needed to tell spoke for the version.
+    /// Enough responses were counted, and they speak for the version.
     #[display("evidence")]
     Evidence,
-    /// The time: too few answers came to tell.
+    /// The elapsed time; there were too few responses to judge by.
     #[display("time")]
     Time,
-    /// Answers of the version fail more often than others.
+    /// Responses of the version fail more often than those of others on this route.
     #[display("failures route={_0}")]
     Failures(String),
-    /// They come later than others.
+    /// Responses of the version are slower than those of others on this route.
     #[display("slowness route={_0}")]
     Slowness(String),
     /// Too few targets of the version were up in time.
     #[display("too few targets")]
     NoTargets,
-    /// An operator ended it.
+    /// An operator ended the roll-out.
     #[display("an operator")]
     Operator,
 }
 
-/// What a roll-out means for targets of one version.
+/// How a roll-out treats targets of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionStatus {
-    /// They get requests as if there were no roll-out.
+    /// They receive requests as if there were no roll-out.
     Unrestricted,
-    /// They get the share of the version that is rolled out.
+    /// They receive the share of the version that is rolled out.
     UnderTest,
-    /// They get nothing.
+    /// They receive no requests.
     Excluded,
 }
 
 /// One roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// Rises with each roll-out of the service, from 1.
+    /// Counter of the service's roll-outs, from 1.
     pub revision: u64,
-    /// Rises with each change of this record.
+    /// Counter of the changes of this record.
     pub step: u64,
     /// The version that is rolled out.
     pub version: String,
-    /// The versions that targets of the service had when the order came, without that one.
+    /// The versions of the service's targets when the order was received, without the ordered one.
     pub former: Vec<String>,
-    /// When the order came, in Unix milliseconds of the control host that took it.
+    /// When the order was received, in Unix milliseconds by the clock of the control host that accepted it.
     pub started_ms: u64,
-    /// Time until the requests have to have moved, in milliseconds.
+    /// Time within which all requests must have moved, in milliseconds.
     pub duration_ms: u64,
-    /// The share of the requests that goes to the version, in thousandths.
+    /// The share of requests that the version receives, in thousandths.
     pub permille: u16,
-    /// How far it is.
+    /// The state of the roll-out.
     pub state: RolloutState,
-    /// What decided the newest step.
+    /// The reason for the newest step.
     pub cause: RolloutCause,
 }
 
 impl RolloutRecord {
-    /// Says whether both versions may get requests.
+    /// Returns whether both versions may receive requests.
     pub fn is_in_progress(&self) -> bool {
         self.state == RolloutState::InProgress
     }
 
-    /// Says what holds of targets of a version. Those that say no version, and those of a third one, count as
-    /// the former ones while the roll-out lasts; a version that comes later is not touched by it.
+    /// Returns how targets of a version are treated. Targets without a version, or with a third one, count as
+    /// former ones while the roll-out is in progress; a version that appears later is not affected by it.
     pub fn version_status(&self, version: &str) -> VersionStatus {
         let is_tested = version == self.version;
         match self.state {
--- a/crates/rollout/src/response_tracker.rs
+++ b/crates/rollout/src/response_tracker.rs
@@ -1,25 +1,26 @@
-//! The counts of one entry host.
+//! The response counts of one entry host.
 
 use std::collections::BTreeMap;
 
 use crate::{PhaseCounts, RolloutStore, RouteCounts, VersionSide, VersionStatus};
 
-/// Routes that are counted apart for one service; the answers of others are counted together.
+/// Maximum number of routes counted separately for one service; responses of further routes are counted
+/// together.
 const MAX_ROUTES: usize = 64;
 
-/// The name under which routes beyond those are counted.
+/// The name under which further routes are counted.
 const OTHER_ROUTES: &str = "other";
 
 type Phase = (u64, u64);
 
-/// Counts the answers of both versions while roll-outs are under way.
+/// Counts the responses of both versions during roll-outs.
 #[derive(Debug, Default)]
 pub struct ResponseTracker {
     phases: BTreeMap<(String, Phase), BTreeMap<String, RouteCounts>>,
 }
 
 impl ResponseTracker {
-    /// Takes what is known of roll-outs; what was counted for others than those under way is forgotten.
+    /// Removes the counts of all roll-outs that are not in progress.
     pub fn retain_in_progress(&mut self, store: &RolloutStore) {
         self.phases.retain(|(service, (revision, _)), _| {
             let newest = store.newest(service);
@@ -27,8 +28,8 @@
         });
     }
 
-    /// Counts an answer of a target, with its time in milliseconds where that says something of the target; `None`
-    /// for a failure. Nothing is counted where no roll-out of the service is under way.
+    /// Records a response of a target, with its time in milliseconds if it is meaningful for the target; `None`
+    /// is a failure. Nothing is recorded if no roll-out of the service is in progress.
     pub fn record_response(
         &mut self,
         store: &RolloutStore,
@@ -51,8 +52,8 @@
         counts.side_mut(side).record(response);
     }
 
-    /// Returns what was counted. `open_former` says how many requests are under way at targets of other versions
-    /// than the one under test of a service.
+    /// Returns the counts. `former_in_flight` returns the number of requests in flight at targets of a service
+    /// whose version is not the tested one.
     pub fn counts(
         &self,
         store: &RolloutStore,
--- a/crates/rollout/src/response_tracker/tests.rs
+++ b/crates/rollout/src/response_tracker/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn answers_are_counted_by_side_and_route_and_only_while_a_roll_out_lasts() {
+fn responses_are_counted_by_side_and_route_and_only_during_a_rollout() {
     let mut tracker = ResponseTracker::default();
     tracker.record_response(&RolloutStore::default(), "desk", ("quote", "v1"), None);
     let store = store();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn routes_beyond_a_bound_are_counted_together() {
+fn routes_beyond_the_maximum_are_counted_together() {
     let (mut tracker, store) = (ResponseTracker::default(), store());
     for route in 0..1_000 {
         tracker.record_response(&store, "desk", (&route.to_string(), "v1"), Some(None));
--- a/crates/rollout/src/store.rs
+++ b/crates/rollout/src/store.rs
@@ -6,70 +6,71 @@
 
 use crate::{RolloutCause, RolloutOrder, RolloutRecord, RolloutState, VersionStatus};
 
-/// Roll-outs of one service that are remembered.
+/// Roll-out records that are retained for each service.
 const MAX_RECORDS_PER_SERVICE: usize = 8;
 
-/// How long after its time an order counts as a repeat of the one that has ended, in milliseconds: its
-/// acknowledgement may have been lost.
+/// Time after the planned end of a roll-out during which the same order counts as a repeat of it: the
+/// acknowledgement of the first order may have been lost.
 const REPEAT_WINDOW_MS: u64 = 10_000;
 
-/// The share that goes to a version once all requests do, in thousandths.
+/// The share of a version that receives all requests, in thousandths.
 const FULL_PERMILLE: u16 = 1_000;
 
-/// A change of the book.
+/// A command for the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutCommand {
-    /// Change nothing, and answer what is held.
+    /// Change nothing and return the newest roll-out.
     Query {
         /// The service.
         service: String,
     },
-    /// Begin a roll-out.
+    /// Start a roll-out.
     Start {
-        /// What the operator asked.
+        /// The operator's order.
         order: RolloutOrder,
-        /// The versions that targets of the service have, without the one that is asked.
+        /// The versions of the service's current targets, without the ordered one.
         former: Vec<String>,
-        /// When the order came, in Unix milliseconds.
+        /// When the order was received, in Unix milliseconds.
         now_ms: u64,
     },
-    /// Send another share of the requests to the version.
+    /// Change the share of requests that the version receives.
     SetShare {
         /// The service.
         service: String,
-        /// The roll-out that is meant, by [`RolloutRecord::revision`] and [`RolloutRecord::step`].
+        /// The expected [`RolloutRecord::revision`] and [`RolloutRecord::step`]; the command is ignored if they
+        /// differ.
         expected: (u64, u64),
         /// The share, in thousandths.
         permille: u16,
-        /// What decided it.
+        /// The reason.
         cause: RolloutCause,
     },
     /// End a roll-out.
     Finish {
         /// The service.
         service: String,
-        /// The roll-out that is meant, by its revision.
+        /// The revision of the roll-out; the command is ignored if it differs.
         revision: u64,
-        /// Whether all requests go to the version from now on, or none.
+        /// Whether the version receives all requests from now on, or none.
         completed: bool,
-        /// What decided it.
+        /// The reason.
         cause: RolloutCause,
     },
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutOutcome {
-    /// The newest roll-out of the service is this one; nothing where there never was any.
+    /// The newest roll-out of the service, if there has been any.
     Newest(Option<RolloutRecord>),
-    /// Another one is under way, so that none was begun.
+    /// Another roll-out is in progress, so none was started.
     InProgress(RolloutRecord),
 }
 
-/// The newest roll-outs of each service.
+/// The most recent roll-outs of each service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStore {
-    /// By service, the newest last.
+    /// Records by service, the newest last.
     services: BTreeMap<String, Vec<RolloutRecord>>,
 }
 
@@ -79,7 +80,7 @@
         self.services.get(service)?.last()
     }
 
-    /// Returns the roll-outs of a service that are remembered, the oldest first.
+    /// Returns the retained roll-outs of a service, the oldest first.
     pub fn history(&self, service: &str) -> &[RolloutRecord] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
@@ -90,12 +91,12 @@
         all.filter_map(|(service, records)| Some((service.as_str(), records.last()?)))
     }
 
-    /// Returns the roll-outs that are under way.
+    /// Returns the roll-outs that are in progress.
     pub fn in_progress(&self) -> impl Iterator<Item = (&str, &RolloutRecord)> {
         self.all_newest().filter(|(_, one)| one.is_in_progress())
     }
 
-    /// Says what holds of targets of a version.
+    /// Returns how targets of a version are treated.
     pub fn version_status(&self, service: &str, version: &str) -> VersionStatus {
         let newest = self.newest(service);
         newest.map_or(VersionStatus::Unrestricted, |one| {
@@ -103,15 +104,15 @@
         })
     }
 
-    /// Takes a committed command.
+    /// Applies a committed command.
     pub fn apply(&mut self, command: &RolloutCommand) -> RolloutOutcome {
         match command {
-            RolloutCommand::Query { service } => self.held(service),
+            RolloutCommand::Query { service } => self.newest_outcome(service),
             RolloutCommand::Start {
                 order,
                 former,
                 now_ms,
-            } => self.begin(order, former, *now_ms),
+            } => self.start(order, former, *now_ms),
             RolloutCommand::SetShare {
                 service,
                 expected,
@@ -125,7 +126,7 @@
                     record.cause = cause.clone();
                     record.step += 1;
                 }
-                self.held(service)
+                self.newest_outcome(service)
             }
             RolloutCommand::Finish {
                 service,
@@ -137,14 +138,14 @@
                 let matching =
                     newest.filter(|one| one.revision == *revision && one.is_in_progress());
                 if let Some(record) = matching {
-                    end(record, *completed, cause.clone());
+                    finish(record, *completed, cause.clone());
                 }
-                self.held(service)
+                self.newest_outcome(service)
             }
         }
     }
 
-    fn begin(&mut self, order: &RolloutOrder, former: &[String], now_ms: u64) -> RolloutOutcome {
+    fn start(&mut self, order: &RolloutOrder, former: &[String], now_ms: u64) -> RolloutOutcome {
         if let Some(newest) = self.newest(&order.service) {
             if is_repeat(newest, order, now_ms) {
                 return RolloutOutcome::Newest(Some(newest.clone()));
@@ -166,22 +167,23 @@
             cause: RolloutCause::Ordered,
         };
         records.push(record.clone());
-        let past = records.len().saturating_sub(MAX_RECORDS_PER_SERVICE);
-        records.drain(..past);
+        let excess = records.len().saturating_sub(MAX_RECORDS_PER_SERVICE);
+        records.drain(..excess);
         RolloutOutcome::Newest(Some(record))
     }
 
-    /// Takes what another process knows; says whether that is news.
-    pub fn merge(&mut self, reported: &Self) -> bool {
+    /// Merges the records of another process and returns whether anything changed. Of two differing histories
+    /// of a service, the one with the later newest record replaces the other.
+    pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
-        for (service, records) in &reported.services {
+        for (service, records) in &other.services {
             let Some(last) = records.last() else {
                 continue;
             };
-            let age = |one: &RolloutRecord| (one.revision, one.step);
+            let position = |one: &RolloutRecord| (one.revision, one.step);
             if self
                 .newest(service)
-                .is_none_or(|known| age(known) < age(last))
+                .is_none_or(|known| position(known) < position(last))
             {
                 self.services.insert(service.clone(), records.clone());
                 changed = true;
@@ -190,7 +192,7 @@
         changed
     }
 
-    fn held(&self, service: &str) -> RolloutOutcome {
+    fn newest_outcome(&self, service: &str) -> RolloutOutcome {
         RolloutOutcome::Newest(self.newest(service).cloned())
     }
 
@@ -199,7 +201,7 @@
     }
 }
 
-fn end(record: &mut RolloutRecord, completed: bool, cause: RolloutCause) {
+fn finish(record: &mut RolloutRecord, completed: bool, cause: RolloutCause) {
     (record.state, record.permille) = match completed {
         true => (RolloutState::Completed, FULL_PERMILLE),
         false => (RolloutState::Reverted, 0),
@@ -208,8 +210,8 @@
     record.step += 1;
 }
 
-/// Says whether an order asks what is under way or was done already. One that was reverted may be asked anew
-/// later, when its targets have been mended.
+/// Returns whether an order repeats one that is in progress or done. A version that was reverted may be ordered
+/// again later, once its targets have been fixed.
 fn is_repeat(known: &RolloutRecord, order: &RolloutOrder, now_ms: u64) -> bool {
     if known.version != order.version {
         return false;
--- a/crates/rollout/src/store/tests.rs
+++ b/crates/rollout/src/store/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn begin(store: &mut RolloutStore, version: &str, duration_ms: u64, now_ms: u64) -> RolloutOutcome {
+fn start(store: &mut RolloutStore, version: &str, duration_ms: u64, now_ms: u64) -> RolloutOutcome {
     store.apply(&RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
@@ -12,7 +12,7 @@
     })
 }
 
-fn end(store: &mut RolloutStore, revision: u64, completed: bool) {
+fn finish(store: &mut RolloutStore, revision: u64, completed: bool) {
     store.apply(&RolloutCommand::Finish {
         service: "desk".to_owned(),
         revision,
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn a_repeated_order_is_answered_as_the_first_and_another_one_is_under_way() {
+fn a_repeated_order_gets_the_first_outcome_and_a_different_one_is_rejected() {
     let mut store = RolloutStore::default();
-    let first = begin(&mut store, "v2", 9_000, 1_000);
-    assert_eq!(begin(&mut store, "v2", 9_000, 4_000), first);
-    let other = begin(&mut store, "v3", 9_000, 4_000);
+    let first = start(&mut store, "v2", 9_000, 1_000);
+    assert_eq!(start(&mut store, "v2", 9_000, 4_000), first);
+    let other = start(&mut store, "v3", 9_000, 4_000);
     assert!(matches!(other, RolloutOutcome::InProgress(_)), "{other:?}");
-    let longer = begin(&mut store, "v2", 60_000, 4_000);
+    let longer = start(&mut store, "v2", 60_000, 4_000);
     assert!(
         matches!(longer, RolloutOutcome::InProgress(_)),
         "{longer:?}"
@@ -40,15 +40,16 @@
     assert_eq!(newest(&store).version, "v2");
 }
 
-/// The acknowledgement of an order may be lost, and the version given up before the order comes again.
+/// Guards against a second roll-out after the acknowledgement of an order is lost and the version is reverted
+/// before the order is repeated.
 #[test]
-fn a_repeat_after_the_end_begins_nothing_and_a_later_order_does() {
+fn a_repeat_shortly_after_the_end_starts_nothing_and_a_later_order_does() {
     let mut store = RolloutStore::default();
-    begin(&mut store, "v2", 9_000, 1_000);
-    end(&mut store, 1, false);
-    begin(&mut store, "v2", 9_000, 6_000);
+    start(&mut store, "v2", 9_000, 1_000);
+    finish(&mut store, 1, false);
+    start(&mut store, "v2", 9_000, 6_000);
     assert_eq!(newest(&store).state, RolloutState::Reverted);
-    begin(&mut store, "v2", 9_000, 60_000);
+    start(&mut store, "v2", 9_000, 60_000);
     assert_eq!(newest(&store).state, RolloutState::InProgress);
     assert_eq!(newest(&store).revision, 2);
 }
@@ -56,10 +57,10 @@
 #[test]
 fn a_late_command_of_another_roll_out_changes_nothing() {
     let mut store = RolloutStore::default();
-    begin(&mut store, "v2", 9_000, 1_000);
-    end(&mut store, 1, false);
-    begin(&mut store, "v3", 9_000, 60_000);
-    end(&mut store, 1, true);
+    start(&mut store, "v2", 9_000, 1_000);
+    finish(&mut store, 1, false);
+    start(&mut store, "v3", 9_000, 60_000);
+    finish(&mut store, 1, true);
     store.apply(&RolloutCommand::SetShare {
         service: "desk".to_owned(),
         expected: (1, 0),
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn what_targets_get_depends_on_their_version_and_the_end() {
+fn version_status_depends_on_the_version_and_the_final_state() {
     let mut store = RolloutStore::default();
     let statuses = |store: &RolloutStore| {
         ["v1", "v2", "v3", ""].map(|version| store.version_status("desk", version))
@@ -82,19 +83,19 @@
         statuses(&store),
         [Unrestricted, Unrestricted, Unrestricted, Unrestricted]
     );
-    begin(&mut store, "v2", 9_000, 1_000);
+    start(&mut store, "v2", 9_000, 1_000);
     assert_eq!(
         statuses(&store),
         [Unrestricted, UnderTest, Unrestricted, Unrestricted]
     );
     let mut reverted = store.clone();
-    end(&mut reverted, 1, false);
+    finish(&mut reverted, 1, false);
     assert_eq!(
         statuses(&reverted),
         [Unrestricted, Excluded, Unrestricted, Unrestricted]
     );
-    end(&mut store, 1, true);
-    // A third version came later, by itself.
+    finish(&mut store, 1, true);
+    // A third version appeared later and is not affected.
     assert_eq!(
         statuses(&store),
         [Excluded, Unrestricted, Unrestricted, Excluded]
@@ -102,26 +103,26 @@
 }
 
 #[test]
-fn of_two_beliefs_the_later_holds_and_few_past_ones_are_kept() {
+fn merge_keeps_the_newer_record_and_history_is_bounded() {
     let mut store = RolloutStore::default();
-    begin(&mut store, "v2", 9_000, 1_000);
+    start(&mut store, "v2", 9_000, 1_000);
     let early = store.clone();
-    end(&mut store, 1, false);
+    finish(&mut store, 1, false);
     assert!(!store.merge(&early));
     let mut other = early;
     assert!(other.merge(&store));
     assert_eq!(other, store);
     for round in 0..20 {
-        begin(&mut store, "v2", 1, 1_000_000 * (round + 1));
+        start(&mut store, "v2", 1, 1_000_000 * (round + 1));
         let revision = newest(&store).revision;
-        end(&mut store, revision, false);
+        finish(&mut store, revision, false);
     }
     assert_eq!(store.history("desk").len(), MAX_RECORDS_PER_SERVICE);
     assert_eq!(newest(&store).revision, 21);
 }
 
 #[test]
-fn orders_that_make_no_sense_are_refused() {
+fn invalid_orders_are_refused() {
     let check = |version: &str, duration_ms| {
         let order = RolloutOrder {
             service: "desk".to_owned(),
--- a/crates/routing/src/check.rs
+++ b/crates/routing/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a configuration; all faults are told at once.
+//! Validation of a configuration; all errors are reported at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,18 +6,18 @@
 
 use crate::{Account, Route, RoutingConfig};
 
-/// One fault of a configuration.
+/// An error in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum ConfigError {
-    /// A route or stage names a service that is not there.
+    /// A route or stage names an unknown service.
     #[display("route {route}: unknown service {service}")]
     UnknownService {
         /// The route.
         route: String,
-        /// The name that it gives.
+        /// The unknown name.
         service: String,
     },
-    /// Two routes have the same host and prefix.
+    /// Two routes have the same host and path prefix.
     #[display("routes {first} and {second} share host and prefix")]
     DuplicatePrefix {
         /// The earlier route.
@@ -25,37 +25,37 @@
         /// The later route.
         second: String,
     },
-    /// The weights of a route add up to nothing.
+    /// The weights of a route add up to 0.
     #[display("route {route}: the weights add up to 0")]
     ZeroWeight {
         /// The route.
         route: String,
     },
-    /// A route gives its requests no time.
+    /// The timeout of a route is 0.
     #[display("route {route}: the timeout is 0")]
     ZeroTimeout {
         /// The route.
         route: String,
     },
-    /// A prefix does not begin and end with a slash.
+    /// A path prefix does not begin and end with a slash.
     #[display("route {route}: the prefix does not begin and end with a slash")]
     InvalidPrefix {
         /// The route.
         route: String,
     },
-    /// A stage takes results of itself or of a later stage.
+    /// A stage depends on itself or on a later stage.
     #[display(
         "route {route}: stage {stage} takes results of stage {after}, which is not before it"
     )]
     InvalidStageOrder {
         /// The route.
         route: String,
-        /// The stage.
+        /// The index of the stage.
         stage: usize,
-        /// The stage that it names.
+        /// The index of the stage that it depends on.
         after: usize,
     },
-    /// Two accounts show the same key. The key itself is secret and is not told.
+    /// Two client accounts share a key. The key is secret and not part of the error.
     #[display("accounts {first} and {second} share a key")]
     SharedKey {
         /// The earlier account.
@@ -65,37 +65,37 @@
     },
 }
 
-/// Returns every fault of a configuration; an empty list where it is valid.
+/// Returns all errors of a configuration; an empty list if it is valid.
 pub fn check_config(config: &RoutingConfig) -> Vec<ConfigError> {
     let services: BTreeSet<&str> = config
         .services
         .iter()
         .map(|service| service.name.as_str())
         .collect();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let mut routes_by_prefix = BTreeMap::new();
     for route in &config.routes {
-        check_services(route, &services, &mut faults);
-        check_limits(route, &mut faults);
-        check_stage_order(route, &mut faults);
+        check_services(route, &services, &mut errors);
+        check_limits(route, &mut errors);
+        check_stage_order(route, &mut errors);
         let prefix = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
         if let Some(first) = routes_by_prefix.insert(prefix, route.name.as_str()) {
-            faults.push(ConfigError::DuplicatePrefix {
+            errors.push(ConfigError::DuplicatePrefix {
                 first: first.to_owned(),
                 second: route.name.clone(),
             });
         }
     }
-    check_keys(&config.accounts, &mut faults);
-    faults
+    check_keys(&config.accounts, &mut errors);
+    errors
 }
 
-fn check_services(route: &Route, services: &BTreeSet<&str>, faults: &mut Vec<ConfigError>) {
+fn check_services(route: &Route, services: &BTreeSet<&str>, errors: &mut Vec<ConfigError>) {
     let split = route.split.iter().map(|part| &part.service);
     let stages = route.stages.iter().map(|stage| &stage.service);
     for service in split.chain(stages) {
         if !services.contains(service.as_str()) {
-            faults.push(ConfigError::UnknownService {
+            errors.push(ConfigError::UnknownService {
                 route: route.name.clone(),
                 service: service.clone(),
             });
@@ -103,38 +103,38 @@
     }
 }
 
-fn check_limits(route: &Route, faults: &mut Vec<ConfigError>) {
+fn check_limits(route: &Route, errors: &mut Vec<ConfigError>) {
     let name = || route.name.clone();
     let weight: u64 = route.split.iter().map(|part| u64::from(part.weight)).sum();
     if weight == 0 {
-        faults.push(ConfigError::ZeroWeight { route: name() });
+        errors.push(ConfigError::ZeroWeight { route: name() });
     }
     if route.timeout_ms == 0 {
-        faults.push(ConfigError::ZeroTimeout { route: name() });
+        errors.push(ConfigError::ZeroTimeout { route: name() });
     }
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-        faults.push(ConfigError::InvalidPrefix { route: name() });
+        errors.push(ConfigError::InvalidPrefix { route: name() });
     }
 }
 
-fn check_stage_order(route: &Route, faults: &mut Vec<ConfigError>) {
-    for (number, stage) in route.stages.iter().enumerate() {
-        for after in stage.depends_on.iter().filter(|after| **after >= number) {
-            faults.push(ConfigError::InvalidStageOrder {
+fn check_stage_order(route: &Route, errors: &mut Vec<ConfigError>) {
+    for (index, stage) in route.stages.iter().enumerate() {
+        for after in stage.depends_on.iter().filter(|after| **after >= index) {
+            errors.push(ConfigError::InvalidStageOrder {
                 route: route.name.clone(),
-                stage: number,
+                stage: index,
                 after: *after,
             });
         }
     }
 }
 
-fn check_keys(accounts: &[Account], faults: &mut Vec<ConfigError>) {
+fn check_keys(accounts: &[Account], errors: &mut Vec<ConfigError>) {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for account in accounts {
         for key in &account.keys {
             match owners.insert(key, &account.name) {
-                Some(first) if first != account.name => faults.push(ConfigError::SharedKey {
+                Some(first) if first != account.name => errors.push(ConfigError::SharedKey {
                     first: first.to_owned(),
                     second: account.name.clone(),
                 }),
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! The routing configuration: which service takes a request, and what the operator allows.
+//! The routing configuration: which service receives a request, and what the operator allows.
 //!
-//! - [`RoutingConfig`] is one whole configuration under an outside version.
-//! - [`check_config`] finds every fault of one at once.
-//! - [`RouteTable`] is the form that requests are matched against.
+//! - [`RoutingConfig`] is one complete configuration under an operator-defined version.
+//! - [`check_config`] finds all errors of a configuration at once.
+//! - [`RouteTable`] is the indexed form that requests are matched against.
 
 mod check;
 mod config;
--- a/crates/routing/src/matching.rs
+++ b/crates/routing/src/matching.rs
@@ -1,10 +1,10 @@
-//! Finding the route and the account of a request.
+//! Lookup of the route and the client account of a request.
 
 use std::collections::HashMap;
 
 use crate::{Account, Route, RoutingConfig, Service};
 
-/// A configuration in the form that requests are matched against.
+/// A configuration indexed for matching requests.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     config: RoutingConfig,
@@ -13,24 +13,24 @@
     services: HashMap<String, usize>,
 }
 
-/// A route and the account that asks.
+/// The route and client account of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteMatch<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The account, where the route needs one.
+    /// The account, if the route requires one.
     pub account: Option<&'a Account>,
 }
 
 impl RouteTable {
-    /// Creates the table of a checked configuration.
+    /// Creates the table of a valid configuration.
     pub fn new(config: RoutingConfig) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
             let host = route.host.to_ascii_lowercase();
             by_host.entry(host).or_default().push(index);
         }
-        // The longest prefix that fits is the first that fits.
+        // Sorted by length, so that the first matching prefix is the longest.
         for routes in by_host.values_mut() {
             routes.sort_by_key(|index| std::cmp::Reverse(config.routes[*index].path_prefix.len()));
         }
@@ -55,7 +55,7 @@
         &self.config
     }
 
-    /// Finds the route with the longest prefix that begins the path. The host may carry a port.
+    /// Finds the route with the longest prefix of the path. The host may include a port.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.by_host.get(&name.to_ascii_lowercase())?;
@@ -71,7 +71,7 @@
         self.config.accounts.get(*index)
     }
 
-    /// Says whether a request of this route must show a key.
+    /// Returns whether a request of this route must carry a key.
     pub fn needs_key(&self, route: &Route) -> bool {
         !route.public && !self.config.accounts.is_empty()
     }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Matching and checks of a configuration, as tables of cases.
+//! Tests of route matching and configuration validation, as tables of cases.
 
 use linnet_routing::*;
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_prefix_of_the_host_is_chosen() {
     let table = RouteTable::new(config(vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn every_fault_is_found_at_once() {
+fn all_config_errors_are_reported_at_once() {
     let mut bad = route("bad", "a.example", "/x/");
     bad.timeout_ms = 0;
     bad.split[0].weight = 0;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_valid_configuration_has_no_fault() {
+fn a_valid_configuration_has_no_errors() {
     let routes = vec![
         route("a", "a.example", "/x/"),
         route("b", "a.example", "/y/"),
