--- a/crates/quorum/src/election.rs
+++ b/crates/quorum/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: when a voter stands, and when a leader gives up.
+//! Elections: when a voter becomes a candidate, and when a leader steps down.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,10 +13,10 @@
 use crate::replica::ReplicaShared;
 use crate::{LogPosition, Member, PeerReply, PeerRequest, Role, VoteRequest, replicate};
 
-/// How often the task looks at the clock.
+/// Interval between checks of the election timer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stands for election when no leader is heard, and steps down when no majority is.
+/// Starts an election if no leader has been in contact, and steps down if the majority is lost.
 pub(crate) async fn run_elections(shared: Arc<ReplicaShared>) {
     loop {
         sleep(CHECK_INTERVAL).await;
@@ -36,7 +36,10 @@
     let term = state.term;
     state.step_down(term, &shared.timing);
     drop(state);
-    let detail = format!("term={term} cause=no majority within the lease");
+    let detail = format!(
+        "term={term} cause=no reply from a majority within {} ms",
+        shared.timing.min_election_timeout.as_millis()
+    );
     shared
         .recorder
         .record(EventCode::LeaderSteppedDown, "", detail);
@@ -45,16 +48,16 @@
 
 fn should_start_election(shared: &ReplicaShared) -> bool {
     let state = shared.lock();
-    let quiet = state.last_leader_contact.elapsed() >= shared.timing.min_election_timeout;
+    let no_leader = state.last_leader_contact.elapsed() >= shared.timing.min_election_timeout;
     let due = Instant::now() >= state.next_election_at;
-    let may_be_leaderless = quiet || state.is_leaderless();
+    let may_be_leaderless = no_leader || state.is_leaderless();
     state.role != Role::Leader && state.members.is_voter(state.own_id) && may_be_leaderless && due
 }
 
 async fn run_election(shared: &Arc<ReplicaShared>) {
-    // A pre-vote changes nothing anywhere: a voter that is cut off cannot drive the term up and
-    // unseat a leader when it returns.
-    let mut ahead = {
+    // A pre-vote changes no state, so a partitioned voter cannot raise the term and depose the
+    // leader when it reconnects.
+    let mut proposed = {
         let state = shared.lock();
         VoteRequest {
             term: state.term + 1,
@@ -62,46 +65,46 @@
             leaderless: false,
         }
     };
-    let answers = request_votes(shared, PeerRequest::PreVote(ahead)).await;
-    if !answers.has_majority() {
-        if !answers.is_leaderless() || !shared.lock().is_leaderless() {
+    let round = request_votes(shared, PeerRequest::PreVote(proposed)).await;
+    if !round.has_majority() {
+        if !round.is_leaderless() || !shared.lock().is_leaderless() {
             return;
         }
-        ahead.leaderless = true;
-        let answers = request_votes(shared, PeerRequest::PreVote(ahead)).await;
-        if !answers.has_majority() {
+        proposed.leaderless = true;
+        let round = request_votes(shared, PeerRequest::PreVote(proposed)).await;
+        if !round.has_majority() {
             return;
         }
     }
-    let Some(request) = vote_for_self(shared, ahead).await else {
+    let Some(request) = vote_for_self(shared, proposed).await else {
         return;
     };
     let detail = format!("term={} leaderless={}", request.term, request.leaderless);
     shared
         .recorder
         .record(EventCode::ElectionStarted, "", detail);
-    let answers = request_votes(shared, PeerRequest::Vote(request)).await;
-    if answers.has_majority() {
+    let round = request_votes(shared, PeerRequest::Vote(request)).await;
+    if round.has_majority() {
         become_leader(shared, request.term).await;
     }
 }
 
-/// Votes for itself in a new term, durably, unless something changed since the pre-vote.
-async fn vote_for_self(shared: &ReplicaShared, ahead: VoteRequest) -> Option<VoteRequest> {
+/// Durably votes for itself in a new term, unless something changed since the pre-vote.
+async fn vote_for_self(shared: &ReplicaShared, proposed: VoteRequest) -> Option<VoteRequest> {
     let (ticket, request) = {
         let mut state = shared.lock();
-        let quiet = ahead.leaderless && state.is_leaderless();
-        let heard =
-            !quiet && state.last_leader_contact.elapsed() < shared.timing.min_election_timeout;
-        if state.term + 1 != ahead.term || heard {
+        let no_leader = proposed.leaderless && state.is_leaderless();
+        let has_contact =
+            !no_leader && state.last_leader_contact.elapsed() < shared.timing.min_election_timeout;
+        if state.term + 1 != proposed.term || has_contact {
             return None;
         }
         let own_id = state.own_id;
-        state.set_ballot(ahead.term, Some(own_id));
+        state.set_ballot(proposed.term, Some(own_id));
         state.role = Role::Candidate;
         let request = VoteRequest {
             last: state.log.last(),
-            ..ahead
+            ..proposed
         };
         (state.flush(&shared.writer), request)
     };
@@ -129,7 +132,7 @@
     let _ = shared.wait_until_synced(ticket, position).await;
 }
 
-/// What the voters answered in one round.
+/// The replies of the voters in one round.
 #[derive(Debug, Default)]
 struct VoteRound {
     voters: usize,
@@ -142,27 +145,28 @@
         self.granted * 2 > self.voters
     }
 
-    /// Says whether no voter can lead. A leader is a voter, and one whose lease lasts was heard by a
-    /// majority, so none is left out here: a voter that did not answer may lead.
+    /// Returns whether no voter can be the leader. A leader is itself a voter, and one with a valid
+    /// lease was in contact with a majority, so every voter must reply: one that did not may be the
+    /// leader.
     fn is_leaderless(&self) -> bool {
         self.leaderless == self.voters
     }
 
-    fn count(&mut self, answer: VoterReply) {
+    fn add(&mut self, reply: VoterReply) {
         self.voters += 1;
-        self.granted += usize::from(answer.granted);
-        self.leaderless += usize::from(answer.leaderless);
+        self.granted += usize::from(reply.granted);
+        self.leaderless += usize::from(reply.leaderless);
     }
 }
 
-/// What one voter answered; a voter that did not answer grants nothing.
+/// The reply of one voter; a missing reply grants nothing.
 #[derive(Debug, Clone, Copy, Default)]
 struct VoterReply {
     granted: bool,
     leaderless: bool,
 }
 
-/// Asks every voter at once; this replica among them agrees with itself.
+/// Requests votes from all voters concurrently; this replica votes for itself if it is a voter.
 async fn request_votes(shared: &ReplicaShared, request: PeerRequest) -> VoteRound {
     let (own_id, voters, leaderless) = {
         let state = shared.lock();
@@ -170,20 +174,20 @@
         (state.own_id, voters, state.is_leaderless())
     };
     let others: Vec<_> = voters.iter().filter(|voter| voter.id != own_id).collect();
-    let asked = others
+    let requests = others
         .iter()
         .map(|voter| request_vote(shared, voter, &request));
-    let mut answers = VoteRound::default();
-    for answer in join_all(asked).await {
-        answers.count(answer);
+    let mut round = VoteRound::default();
+    for reply in join_all(requests).await {
+        round.add(reply);
     }
     if voters.iter().any(|voter| voter.id == own_id) {
-        answers.count(VoterReply {
+        round.add(VoterReply {
             granted: true,
             leaderless,
         });
     }
-    answers
+    round
 }
 
 async fn request_vote(shared: &ReplicaShared, voter: &Member, request: &PeerRequest) -> VoterReply {
@@ -206,7 +210,7 @@
                 leaderless,
             }
         }
-        // One whose disk was wiped is gone, and with it any lease that it held.
+        // A replica whose disk was wiped no longer exists, and neither does any lease that it held.
         Ok(Some(PeerReply::WrongReplica)) => VoterReply {
             granted: false,
             leaderless: true,
@@ -215,7 +219,7 @@
     }
 }
 
-/// Enters a higher term that a peer told of.
+/// Enters a higher term that a peer reported.
 pub(crate) fn observe_term(shared: &ReplicaShared, term: u64) {
     let mut state = shared.lock();
     if term <= state.term {
@@ -223,10 +227,11 @@
     }
     let led = state.role == Role::Leader;
     state.step_down(term, &shared.timing);
-    // The new term reaches the journal with the next records, before any answer that rests on it.
+    // The new term is written to the journal with the next records, before any reply that depends
+    // on it.
     drop(state);
     if led {
-        let detail = format!("term={term} cause=a higher term");
+        let detail = format!("term={term} cause=higher term received");
         shared
             .recorder
             .record(EventCode::LeaderSteppedDown, "", detail);
@@ -234,7 +239,7 @@
     shared.notify_change();
 }
 
-/// Puts the address of a peer on a request; nothing before the replica has a cluster.
+/// Addresses a request to a peer; `None` before the replica has joined a cluster.
 pub(crate) fn to_addressed_request(
     shared: &ReplicaShared,
     to: &Member,
--- a/crates/quorum/src/election/tests.rs
+++ b/crates/quorum/src/election/tests.rs
@@ -3,19 +3,19 @@
 use crate::{NodeId, QuorumTiming, grant_vote};
 use linnet_clock::BootInstant;
 
-fn answers(given: &[(bool, bool)]) -> VoteRound {
-    let mut answers = VoteRound::default();
+fn round(given: &[(bool, bool)]) -> VoteRound {
+    let mut round = VoteRound::default();
     for (granted, leaderless) in given {
-        answers.count(VoterReply {
+        round.add(VoterReply {
             granted: *granted,
             leaderless: *leaderless,
         });
     }
-    answers
+    round
 }
 
 #[test]
-fn a_round_is_leaderless_only_where_every_voter_says_so() {
+fn a_round_is_leaderless_only_if_every_voter_reports_no_leader() {
     let (yes, no) = (true, false);
     let cases = [
         // granted, leaderless of each voter; majority, leaderless
@@ -26,23 +26,24 @@
         (vec![(yes, yes)], yes, yes),
     ];
     for (given, majority, leaderless) in cases {
-        let answers = answers(&given);
-        assert_eq!(answers.has_majority(), majority, "{given:?}");
-        assert_eq!(answers.is_leaderless(), leaderless, "{given:?}");
+        let round = round(&given);
+        assert_eq!(round.has_majority(), majority, "{given:?}");
+        assert_eq!(round.is_leaderless(), leaderless, "{given:?}");
     }
 }
 
 #[test]
-fn a_replica_that_started_a_moment_ago_votes_only_where_all_are_leaderless() {
+fn a_recently_started_replica_votes_only_if_all_voters_are_leaderless() {
     let timing = QuorumTiming::new();
     let mut state = ReplicaState::new(NodeId(1), Some(7), &timing);
     let votes = |state: &ReplicaState, leaderless: bool| {
-        let facts = state.vote_facts(&timing, leaderless);
-        grant_vote(&facts, 1, NodeId(2), LogPosition::default())
+        let voter = state.voter_state(&timing, leaderless);
+        grant_vote(&voter, 1, NodeId(2), LogPosition::default())
     };
     assert!(!votes(&state, false));
     assert!(votes(&state, true));
-    // It has heard a leader, whose lease may last whatever the others said a moment ago.
+    // It has been in contact with a leader, whose lease may be valid whatever the other voters
+    // replied.
     state.leader_seen_since_start = true;
     assert!(!votes(&state, true));
     state.leader_seen_since_start = false;
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_replica_that_has_heard_no_leader_since_its_start_stands_early() {
+fn a_replica_without_leader_contact_since_its_start_uses_the_first_election_timeout() {
     let timing = QuorumTiming::new();
     let before = Instant::now();
     let mut state = ReplicaState::new(NodeId(1), Some(7), &timing);
@@ -77,26 +78,28 @@
     }
 }
 
-/// Leaders stepped down before the first answer to their heartbeats could be there.
+/// Guards against a new leader that steps down before the first replies to its heartbeats can
+/// arrive.
 #[test]
-fn a_leader_that_has_just_begun_is_given_the_time_that_others_wait() {
+fn a_new_leader_keeps_its_role_for_the_minimum_election_timeout() {
     let timing = QuorumTiming::new();
     let mut state = ReplicaState::new(NodeId(1), Some(7), &timing);
     state.members.voters = (1..=3).map(member).collect();
     state.start_leadership();
-    let began = state.leading_since;
-    assert!(!state.has_lost_majority(&timing, began));
-    let nearly = began + (timing.min_election_timeout - Duration::from_millis(1));
-    assert!(!state.has_lost_majority(&timing, nearly));
-    assert!(state.has_lost_majority(&timing, began + timing.min_election_timeout));
-    // It still holds no lease until a majority has answered.
+    let started = state.leading_since;
+    assert!(!state.has_lost_majority(&timing, started));
+    let just_before = started + (timing.min_election_timeout - Duration::from_millis(1));
+    assert!(!state.has_lost_majority(&timing, just_before));
+    assert!(state.has_lost_majority(&timing, started + timing.min_election_timeout));
+    // It holds no lease until a majority has replied.
     assert!(!state.has_valid_lease(&timing));
 }
 
-/// A leader whose machine was suspended while another one was elected believed its lease to last, since the
-/// steady clock stands still meanwhile, and answered with what it held before.
+/// Guards against stale reads after a suspend: the monotonic clock stops while a machine is
+/// suspended, so a leader that was replaced meanwhile considered its lease valid and answered from
+/// old state.
 #[test]
-fn a_lease_ends_while_the_machine_is_suspended() {
+fn a_lease_expires_while_the_machine_is_suspended() {
     let timing = QuorumTiming::new();
     let mut state = ReplicaState::new(NodeId(1), Some(7), &timing);
     state.role = Role::Leader;
@@ -113,16 +116,16 @@
         state.progress.insert(NodeId(peer), progress);
     }
     assert!(state.has_valid_lease_at(&timing, sent + timing.lease_duration / 2));
-    // It wakes up; for the steady clock no time has passed.
-    let awake = sent + timing.min_election_timeout + timing.lease_duration;
-    assert!(!state.has_valid_lease_at(&timing, awake));
+    // The machine wakes up; no time has passed by the monotonic clock.
+    let after_resume = sent + timing.min_election_timeout + timing.lease_duration;
+    assert!(!state.has_valid_lease_at(&timing, after_resume));
     state.leading_since = sent;
-    assert!(state.has_lost_majority(&timing, awake));
+    assert!(state.has_lost_majority(&timing, after_resume));
 }
 
-/// The clock of leases is the one that counts suspended time.
+/// Leases use the clock that includes suspended time.
 #[test]
-fn leases_are_measured_by_the_time_since_the_machine_started() {
+fn leases_use_the_boot_time_clock() {
     use rustix::time::{ClockId, clock_gettime};
     let read = || {
         let time = clock_gettime(ClockId::Boottime);
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,10 +1,10 @@
-//! Agreement over a replicated log: terms, pre-vote, commit after sync, leases, membership.
+//! Consensus over a replicated log: terms, pre-vote, commit after sync, leases, membership changes.
 //!
-//! - [`Replica`] is the handle: it starts the tasks, takes proposals and answers peers.
-//! - [`StateMachineHooks`] are the state machine that committed commands go to.
+//! - [`Replica`] is the handle: it starts the tasks, accepts proposals and serves peers.
+//! - [`StateMachineHooks`] is the state machine that committed commands are applied to.
 //! - [`Members`] are the voters and learners; [`MemberChange`] changes one of them at a time.
-//! - [`grant_vote`], [`quorum_index`] and [`quorum_instant`] are the rules, kept as functions so
-//!   that tests can check them over many inputs.
+//! - [`grant_vote`], [`quorum_index`] and [`quorum_instant`] are the safety rules, as pure
+//!   functions so that tests can check them over many inputs.
 
 mod election;
 mod log;
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log as a replica holds it in memory.
+//! The in-memory part of the replicated log.
 
 use std::collections::VecDeque;
 
@@ -6,32 +6,32 @@
 
 use crate::{LogPosition, Members};
 
-/// What an entry carries.
+/// The payload of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogPayload {
-    /// Nothing; a new leader commits it to commit what stands before it.
+    /// No payload; a new leader commits such an entry in order to commit all entries before it.
     Noop,
-    /// The members from this entry on.
+    /// The members that are in force from this entry on.
     Members(Members),
-    /// A command for the state machine. Written as one block, which gives the same bytes as a list of
-    /// numbers does: taking them one by one held up heartbeats, and without optimisation no command
-    /// of 4 MB was ever committed.
+    /// A command for the state machine. Serialized as a byte block, with the same encoding as a
+    /// list of numbers: decoding byte by byte delayed heartbeats, and in unoptimized builds no
+    /// command of 4 MB was ever committed.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its index, from 1.
+    /// The index of the entry, from 1.
     pub index: u64,
-    /// The term of the leader that made it.
+    /// The term of the leader that created it.
     pub term: u64,
-    /// What it carries.
+    /// The payload.
     pub payload: LogPayload,
 }
 
 impl LogEntry {
-    /// Returns about how many bytes the entry takes in a message.
+    /// Returns the approximate size of the entry in a message, in bytes.
     pub(crate) fn estimated_bytes(&self) -> usize {
         match &self.payload {
             LogPayload::Command(command) => command.len() + 24,
@@ -41,12 +41,12 @@
     }
 }
 
-/// Entries after a base position; what stands before the base is in a snapshot.
+/// The entries after a base position; earlier ones are covered by a snapshot.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaLog {
     base: LogPosition,
     entries: VecDeque<LogEntry>,
-    /// Weight of all entries.
+    /// Estimated size of all entries.
     bytes: usize,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns about how many bytes the entries take.
+    /// Returns the approximate size of all entries, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -80,7 +80,7 @@
         self.entries.get(offset as usize)
     }
 
-    /// Returns the term at an index, where the log still knows it.
+    /// Returns the term at an index, unless the log no longer or not yet has it.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -88,14 +88,14 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Appends the entry that is due next.
+    /// Appends the entry with the next index.
     pub(crate) fn push(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         self.bytes += entry.estimated_bytes();
         self.entries.push_back(entry);
     }
 
-    /// Drops every entry from an index on.
+    /// Removes all entries from an index on.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         let keep = index.saturating_sub(self.base.index + 1);
         let dropped = self.entries.iter().skip(keep as usize);
@@ -103,7 +103,7 @@
         self.entries.truncate(keep as usize);
     }
 
-    /// Moves the base up to an index that the log holds, and drops what stands before it.
+    /// Advances the base to an index in the log and removes the entries through it.
     pub(crate) fn compact_through(&mut self, index: u64) {
         while let Some(first) = self.entries.front() {
             if first.index > index {
@@ -124,7 +124,7 @@
         self.entries.iter().skip(skip as usize)
     }
 
-    /// Returns the newest members that the log names, with their index.
+    /// Returns the most recent members in the log, with the index of their entry.
     pub(crate) fn latest_members(&self) -> Option<(u64, &Members)> {
         self.entries
             .iter()
--- a/crates/quorum/src/member.rs
+++ b/crates/quorum/src/member.rs
@@ -5,27 +5,27 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The identity of a replica: random, and new whenever its data folder is new.
+/// The identity of a replica: random, and new for each new data folder.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display, Serialize, Deserialize,
 )]
 #[display("{_0:016x}")]
 pub struct NodeId(pub u64);
 
-/// A replica as the others reach it.
+/// A replica and its addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its identity.
+    /// The identity of the replica.
     pub id: NodeId,
     /// The name of its host.
     pub name: String,
-    /// The data hall it stands in.
+    /// The data hall of the host.
     pub hall: String,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub ops: SocketAddr,
-    /// The voter that a learner takes the place of once it is caught up.
+    /// The voter that a learner replaces once it has caught up.
     pub replaces: Option<NodeId>,
 }
 
@@ -34,35 +34,35 @@
 pub struct Members {
     /// Replicas whose votes and acknowledgements count.
     pub voters: Vec<Member>,
-    /// Replicas that are being caught up; they count for nothing yet.
+    /// Replicas that are catching up; they do not count towards a majority.
     pub learners: Vec<Member>,
 }
 
 /// A change of one member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberChange {
-    /// Adds a replica as a learner; it becomes a voter by itself once it is caught up.
+    /// Adds a replica as a learner; it is promoted to voter automatically once it has caught up.
     Add(Member),
-    /// Makes a learner a voter.
+    /// Promotes a learner to voter.
     Promote(NodeId),
-    /// Takes a voter or learner out.
+    /// Removes a voter or learner.
     Remove(NodeId),
 }
 
-/// Why a change of members was refused.
+/// Why a membership change was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum MemberError {
-    /// A replica with this identity, name or address is there already.
-    #[display("{_0} is a member already, by identity, name or address")]
+    /// A replica with this identity, name or address is already a member.
+    #[display("{_0} is already a member, by identity, name or address")]
     Present(String),
     /// There is no such member.
-    #[display("{_0} is no member")]
+    #[display("{_0} is not a member")]
     Absent(NodeId),
-    /// The last voter cannot go.
+    /// The last voter cannot be removed.
     #[display("{_0} is the last voter")]
     LastVoter(NodeId),
-    /// The change before this one is not committed, or the leader's term has no commit yet.
-    #[display("an earlier change of members is not committed yet")]
+    /// The previous change is not committed, or the leader has not committed an entry in its term.
+    #[display("an earlier membership change is not committed yet")]
     Pending,
 }
 
@@ -77,7 +77,7 @@
         self.voters.iter().chain(self.learners.iter())
     }
 
-    /// Says whether a replica votes.
+    /// Returns whether a replica is a voter.
     pub fn is_voter(&self, id: NodeId) -> bool {
         self.voters.iter().any(|member| member.id == id)
     }
@@ -87,7 +87,7 @@
     /// # Errors
     ///
     /// [`MemberError`] when the change does not fit the members.
-    pub fn after(&self, change: &MemberChange) -> Result<Members, MemberError> {
+    pub fn with_change(&self, change: &MemberChange) -> Result<Members, MemberError> {
         let mut members = self.clone();
         match change {
             MemberChange::Add(member) => members.add(member)?,
@@ -100,12 +100,12 @@
     // A learner may share name and address with the voter that it replaces, since it is the same
     // host with a new disk.
     fn add(&mut self, member: &Member) -> Result<(), MemberError> {
-        let taken = self.all().any(|other| {
+        let conflicts = self.all().any(|other| {
             let replaced = member.replaces == Some(other.id);
             other.id == member.id
                 || (!replaced && (other.name == member.name || other.peer == member.peer))
         });
-        if taken {
+        if conflicts {
             return Err(MemberError::Present(member.name.clone()));
         }
         if let Some(replaced) = member.replaces {
@@ -116,8 +116,8 @@
     }
 
     fn promote(&mut self, id: NodeId) -> Result<(), MemberError> {
-        let place = self.learners.iter().position(|member| member.id == id);
-        let mut member = self.learners.remove(place.ok_or(MemberError::Absent(id))?);
+        let index = self.learners.iter().position(|member| member.id == id);
+        let mut member = self.learners.remove(index.ok_or(MemberError::Absent(id))?);
         member.replaces = None;
         self.voters.push(member);
         Ok(())
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -4,8 +4,8 @@
 
 use crate::{LogEntry, LogPosition, Members, NodeId};
 
-/// A request with its address. A replica refuses what is meant for another identity, so a host
-/// whose disk was wiped can never answer as its former self.
+/// A request and its addressee. A replica refuses requests to another identity, so a host whose
+/// disk was wiped can never reply as its former self.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct AddressedRequest {
     pub(crate) cluster: u64,
@@ -21,88 +21,89 @@
     pub term: u64,
     /// The end of the candidate's log.
     pub last: LogPosition,
-    /// Whether every voter said that it neither leads nor has heard a leader since it started, so
-    /// that no lease can last.
+    /// Whether every voter replied that it neither leads nor has been in contact with a leader
+    /// since it started, so that no lease can be valid.
     pub leaderless: bool,
 }
 
-/// What one replica asks of another.
+/// A request between replicas.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Would the peer vote? Changes nothing.
+    /// Asks whether the peer would grant its vote; changes no state.
     PreVote(VoteRequest),
-    /// The peer's vote.
+    /// Requests the peer's vote.
     Vote(VoteRequest),
-    /// A leader's sign of life.
+    /// A heartbeat of the leader.
     Heartbeat {
         /// The leader's term.
         term: u64,
         /// The leader's commit index.
         commit: u64,
     },
-    /// Entries that follow a position.
+    /// Appends entries after a position.
     AppendEntries {
         /// The leader's term.
         term: u64,
         /// The position that the entries follow.
         previous: LogPosition,
-        /// The entries; empty to find out whether the logs agree there.
+        /// The entries; empty to probe whether the logs match at `previous`.
         entries: Vec<LogEntry>,
         /// The leader's commit index.
         commit: u64,
     },
-    /// A part of a snapshot.
+    /// Installs a chunk of a snapshot.
     InstallSnapshot {
         /// The leader's term.
         term: u64,
-        /// The last entry that the snapshot holds.
+        /// The last entry covered by the snapshot.
         last: LogPosition,
         /// The members at that entry.
         members: Members,
-        /// Where the part stands in the snapshot, in bytes.
+        /// Offset of the chunk in the snapshot, in bytes.
         offset: u64,
-        /// The bytes of the part.
+        /// The bytes of the chunk.
         #[serde(with = "serde_bytes")]
         chunk: Vec<u8>,
-        /// Whether the snapshot is whole with this part.
+        /// Whether this is the last chunk.
         done: bool,
     },
 }
 
-/// What a replica answers.
+/// A reply between replicas.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// To a vote or pre-vote.
+    /// Reply to a vote or pre-vote request.
     Vote {
         /// The voter's term.
         term: u64,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
-        /// Whether the voter neither leads nor has heard a leader since it started.
+        /// Whether the voter neither leads nor has been in contact with a leader since it started.
         leaderless: bool,
     },
-    /// To a heartbeat.
+    /// Reply to a heartbeat or to a chunk that is not the last one.
     Acknowledged {
         /// The peer's term.
         term: u64,
     },
-    /// The peer has synced all entries up to an index.
+    /// The peer has synced all entries through an index.
     Matched {
         /// The peer's term.
         term: u64,
-        /// That index.
+        /// The index.
         index: u64,
     },
-    /// The logs do not agree at the position given; try from an earlier index.
+    /// The logs do not match at the given position; the leader retries from an earlier index.
     Mismatch {
         /// The peer's term.
         term: u64,
-        /// The index from which to try.
+        /// The index to retry from.
         next: u64,
     },
-    /// Another replica runs at the address, so the one that was meant does not run any more.
+    /// Another replica runs at this address, so the addressed one no longer exists there.
     WrongReplica,
-    /// The peer is of another cluster, or its disk refused.
+    /// The peer belongs to another cluster, its disk refused a write, or it did not accept the
+    /// request.
     Refused,
 }
 
--- a/crates/quorum/src/message/tests.rs
+++ b/crates/quorum/src/message/tests.rs
@@ -1,5 +1,5 @@
-//! The bytes of messages between replicas, and of what they write to disk, as they were shipped. They never
-//! change: a new form has lines of its own.
+//! The shipped encodings of messages between replicas and of their records on disk. Existing lines
+//! never change; a new message version gets lines of its own.
 
 use std::net::SocketAddr;
 
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn messages_between_replicas_are_as_they_were_shipped() {
+fn message_bytes_match_the_shipped_format() {
     let addressed = |request| AddressedRequest {
         cluster: 5,
         from: NodeId(300),
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn records_on_disk_are_as_they_were_shipped() {
+fn stored_record_bytes_match_the_shipped_format() {
     let mut lines = vec![
         hex(&StoredRecord::Ballot {
             term: 7,
--- a/crates/quorum/src/propose.rs
+++ b/crates/quorum/src/propose.rs
@@ -1,4 +1,4 @@
-//! Taking proposals and giving them to the state machine once they are committed.
+//! Proposals: appending them to the log and applying them to the state machine once committed.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -10,38 +10,38 @@
 use crate::state::{ProposalWaiter, ReplicaState};
 use crate::{LogPosition, Member, MemberChange, MemberError, Role};
 
-/// Proposals that may wait at one time; more are refused.
+/// Maximum number of pending proposals; more are refused.
 const MAX_PENDING_PROPOSALS: usize = 4_096;
 
-/// The longest time that a proposal waits for its commit.
+/// Maximum time that a proposal waits for its commit.
 pub(crate) const COMMIT_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Why a proposal has no answer.
+/// Why a proposal has no result.
 #[derive(Debug, Clone, Display, derive_more::Error, Serialize, Deserialize)]
 pub enum ProposeError {
-    /// This replica does not lead, or its lease has lapsed. The proposal was not taken.
+    /// This replica is not the leader, or its lease has expired. The proposal was not accepted.
     #[display("not the leader")]
     NotLeader {
-        /// The leader, where it is known.
+        /// The leader, if known.
         leader: Option<Box<Member>>,
     },
-    /// Too many proposals wait. The proposal was not taken.
-    #[display("too many proposals wait")]
+    /// Too many proposals are pending. The proposal was not accepted.
+    #[display("too many pending proposals")]
     Busy,
-    /// A change of members does not fit. It was not taken.
+    /// The membership change is not valid. It was not accepted.
     #[display("{_0}")]
     #[error(ignore)]
     Members(MemberError),
-    /// Another entry took the place of the proposal. It was not taken.
-    #[display("another leader's entry took its place")]
+    /// Another leader's entry replaced the proposal, which has no effect.
+    #[display("replaced by an entry of another leader")]
     Lost,
-    /// The proposal may be committed later, or never.
-    #[display("the outcome is unknown")]
+    /// The proposal may or may not be committed later.
+    #[display("the outcome of the proposal is unknown")]
     Unknown,
 }
 
 impl ReplicaShared {
-    /// Appends a payload as the leader and waits for the answer of the state machine.
+    /// Appends a payload as the leader and waits for the result of the state machine.
     pub(crate) async fn propose_payload(
         &self,
         payload: LogPayload,
@@ -81,7 +81,10 @@
         let members = {
             let state = self.lock();
             self.check_accepts_proposals(&state)?;
-            state.members.after(change).map_err(ProposeError::Members)?
+            state
+                .members
+                .with_change(change)
+                .map_err(ProposeError::Members)?
         };
         self.propose_payload(LogPayload::Members(members)).await?;
         Ok(())
@@ -102,10 +105,10 @@
         Ok(())
     }
 
-    /// Waits until records are synced and counts them as synced.
+    /// Waits until records are synced and advances the synced index.
     ///
-    /// `position` is the last entry among them. It counts only while the log still holds it: a
-    /// newer leader may have had it replaced meanwhile.
+    /// `position` is the last entry among the records. It is counted only if the log still contains
+    /// it: a newer leader may have replaced it in the meantime.
     pub(crate) async fn wait_until_synced(
         &self,
         ticket: Option<linnet_journal::JournalTicket>,
@@ -136,11 +139,11 @@
                 Err(refusal)
             }
             // The journal thread has ended, which ends the process.
-            Err(_) => Err("the journal has ended".to_owned()),
+            Err(_) => Err("the journal thread has ended".to_owned()),
         }
     }
 
-    /// Gives every committed entry that is due to the state machine.
+    /// Applies every committed entry that is not yet applied.
     pub(crate) fn apply_committed(&self) {
         let mut machine = self.lock_machine();
         loop {
@@ -167,7 +170,8 @@
         }
     }
 
-    // A leader that is no voter any more leads until the entry that says so is committed.
+    // A leader that was removed as a voter keeps leading until the entry that removes it is
+    // committed.
     fn step_down_if_removed(&self, state: &mut ReplicaState, applied: u64) {
         let removed = applied >= state.members_index && !state.members.is_voter(state.own_id);
         if state.role == Role::Leader && removed {
@@ -187,8 +191,8 @@
     }
 }
 
-// Two changes of members that overlap could have majorities that do not meet. A new leader must
-// have committed an entry of its own term first, for the same reason.
+// The majorities of two overlapping membership changes may be disjoint. For the same reason a new
+// leader must first have committed an entry of its own term.
 fn check_membership_settled(state: &ReplicaState) -> Result<(), MemberError> {
     let own_term_committed = state.log.term_at(state.commit) == Some(state.term);
     if state.members_index > state.commit || !own_term_committed {
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -1,4 +1,4 @@
-//! The handle of a replica: start, status, formation, compaction.
+//! The handle of a replica: start, status, cluster formation, log compaction.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,25 +18,26 @@
     StateMachineHooks, election, replicate,
 };
 
-/// Entries in memory at which a snapshot is taken.
+/// Number of entries in memory at which a snapshot is taken.
 const SNAPSHOT_LOG_ENTRIES: u64 = 2_000;
 
-/// Bytes of entries in memory at which a snapshot is taken; the journal holds about as many.
+/// Size of the entries in memory at which a snapshot is taken; the journal has about the same size.
 const SNAPSHOT_LOG_BYTES: usize = 4 * 1024 * 1024;
 
-/// Bytes of entries that stay beside a snapshot.
+/// Maximum size of the entries that are retained alongside a snapshot.
 const RETAINED_LOG_BYTES: usize = 1024 * 1024;
 
-/// Entries that stay beside a snapshot, so that a replica a little behind gets entries instead.
+/// Maximum number of entries that are retained alongside a snapshot, so that a replica that lags
+/// slightly receives entries instead of the snapshot.
 const RETAINED_LOG_ENTRIES: u64 = 500;
 
-/// What a replica is doing.
+/// The role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     #[display("follower")]
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     #[display("candidate")]
     Candidate,
     /// Leads its term.
@@ -44,38 +45,38 @@
     Leader,
 }
 
-/// What a replica needs to start.
+/// The configuration of a replica.
 pub struct ReplicaConfig {
-    /// Name, keys and clock towards peers.
+    /// Name, keys and clock for connections to peers.
     pub identity: PeerIdentity,
-    /// Where events go.
+    /// The recorder of events.
     pub recorder: Arc<EventRecorder>,
-    /// The spans of time.
+    /// The timing parameters.
     pub timing: QuorumTiming,
     /// The file operations.
     pub disk: DiskOps,
-    /// Runs when the disk fails for good; must end the process.
+    /// Called if the disk fails permanently; must end the process.
     pub on_fatal: Box<dyn FnOnce(JournalError) + Send>,
 }
 
-/// What a replica tells of itself.
+/// The status of a replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Its identity.
+    /// The identity of the replica.
     pub id: NodeId,
-    /// Its cluster, once formed.
+    /// The cluster, once joined.
     pub cluster: Option<u64>,
-    /// How often a process has opened its folder.
+    /// Number of times that a process has opened its data folder.
     pub incarnation: u64,
-    /// Its term.
+    /// The current term.
     pub term: u64,
-    /// What it does.
+    /// The current role.
     pub role: Role,
-    /// Whether it leads and its lease lasts at the moment of asking.
+    /// Whether it leads with a valid lease at the time of the call.
     pub lease_lasts: bool,
-    /// The leader that it knows of.
+    /// The known leader.
     pub leader: Option<NodeId>,
-    /// The end of its log.
+    /// The last position of its log.
     pub last: LogPosition,
     /// The last index known to be committed.
     pub commit: u64,
@@ -83,36 +84,36 @@
     pub members: Members,
 }
 
-/// Why a replica did not start.
+/// Why a replica could not start.
 #[derive(Debug, Display, derive_more::Error, derive_more::From)]
 pub enum StartError {
     /// The data folder cannot be used.
     #[display("{_0}")]
     Journal(JournalError),
-    /// The system gave no random number for a new identity.
-    #[display("no random number for a new identity")]
+    /// The system provided no random number for a new identity.
+    #[display("cannot generate a random identity")]
     #[from(ignore)]
     NoRandom,
 }
 
-/// Why a cluster was not formed here.
+/// Why a cluster could not be formed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, derive_more::Error, Serialize, Deserialize)]
 pub enum FormError {
     /// The replica belongs to another cluster.
     #[display("the replica belongs to cluster {_0:016x}")]
     #[error(ignore)]
     OtherCluster(u64),
-    /// The founders do not name this replica's identity.
-    #[display("the founders do not name this replica, which is {_0}")]
+    /// The founders do not include this replica's identity.
+    #[display("replica {_0} is not among the founders")]
     #[error(ignore)]
     NotAFounder(NodeId),
-    /// The disk refused.
-    #[display("the disk refused: {_0}")]
+    /// The disk refused a write.
+    #[display("the disk refused the write: {_0}")]
     #[error(ignore)]
     Disk(String),
 }
 
-/// What all tasks of a replica share.
+/// The state shared by all tasks of a replica.
 pub(crate) struct ReplicaShared {
     pub(crate) identity: PeerIdentity,
     pub(crate) recorder: Arc<EventRecorder>,
@@ -125,18 +126,18 @@
     compacting: std::sync::atomic::AtomicBool,
 }
 
-/// A replica of the log. Cheap to clone; tasks run until the process ends.
+/// A replica of the log. Cheap to clone; its tasks run until the process ends.
 #[derive(Clone)]
 pub struct Replica {
     pub(crate) shared: Arc<ReplicaShared>,
 }
 
 impl Replica {
-    /// Opens the data folder, recovers what it holds and starts the tasks on this runtime.
+    /// Opens the data folder, recovers its contents and starts the tasks on this runtime.
     ///
     /// # Errors
     ///
-    /// [`StartError`] when the folder is held, corrupt or cannot be read.
+    /// [`StartError`] if the folder is held by another process, corrupt or unreadable.
     pub fn start(
         folder: &Path,
         hooks: StateMachineHooks,
@@ -188,11 +189,11 @@
         Ok(Self { shared })
     }
 
-    /// Proposes a command and returns what the state machine answered, once it is committed.
+    /// Proposes a command and returns the result of the state machine once it is committed.
     ///
     /// # Errors
     ///
-    /// [`ProposeError`]; only [`ProposeError::Unknown`] leaves the outcome open.
+    /// [`ProposeError`]; the outcome is open only for [`ProposeError::Unknown`].
     pub async fn propose(&self, command: Vec<u8>) -> Result<Vec<u8>, ProposeError> {
         self.shared
             .propose_payload(LogPayload::Command(command))
@@ -208,11 +209,11 @@
         self.shared.propose_member_change(change).await
     }
 
-    /// Makes this blank replica a founder of a cluster. Asked again, it answers the same.
+    /// Makes this blank replica a founder of a cluster. Repeated calls give the same result.
     ///
     /// # Errors
     ///
-    /// [`FormError`]; the replica is as it was.
+    /// [`FormError`]; the replica is unchanged.
     pub async fn form_cluster(&self, cluster: u64, founders: Members) -> Result<(), FormError> {
         let (ticket, position) = {
             let mut state = self.shared.lock();
@@ -227,7 +228,7 @@
                     .join_cluster(&mut state, cluster)
                     .map_err(FormError::Disk)?,
             }
-            // Every founder holds the same first entry, so any of them may lead.
+            // All founders have the same first entry, so any of them may become leader.
             state.set_ballot(1, None);
             state.append_entry(LogEntry {
                 index: 1,
@@ -245,32 +246,33 @@
             .map_err(FormError::Disk)
     }
 
-    /// Says whether this replica leads and its lease lasts now. True answers allow reads of
-    /// authority that began before the call.
+    /// Returns whether this replica leads and its lease is valid now. If so, authoritative reads
+    /// that began before the call may be served.
     pub fn has_valid_lease(&self) -> bool {
         self.shared.lock().has_valid_lease(&self.shared.timing)
     }
 
-    /// Returns the term, which fences what a leader orders.
+    /// Returns the term, which is the fencing token of a leader's orders.
     pub fn term(&self) -> u64 {
         self.shared.lock().term
     }
 
-    /// Returns the index that the state machine has reached.
+    /// Returns the index of the last entry applied to the state machine.
     pub fn applied_index(&self) -> u64 {
         self.shared.lock_machine().applied.index
     }
 
-    /// Says whether the state machine has reached all that was committed before the current term, as a leader
-    /// of that term knows it. Until then what a replica that has just started holds may be older than what was
-    /// acknowledged.
+    /// Returns whether the state machine has applied everything committed before the current term,
+    /// as known to the leader of that term. Until then a replica that has just started may hold
+    /// older state than was acknowledged.
     pub fn has_applied_current_term(&self) -> bool {
         let applied = self.applied_index();
         let state = self.shared.lock();
         state.leader.is_some() && state.log.term_at(applied) == Some(state.term)
     }
 
-    /// Says whether this replica leads, or has heard a leader within the longest time after which another is elected.
+    /// Returns whether this replica leads, or was in contact with a leader within the maximum
+    /// election timeout.
     pub fn has_recent_leader(&self) -> bool {
         let state = self.shared.lock();
         let timing = &self.shared.timing;
@@ -279,7 +281,7 @@
         heard || state.has_valid_lease(timing)
     }
 
-    /// Returns what the replica tells of itself.
+    /// Returns the status of the replica.
     pub fn status(&self) -> ReplicaStatus {
         let incarnation = self.shared.lock_folder().mark().incarnation;
         let state = self.shared.lock();
@@ -297,8 +299,8 @@
         }
     }
 
-    /// Returns the voters that have not answered this leader for a span, the longest silent first;
-    /// nothing where this replica does not lead.
+    /// Returns the voters that have not replied to this leader for `span`, the longest silent
+    /// first; empty if this replica does not lead.
     pub fn silent_voters(&self, span: std::time::Duration) -> Vec<NodeId> {
         let state = self.shared.lock();
         if !state.has_valid_lease(&self.shared.timing) {
@@ -314,19 +316,20 @@
         silent.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Returns a receiver that wakes whenever log, commit or role may have changed.
+    /// Returns a receiver that is notified whenever the log, the commit index or the role may have
+    /// changed.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.shared.changed.subscribe()
     }
 }
 
 impl ReplicaShared {
-    // A panic elsewhere leaves whole values behind each lock, so a poisoned lock is taken over.
+    // A panic leaves consistent values behind each lock, so a poisoned lock is still used.
     pub(crate) fn lock(&self) -> MutexGuard<'_, ReplicaState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the state machine. Order: machine before state.
+    /// Locks the state machine. Lock order: state machine before state.
     pub(crate) fn lock_machine(&self) -> MutexGuard<'_, AppliedStateMachine> {
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -335,7 +338,7 @@
         self.folder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes every task that waits for a change.
+    /// Notifies all tasks that wait for a change.
     pub(crate) fn notify_change(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
@@ -344,7 +347,7 @@
         self.changed.subscribe()
     }
 
-    /// Writes the cluster into the mark of the folder, once in the life of a replica.
+    /// Persists the cluster in the data folder, once in the lifetime of a replica.
     pub(crate) fn join_cluster(
         &self,
         state: &mut ReplicaState,
@@ -363,7 +366,8 @@
             .record(EventCode::DiskRefused, "", refusal.to_owned());
     }
 
-    /// Takes a snapshot when the log has grown, and drops what the snapshot holds.
+    /// Takes a snapshot if the log has become large, and removes the entries that the snapshot
+    /// covers.
     async fn compact_if_large(&self) {
         let job = {
             let mut machine = self.lock_machine();
@@ -414,7 +418,7 @@
     }
 }
 
-/// Returns the first entry that stays beside a snapshot of what is applied.
+/// Returns the index of the first entry retained alongside a snapshot of the applied state.
 fn first_retained_index(state: &ReplicaState, applied: u64) -> u64 {
     let mut first = applied + 1;
     let mut bytes = 0;
@@ -432,7 +436,7 @@
     first
 }
 
-/// Returns the members in force at an index that the log still holds.
+/// Returns the members in force at an index that the log still covers.
 pub(crate) fn members_at(state: &ReplicaState, index: u64) -> Members {
     let base = state.log.base().index;
     let named = state
@@ -453,7 +457,8 @@
         shared.apply_committed();
         if shared.lock_machine().applied.index != before {
             shared.notify_change();
-            // A snapshot is taken beside the applying, so that a slow disk does not hold it up.
+            // The snapshot is taken in a separate task, so that a slow disk does not delay the
+            // application of entries.
             let busy = &shared.compacting;
             if !busy.swap(true, std::sync::atomic::Ordering::AcqRel) {
                 let shared = shared.clone();
--- a/crates/quorum/src/replicate.rs
+++ b/crates/quorum/src/replicate.rs
@@ -1,7 +1,7 @@
-//! What a leader does for each peer: heartbeats, entries, snapshots, promotion.
+//! The leader's tasks for each peer: heartbeats, entries, snapshots, promotion.
 //!
-//! Heartbeats have a connection of their own, so that a peer whose disk is slow to sync entries
-//! still answers them and the lease lasts.
+//! Heartbeats have their own connection, so that a peer whose disk syncs entries slowly still
+//! answers them and the lease stays valid.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,29 +18,30 @@
     LogEntry, LogPosition, Member, MemberChange, Members, NodeId, PeerReply, PeerRequest, Role,
 };
 
-/// Bytes of entries that one message carries.
+/// Maximum size of the entries in one message.
 const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
-/// Bytes of a snapshot that one message carries.
+/// Maximum size of a snapshot chunk in one message.
 const MAX_CHUNK_BYTES: usize = 1024 * 1024;
 
-/// Wait before a peer that could not be reached is tried again.
+/// Interval between attempts to reach a peer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a connection without work stays silent.
+/// Interval between probes on an idle connection.
 const IDLE_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often the leader looks whether a learner is caught up.
+/// Interval between the leader's checks for due membership changes.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A learner within so many entries of the leader's end is caught up.
+/// Maximum number of entries by which a learner may lag behind the leader's log and still count as
+/// caught up.
 const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 16;
 
-/// Starts the tasks of every peer that has none in this term.
+/// Starts the tasks for each peer that has none in this term.
 pub(crate) fn start_peer_tasks(shared: &Arc<ReplicaShared>, term: u64) {
-    let fresh: Vec<Member> = {
+    let new_peers: Vec<Member> = {
         let mut state = shared.lock();
-        if !leads(&state, term) {
+        if !is_leader_of(&state, term) {
             return;
         }
         let own_id = state.own_id;
@@ -63,20 +64,20 @@
             })
             .collect()
     };
-    for member in fresh {
+    for member in new_peers {
         ntex::rt::spawn(send_heartbeats(shared.clone(), member.clone(), term));
         ntex::rt::spawn(send_entries(shared.clone(), member, term));
     }
 }
 
-fn leads(state: &ReplicaState, term: u64) -> bool {
+fn is_leader_of(state: &ReplicaState, term: u64) -> bool {
     state.role == Role::Leader && state.term == term
 }
 
-/// Says whether this replica still leads the term and the peer is still a member.
+/// Returns whether this replica still leads the term and the peer is still a member.
 fn should_serve_peer(shared: &ReplicaShared, peer: NodeId, term: u64) -> bool {
     let state = shared.lock();
-    leads(&state, term) && state.members.find(peer).is_some()
+    is_leader_of(&state, term) && state.members.find(peer).is_some()
 }
 
 async fn send_heartbeats(shared: Arc<ReplicaShared>, peer: Member, term: u64) {
@@ -94,10 +95,10 @@
     remove_progress(&shared, peer.id, term);
 }
 
-// Without its progress a peer that comes back as a member gets fresh tasks.
+// Without a progress record, a peer that becomes a member again gets new tasks.
 fn remove_progress(shared: &ReplicaShared, peer: NodeId, term: u64) {
     let mut state = shared.lock();
-    if leads(&state, term) && state.members.find(peer).is_none() {
+    if is_leader_of(&state, term) && state.members.find(peer).is_none() {
         state.progress.remove(&peer);
     }
 }
@@ -122,17 +123,17 @@
     )
     .await;
     match reply {
-        Some(PeerReply::Acknowledged { term: theirs }) if theirs == term => {
+        Some(PeerReply::Acknowledged { term: peer_term }) if peer_term == term => {
             let mut state = shared.lock();
-            if leads(&state, term)
+            if is_leader_of(&state, term)
                 && let Some(progress) = state.progress.get_mut(&peer.id)
             {
                 progress.last_ack_sent_at = Some(sent);
             }
             true
         }
-        Some(PeerReply::Acknowledged { term: theirs }) => {
-            observe_term(shared, theirs);
+        Some(PeerReply::Acknowledged { term: peer_term }) => {
+            observe_term(shared, peer_term);
             false
         }
         _ => false,
@@ -154,14 +155,14 @@
     request: PeerRequest,
     reader: &mut PeerReader,
     writer: &mut PeerWriter,
-    bound: Duration,
+    reply_timeout: Duration,
 ) -> Option<PeerReply> {
     let message = to_addressed_request(shared, peer, request)?;
     let work = async {
         writer.send(&message).await.ok()?;
         reader.receive::<PeerReply>().await.ok()
     };
-    timeout(bound, work).await.ok()?
+    timeout(reply_timeout, work).await.ok()?
 }
 
 async fn send_entries(shared: Arc<ReplicaShared>, peer: Member, term: u64) {
@@ -184,7 +185,7 @@
     }
 }
 
-/// What is due to a peer.
+/// The next message that a peer needs.
 enum PendingWork {
     Entries {
         previous: LogPosition,
@@ -203,13 +204,13 @@
     writer: &mut PeerWriter,
 ) {
     let mut changes = shared.subscribe();
-    // The first message of a connection finds out where the logs agree.
+    // The first message on a connection determines where the logs match.
     let mut probe = true;
     while should_serve_peer(shared, peer.id, term) {
         changes.mark_unchanged();
         let should_continue = match pending_work(shared, peer.id, probe) {
             PendingWork::None => {
-                // An idle connection is probed now and then, so that the peer keeps it open.
+                // An idle connection is probed periodically, so that the peer keeps it open.
                 probe = timeout(IDLE_PROBE_INTERVAL, changes.changed())
                     .await
                     .is_err();
@@ -227,8 +228,8 @@
                     entries,
                     commit,
                 };
-                let bound = shared.timing.append_timeout;
-                let reply = call_peer(shared, peer, request, reader, writer, bound).await;
+                let reply_timeout = shared.timing.append_timeout;
+                let reply = call_peer(shared, peer, request, reader, writer, reply_timeout).await;
                 apply_reply(shared, peer.id, term, commit, reply)
             }
             PendingWork::Snapshot => send_snapshot(shared, peer, term, reader, writer).await,
@@ -245,8 +246,8 @@
         return PendingWork::None;
     };
     let last = state.log.last().index;
-    let told = progress.sent_commit >= state.commit;
-    if !probe && progress.next_index > last && told {
+    let is_commit_sent = progress.sent_commit >= state.commit;
+    if !probe && progress.next_index > last && is_commit_sent {
         return PendingWork::None;
     }
     let before = progress.next_index - 1;
@@ -281,17 +282,17 @@
     sent_commit: u64,
     reply: Option<PeerReply>,
 ) -> bool {
-    let (theirs, matched, next) = match reply {
+    let (peer_term, matched, next) = match reply {
         Some(PeerReply::Matched { term, index }) => (term, Some(index), index + 1),
         Some(PeerReply::Mismatch { term, next }) => (term, None, next),
         _ => return false,
     };
-    if theirs > term {
-        observe_term(shared, theirs);
+    if peer_term > term {
+        observe_term(shared, peer_term);
         return false;
     }
     let mut state = shared.lock();
-    if !leads(&state, term) {
+    if !is_leader_of(&state, term) {
         return false;
     }
     let Some(progress) = state.progress.get_mut(&peer) else {
@@ -336,8 +337,8 @@
             chunk: bytes[offset..end].to_vec(),
             done,
         };
-        let bound = shared.timing.append_timeout;
-        let reply = call_peer(shared, peer, request, reader, writer, bound).await;
+        let reply_timeout = shared.timing.append_timeout;
+        let reply = call_peer(shared, peer, request, reader, writer, reply_timeout).await;
         if done {
             return apply_reply(shared, peer.id, term, 0, reply);
         }
@@ -348,7 +349,8 @@
     }
 }
 
-/// Brings caught-up learners in, as the leader, one committed change at a time.
+/// As the leader, promotes learners that have caught up and removes silent members, one committed
+/// change at a time.
 pub(crate) async fn run_membership(shared: Arc<ReplicaShared>) {
     let mut seen = Members::default();
     loop {
@@ -377,18 +379,19 @@
         }
         start_peer_tasks(&shared, term);
         if let Some(change) = next_promotion(&shared).or_else(|| next_removal(&shared)) {
-            // A change that is refused or unknown is found due again at the next tick.
+            // A change that is refused or has an unknown outcome is attempted again at the next
+            // interval.
             let _ = shared.propose_member_change(&change).await;
         }
     }
 }
 
-/// Voters below which none is taken out for its silence: one that returns counts again at once,
-/// and a cluster that shrinks bears less.
+/// Number of voters from which none is removed for silence: a voter that returns counts again at
+/// once, and a smaller cluster tolerates fewer failures.
 const MIN_VOTERS: usize = 3;
 
-// A member that was lost for good would count against every majority for ever. One that was only
-// cut off finds itself left out when it returns, and joins again.
+// A permanently lost member would count against every majority forever. One that was only
+// partitioned discovers on its return that it was removed, and joins again.
 fn next_removal(shared: &ReplicaShared) -> Option<MemberChange> {
     let span = shared.timing.removal_timeout?;
     let state = shared.lock();
@@ -406,19 +409,21 @@
     if voters.len() <= MIN_VOTERS || state.leading_since.elapsed() < span {
         return None;
     }
-    // Only while all the others answer, so that what is left can commit without the one that goes.
-    let (gone, left): (Vec<NodeId>, Vec<NodeId>) = voters.into_iter().partition(|id| silent(*id));
-    let fresh = left
+    // Only if enough of the other voters have replied within a lease, so that the rest can commit
+    // without the removed one.
+    let (silent_voters, remaining): (Vec<NodeId>, Vec<NodeId>) =
+        voters.into_iter().partition(|id| silent(*id));
+    let reachable = remaining
         .iter()
         .filter(|id| **id == state.own_id || state.silence_of(**id) < shared.timing.lease_duration);
-    if fresh.count() < MIN_VOTERS {
+    if reachable.count() < MIN_VOTERS {
         return None;
     }
-    gone.first().map(|id| MemberChange::Remove(*id))
+    silent_voters.first().map(|id| MemberChange::Remove(*id))
 }
 
-// The wiped voter goes before its successor counts: until then a majority is one of the voters
-// that hold every commit.
+// A wiped voter is removed before its replacement is promoted: until then each majority consists of
+// voters that hold all committed entries.
 fn next_promotion(shared: &ReplicaShared) -> Option<MemberChange> {
     let state = shared.lock();
     let last = state.log.last().index;
--- a/crates/quorum/src/rule.rs
+++ b/crates/quorum/src/rule.rs
@@ -1,44 +1,44 @@
-//! The rules of voting, commit and lease, as functions of plain facts.
+//! The safety rules of voting, commit and lease, as pure functions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::NodeId;
 
-/// The end of a log: the term counts before the index.
+/// A position in the log, ordered by term before index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term of the last entry.
+    /// The term of the entry.
     pub term: u64,
-    /// The index of the last entry.
+    /// The index of the entry.
     pub index: u64,
 }
 
-/// What a voter knows when it is asked for a vote.
+/// The state of a voter on which its vote depends.
 #[derive(Debug, Clone, Copy)]
 pub struct VoterState {
-    /// Its term.
+    /// The current term of the voter.
     pub term: u64,
-    /// Whom it voted for in that term.
-    pub vote: Option<NodeId>,
-    /// The end of its log.
+    /// The candidate it voted for in that term.
+    pub voted_for: Option<NodeId>,
+    /// The last position of its log.
     pub last: LogPosition,
-    /// Whether it leads, or has heard a leader so lately that a lease may last.
+    /// Whether it leads, or was in contact with a leader so recently that a lease may be valid.
     pub lease_may_last: bool,
 }
 
-/// Says whether a voter gives its vote in `term` to a candidate whose log ends at `last`.
+/// Returns whether a voter grants its vote in `term` to a candidate whose log ends at `last`.
 ///
-/// Invariants: one vote a term; never for a log that ends before the voter's own; never while
-/// another's lease may last.
-pub fn grant_vote(facts: &VoterState, term: u64, candidate: NodeId, last: LogPosition) -> bool {
-    if facts.lease_may_last || term < facts.term || last < facts.last {
+/// Invariants: at most one vote per term; never for a log that ends before the voter's own; never
+/// while the lease of another replica may be valid.
+pub fn grant_vote(voter: &VoterState, term: u64, candidate: NodeId, last: LogPosition) -> bool {
+    if voter.lease_may_last || term < voter.term || last < voter.last {
         return false;
     }
-    let free = term > facts.term || facts.vote.is_none();
-    free || facts.vote == Some(candidate)
+    let free = term > voter.term || voter.voted_for.is_none();
+    free || voter.voted_for == Some(candidate)
 }
 
-/// Returns the greatest index that a majority has synced, given what each voter has synced.
+/// Returns the greatest index synced by a majority, given the synced index of each voter.
 pub fn quorum_index(mut synced: Vec<u64>) -> u64 {
     synced.sort_unstable();
     match synced.len() {
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns the latest instant at which a majority was known to follow, given the sending times of
-/// the last heartbeat that each voter answered; nothing where no majority answered yet.
+/// Returns the latest instant at which a majority is known to have followed the leader, given the
+/// sending time of the last heartbeat that each voter acknowledged; `None` without a majority.
 pub fn quorum_instant<T: Ord + Copy>(mut answered: Vec<Option<T>>) -> Option<T> {
     answered.sort_unstable();
     match answered.len() {
--- a/crates/quorum/src/serve.rs
+++ b/crates/quorum/src/serve.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of peers, one connection at a time.
+//! Serves the requests of peers, one connection at a time.
 
 use std::time::Duration;
 
@@ -16,20 +16,20 @@
     grant_vote,
 };
 
-/// A connection on which no byte passes for so long is closed; its leader is gone or cut off.
+/// A connection without traffic for this time is closed; the leader has stopped or is partitioned.
 const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The largest snapshot that a peer may send, in bytes.
+/// Maximum size of a received snapshot, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 512 * 1024 * 1024;
 
-/// The parts of a snapshot that have come on one connection.
+/// The chunks of a snapshot received on one connection.
 #[derive(Default)]
 struct SnapshotBuffer {
     last: LogPosition,
     bytes: Vec<u8>,
 }
 
-/// Serves agreement on an accepted connection until it ends.
+/// Serves the consensus protocol on an accepted connection until it ends.
 ///
 /// # Errors
 ///
@@ -42,18 +42,18 @@
     let mut reader = reader.with_silence_limit(CONNECTION_IDLE_TIMEOUT);
     let mut writer = writer.with_silence_limit(CONNECTION_IDLE_TIMEOUT);
     let shared = &replica.shared;
-    let mut parts = SnapshotBuffer::default();
+    let mut buffer = SnapshotBuffer::default();
     loop {
         let message: AddressedRequest = reader.receive().await?;
-        let reply = answer(shared, message, &mut parts).await;
+        let reply = handle_request(shared, message, &mut buffer).await;
         writer.send(&reply).await?;
     }
 }
 
-async fn answer(
+async fn handle_request(
     shared: &ReplicaShared,
     message: AddressedRequest,
-    parts: &mut SnapshotBuffer,
+    buffer: &mut SnapshotBuffer,
 ) -> PeerReply {
     if message.to != shared.lock().own_id {
         return PeerReply::WrongReplica;
@@ -80,7 +80,7 @@
             chunk,
             done,
         } => {
-            if !append_chunk(parts, last, offset, chunk) {
+            if !append_chunk(buffer, last, offset, chunk) {
                 return PeerReply::Refused;
             }
             if !record_leader_contact(shared, from, term) {
@@ -89,13 +89,13 @@
             if !done {
                 return PeerReply::Acknowledged { term };
             }
-            let bytes = std::mem::take(&mut parts.bytes);
+            let bytes = std::mem::take(&mut buffer.bytes);
             install_snapshot(shared, term, last, members, bytes).await
         }
     }
 }
 
-// A blank replica takes the cluster of the first leader that calls it by its identity: only an
+// A blank replica joins the cluster of the first leader that addresses it by its identity: only an
 // operator who read that identity can have made it a member.
 fn accepts_cluster(shared: &ReplicaShared, message: &AddressedRequest) -> bool {
     let mut state = shared.lock();
@@ -112,10 +112,10 @@
 
 fn handle_pre_vote(shared: &ReplicaShared, from: NodeId, request: &VoteRequest) -> PeerReply {
     let state = shared.lock();
-    let mut facts = state.vote_facts(&shared.timing, request.leaderless);
-    // A pre-vote asks about a term that the voter has not entered, so its vote there is free.
-    facts.vote = None;
-    let granted = request.term > state.term && grant_vote(&facts, request.term, from, request.last);
+    let mut voter = state.voter_state(&shared.timing, request.leaderless);
+    // A pre-vote is for a term that the voter has not entered, so it has not voted in it.
+    voter.voted_for = None;
+    let granted = request.term > state.term && grant_vote(&voter, request.term, from, request.last);
     PeerReply::Vote {
         term: state.term,
         granted,
@@ -126,9 +126,9 @@
 async fn handle_vote(shared: &ReplicaShared, from: NodeId, request: &VoteRequest) -> PeerReply {
     let (ticket, term, granted, leaderless) = {
         let mut state = shared.lock();
-        let facts = state.vote_facts(&shared.timing, request.leaderless);
-        let granted = grant_vote(&facts, request.term, from, request.last);
-        if request.term > state.term && !facts.lease_may_last {
+        let voter = state.voter_state(&shared.timing, request.leaderless);
+        let granted = grant_vote(&voter, request.term, from, request.last);
+        if request.term > state.term && !voter.lease_may_last {
             state.step_down(request.term, &shared.timing);
         }
         if granted {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Takes note of a leader; false when its term is over.
+/// Records contact with a leader; returns false if its term is over.
 fn record_leader_contact(shared: &ReplicaShared, leader: NodeId, term: u64) -> bool {
     let mut state = shared.lock();
     if term < state.term {
@@ -215,14 +215,14 @@
     if state.term != term {
         return PeerReply::Refused;
     }
-    // An earlier connection may still wait for the sync of entries before these.
+    // An earlier connection may still be waiting for the sync of preceding entries.
     if state.synced < matched.index {
         return PeerReply::Refused;
     }
     state.verified_index = state.verified_index.max(matched.index);
-    let moved = state.follow_leader_commit(commit);
+    let commit_advanced = state.follow_leader_commit(commit);
     drop(state);
-    if moved {
+    if commit_advanced {
         shared.notify_change();
     }
     PeerReply::Matched {
@@ -231,7 +231,7 @@
     }
 }
 
-/// Returns the index to try from when the log does not hold a position.
+/// Returns the index to retry from if the log does not contain a position.
 fn next_index_after_mismatch(state: &ReplicaState, previous: LogPosition) -> Option<u64> {
     let base = state.log.base().index;
     if previous.index < base {
@@ -244,7 +244,7 @@
     }
 }
 
-// Going back a whole term at a time finds the place where the logs agree in few steps.
+// Skipping back one complete term at a time finds the matching position in few steps.
 fn first_index_of_term(state: &ReplicaState, term: u64, index: u64) -> u64 {
     let mut first = index;
     while first > 1 && state.log.term_at(first - 1) == Some(term) {
@@ -253,9 +253,9 @@
     first
 }
 
-/// Appends entries after an agreed position; returns the last position that now agrees.
+/// Appends entries after a matching position; returns the last position that now matches.
 ///
-/// Invariant: a committed entry is never dropped. A leader that would need it is refused.
+/// Invariant: a committed entry is never removed. A leader that would require it is refused.
 fn append_after(
     state: &mut ReplicaState,
     previous: LogPosition,
@@ -285,20 +285,20 @@
 }
 
 fn append_chunk(
-    parts: &mut SnapshotBuffer,
+    buffer: &mut SnapshotBuffer,
     last: LogPosition,
     offset: u64,
     chunk: Vec<u8>,
 ) -> bool {
     if offset == 0 {
-        parts.last = last;
-        parts.bytes.clear();
+        buffer.last = last;
+        buffer.bytes.clear();
     }
-    let in_order = parts.last == last && parts.bytes.len() as u64 == offset;
-    if !in_order || parts.bytes.len() + chunk.len() > MAX_SNAPSHOT_BYTES {
+    let in_order = buffer.last == last && buffer.bytes.len() as u64 == offset;
+    if !in_order || buffer.bytes.len() + chunk.len() > MAX_SNAPSHOT_BYTES {
         return false;
     }
-    parts.bytes.extend(chunk);
+    buffer.bytes.extend(chunk);
     true
 }
 
@@ -330,9 +330,9 @@
         shared.writer.compact(encode(&snapshot), vec![ballot])
     };
     if !matches!(ticket.await, Ok(Ok(()))) {
-        // Memory is ahead of the disk now. The next start reads the old state, and the leader
-        // sends the snapshot again; going on would put entries behind a gap.
-        shared.record_disk_refusal("a snapshot could not be written; the process ends");
+        // Memory is now ahead of the disk. After a restart the old state is read, and the leader
+        // sends the snapshot again; continuing would write entries after a gap.
+        shared.record_disk_refusal("a received snapshot could not be written; exiting");
         std::process::exit(1);
     }
     {
--- a/crates/quorum/src/state.rs
+++ b/crates/quorum/src/state.rs
@@ -1,8 +1,8 @@
-//! The state of a replica, under one lock, and the steps that change it.
+//! The state of a replica, under one lock, and its transitions.
 //!
-//! Every step that must survive a crash pushes records to `pending`; [`ReplicaState::flush`] hands
-//! them to the journal while the lock is held, so the journal sees steps in the order they were
-//! taken. Nothing is answered to a peer before the ticket of its records has resolved.
+//! Every transition that must survive a crash adds records to `pending`; [`ReplicaState::flush`]
+//! passes them to the journal while the lock is held, so the journal receives them in the order of
+//! the transitions. No reply is sent to a peer before the records that it depends on are synced.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -19,22 +19,22 @@
     VoterState,
 };
 
-/// What a leader knows of one peer.
+/// The replication progress of one peer, as known to the leader.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PeerProgress {
     /// The next index to send.
     pub(crate) next_index: u64,
-    /// The peer has synced everything up to here.
+    /// The last index that the peer has synced.
     pub(crate) match_index: u64,
-    /// The commit index that the peer was last told with entries.
+    /// The commit index last sent to the peer with entries.
     pub(crate) sent_commit: u64,
-    /// When the last heartbeat that the peer answered was sent.
+    /// Sending time of the last heartbeat that the peer acknowledged.
     pub(crate) last_ack_sent_at: Option<BootInstant>,
-    /// When this replica began to call the peer.
+    /// Time at which this replica started to contact the peer.
     pub(crate) started_at: BootInstant,
 }
 
-/// Waits for the answer of the state machine to one proposal.
+/// A proposal that waits for the result of the state machine.
 pub(crate) struct ProposalWaiter {
     pub(crate) term: u64,
     pub(crate) done: oneshot::Sender<Result<Vec<u8>, ProposeError>>,
@@ -51,25 +51,25 @@
     /// The last index that this replica has synced.
     pub(crate) synced: u64,
     pub(crate) commit: u64,
-    /// The last index at which the log is known to agree with the leader of this term.
+    /// The last index at which the log is known to match that of the leader of this term.
     pub(crate) verified_index: u64,
     pub(crate) members: Members,
-    /// The index of the entry that names `members`.
+    /// The index of the entry that set `members`.
     pub(crate) members_index: u64,
     /// The members at the base of the log.
     pub(crate) base_members: Members,
     pub(crate) progress: BTreeMap<NodeId, PeerProgress>,
-    /// When a leader was last heard; starts at the start of the process, because the process may
-    /// have answered a heartbeat just before it died.
+    /// Time of the last contact with a leader. Initially the start of the process, because an
+    /// earlier process may have acknowledged a heartbeat just before it crashed.
     pub(crate) last_leader_contact: BootInstant,
-    /// Whether a leader was heard since the start of the process.
+    /// Whether there was contact with a leader since the start of the process.
     pub(crate) leader_seen_since_start: bool,
-    /// When this replica began to lead its term; of use only while it leads.
+    /// Time at which this replica became leader of its term; meaningful only while it leads.
     pub(crate) leading_since: BootInstant,
-    /// When this replica may next start an election.
+    /// Earliest time at which this replica may start an election.
     pub(crate) next_election_at: Instant,
     pub(crate) proposals: HashMap<u64, ProposalWaiter>,
-    /// Whether term and vote in memory are newer than in the journal.
+    /// Whether the term and vote in memory are newer than in the journal.
     ballot_unsaved: bool,
     pending: Vec<StoredRecord>,
 }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Hands what must survive to the journal; the ticket resolves when it is synced.
+    /// Passes pending records to the journal; the ticket resolves once they are synced.
     pub(crate) fn flush(&mut self, writer: &JournalWriter) -> Option<JournalTicket> {
         if self.ballot_unsaved {
             self.ballot_unsaved = false;
@@ -123,27 +123,28 @@
         Some(writer.append(records))
     }
 
-    /// Says whether this replica neither leads nor has heard a leader since it started.
+    /// Returns whether this replica neither leads nor has been in contact with a leader since it
+    /// started.
     pub(crate) fn is_leaderless(&self) -> bool {
         self.role != Role::Leader && !self.leader_seen_since_start
     }
 
-    /// Returns what a vote depends on. A process may have answered a heartbeat just before it was
-    /// started anew, so for a while it refuses votes, unless every voter said in this round that it
-    /// knows no leader.
-    pub(crate) fn vote_facts(&self, timing: &QuorumTiming, leaderless: bool) -> VoterState {
+    /// Returns the state that a vote depends on. A process may have acknowledged a heartbeat just
+    /// before it was restarted, so it refuses votes for a while, unless every voter in this round
+    /// reported that it knows no leader.
+    pub(crate) fn voter_state(&self, timing: &QuorumTiming, leaderless: bool) -> VoterState {
         let quiet = leaderless && self.is_leaderless();
-        let heard_lately =
+        let has_recent_contact =
             !quiet && self.last_leader_contact.elapsed() < timing.min_election_timeout;
         VoterState {
             term: self.term,
-            vote: self.vote,
+            voted_for: self.vote,
             last: self.log.last(),
-            lease_may_last: heard_lately || self.has_valid_lease(timing),
+            lease_may_last: has_recent_contact || self.has_valid_lease(timing),
         }
     }
 
-    /// Says whether this replica leads and its lease lasts at this moment.
+    /// Returns whether this replica leads and its lease is valid now.
     pub(crate) fn has_valid_lease(&self, timing: &QuorumTiming) -> bool {
         self.has_valid_lease_at(timing, BootInstant::now())
     }
@@ -152,10 +153,10 @@
         self.role == Role::Leader && self.has_majority_contact_within(timing.lease_duration, now)
     }
 
-    /// Says whether this replica leads and no majority has answered it for as long as others wait before
-    /// they stand. One that has just begun to lead has that time too: where it was given up after a
-    /// tick of 20 ms, leaders of a fleet that starts at once, with 295 hosts calling them, stepped down
-    /// 94 ms after their election, and the next one came 0.8 s later.
+    /// Returns whether this replica leads and no majority has replied to it within the minimum
+    /// election timeout. A new leader is given that time too: with a limit of one 20 ms check,
+    /// leaders of a fleet that starts at once, with 295 hosts connecting to them, stepped down 94
+    /// ms after their election, and the next leader was elected 0.8 s later.
     pub(crate) fn has_lost_majority(&self, timing: &QuorumTiming, now: BootInstant) -> bool {
         let led = now - self.leading_since;
         self.role == Role::Leader
@@ -163,7 +164,7 @@
             && !self.has_majority_contact_within(timing.min_election_timeout, now)
     }
 
-    /// Says whether a majority answered a heartbeat that was sent within a span.
+    /// Returns whether a majority acknowledged a heartbeat that was sent within `span`.
     pub(crate) fn has_majority_contact_within(&self, span: Duration, now: BootInstant) -> bool {
         let answered = self.members.voters.iter().map(|voter| {
             if voter.id == self.own_id {
@@ -177,7 +178,7 @@
         quorum_instant(answered.collect()).is_some_and(|instant| now - instant < span)
     }
 
-    /// Returns how long a peer has not answered this leader.
+    /// Returns the time for which a peer has not replied to this leader.
     pub(crate) fn silence_of(&self, peer: NodeId) -> Duration {
         let progress = self.progress.get(&peer);
         progress.map_or(Duration::ZERO, |peer| {
@@ -185,7 +186,7 @@
         })
     }
 
-    /// Takes a vote or enters a term.
+    /// Sets the term and the vote in it.
     pub(crate) fn set_ballot(&mut self, term: u64, vote: Option<NodeId>) {
         if term > self.term {
             self.verified_index = 0;
@@ -196,7 +197,7 @@
         self.ballot_unsaved = true;
     }
 
-    /// Gives up leading or standing, and enters a higher term where one was seen.
+    /// Becomes a follower, and enters a higher term if one was seen.
     pub(crate) fn step_down(&mut self, term: u64, timing: &QuorumTiming) {
         if term > self.term {
             self.set_ballot(term, None);
@@ -210,7 +211,7 @@
         self.reset_election_timer(timing);
     }
 
-    /// Chooses by chance when this replica may next start an election.
+    /// Sets the election timer to a random timeout.
     pub(crate) fn reset_election_timer(&mut self, timing: &QuorumTiming) {
         let wait = if self.is_leaderless()
             && self.last_leader_contact.elapsed() < timing.min_election_timeout
@@ -222,7 +223,7 @@
         self.next_election_at = Instant::now() + wait;
     }
 
-    /// Begins to lead the current term.
+    /// Becomes the leader of the current term.
     pub(crate) fn start_leadership(&mut self) {
         self.role = Role::Leader;
         self.leading_since = BootInstant::now();
@@ -243,7 +244,7 @@
         index
     }
 
-    /// Appends an entry that is due next.
+    /// Appends the entry with the next index.
     pub(crate) fn append_entry(&mut self, entry: LogEntry) {
         if let LogPayload::Members(members) = &entry.payload {
             self.members = members.clone();
@@ -253,7 +254,7 @@
         self.log.push(entry);
     }
 
-    /// Drops entries from an index on, because the leader has others there.
+    /// Removes entries from an index on, because the leader has different ones.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         self.log.truncate_from(index);
         self.synced = self.synced.min(index - 1);
@@ -261,7 +262,7 @@
         self.reload_members();
     }
 
-    /// Finds the members in force after the log changed other than by appending.
+    /// Reloads the members in force after the log changed other than by appending.
     pub(crate) fn reload_members(&mut self) {
         match self.log.latest_members() {
             Some((index, members)) => {
@@ -275,18 +276,19 @@
         }
     }
 
-    /// Takes back everything that the disk refused, so that memory and disk agree again.
+    /// Rolls back everything that the disk refused, so that memory and disk match again.
     pub(crate) fn roll_back_unsynced(&mut self, timing: &QuorumTiming) {
         self.log.truncate_from(self.synced + 1);
         self.reload_members();
-        // What the refused records held of term and vote must come before anything later.
+        // The term and vote in the refused records must be written before anything later.
         self.ballot_unsaved = true;
         self.step_down(self.term, timing);
     }
 
-    /// Moves a leader's commit index up to what a majority has synced; says whether it moved.
+    /// Advances the leader's commit index to what a majority has synced; returns whether it
+    /// advanced.
     ///
-    /// Only an entry of the leader's own term is counted; it commits all that stands before it.
+    /// Only an entry of the leader's own term is counted; it commits all entries before it.
     pub(crate) fn advance_commit(&mut self) -> bool {
         if self.role != Role::Leader {
             return false;
@@ -309,7 +311,7 @@
         true
     }
 
-    /// Moves a follower's commit index up to what the leader told, as far as the logs agree.
+    /// Advances a follower's commit index to that of the leader, as far as the logs match.
     pub(crate) fn follow_leader_commit(&mut self, leader_commit: u64) -> bool {
         let commit = leader_commit.min(self.verified_index);
         if commit <= self.commit {
@@ -319,7 +321,7 @@
         true
     }
 
-    /// Resets the log to a snapshot that the leader sent.
+    /// Resets the log to a snapshot received from the leader.
     pub(crate) fn reset_to_snapshot(&mut self, last: LogPosition, members: Members) {
         self.log = ReplicaLog::with_base(last);
         self.base_members = members;
@@ -330,7 +332,7 @@
         self.pending.clear();
     }
 
-    /// Returns the ballot as a record, for the start of a new journal.
+    /// Returns the ballot as the first record of a new journal.
     pub(crate) fn ballot_record(&mut self) -> Vec<u8> {
         self.ballot_unsaved = false;
         encode(&StoredRecord::Ballot {
@@ -340,7 +342,8 @@
     }
 }
 
-/// Returns how long a replica that has heard no leader since its start waits before it stands.
+/// Returns the first election timeout of a replica that has had no contact with a leader since its
+/// start.
 fn first_election_timeout(timing: &QuorumTiming) -> Duration {
     random_duration(
         timing.min_first_election_timeout,
@@ -348,7 +351,8 @@
     )
 }
 
-/// Returns a span between two, by chance, so that voters do not stand at the same moment again.
+/// Returns a random duration between two limits, so that voters do not repeatedly start elections
+/// at the same moment.
 fn random_duration(least: Duration, most: Duration) -> Duration {
     let least = least.as_millis() as u64;
     let most = most.as_millis() as u64;
--- a/crates/quorum/src/state_machine.rs
+++ b/crates/quorum/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that committed commands go to.
+//! The state machine that committed commands are applied to.
 
 use crate::LogPosition;
 
@@ -8,7 +8,8 @@
 
 /// A state machine as three closures.
 ///
-/// `apply` must give the same answer on every replica: no clock, no randomness, no settings.
+/// `apply` must return the same result on every replica: it may use no clock, randomness or
+/// settings.
 pub struct StateMachineHooks {
     pub(crate) apply: ApplyFn,
     pub(crate) snapshot: SnapshotFn,
@@ -16,8 +17,9 @@
 }
 
 impl StateMachineHooks {
-    /// Creates a state machine: `apply` takes index and command and returns the answer, `snapshot`
-    /// returns the whole state as bytes, `restore` takes it back.
+    /// Creates a state machine: `apply` takes an index and a command and returns the result,
+    /// `snapshot` returns the complete state as bytes, and `restore` replaces the state by such
+    /// bytes.
     pub fn new(
         apply: impl FnMut(u64, &[u8]) -> Vec<u8> + Send + 'static,
         snapshot: impl FnMut() -> Vec<u8> + Send + 'static,
@@ -31,7 +33,7 @@
     }
 }
 
-/// The state machine together with the position that it has reached.
+/// The state machine and the position up to which entries are applied.
 pub(crate) struct AppliedStateMachine {
     pub(crate) hooks: StateMachineHooks,
     pub(crate) applied: LogPosition,
--- a/crates/quorum/src/storage.rs
+++ b/crates/quorum/src/storage.rs
@@ -1,4 +1,4 @@
-//! How a replica's state is laid down in the journal and read back.
+//! Storage of a replica's state in the journal, and its recovery.
 
 use linnet_journal::{JournalError, JournalStep, RecoveredJournal};
 use serde::{Deserialize, Serialize};
@@ -6,34 +6,34 @@
 use crate::log::ReplicaLog;
 use crate::{LogEntry, LogPosition, Members, NodeId};
 
-/// A record of the journal.
+/// A journal record.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum StoredRecord {
-    /// Term and vote; the newest counts.
+    /// Term and vote; the newest record counts.
     Ballot { term: u64, vote: Option<NodeId> },
-    /// An entry. Where an entry of this index or a later one stands, it takes their place.
+    /// An entry; it replaces any entry at its index and all later ones.
     Entry(LogEntry),
-    /// Entries from this index on are gone.
+    /// The entries from this index on are removed.
     Truncate { from: u64 },
 }
 
-/// A snapshot of the journal.
+/// A journal snapshot.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct StoredSnapshot {
-    /// The last entry whose effect is in `state`.
+    /// The last entry applied to `state`.
     pub(crate) last: LogPosition,
     /// The members at that entry.
     pub(crate) members: Members,
-    /// The position that the entries kept beside the snapshot follow.
+    /// The position before the first entry retained alongside the snapshot.
     pub(crate) log_base: LogPosition,
     /// The members at that position.
     pub(crate) base_members: Members,
-    /// The state machine.
+    /// The encoded state machine.
     #[serde(with = "serde_bytes")]
     pub(crate) state: Vec<u8>,
 }
 
-/// What a replica had when it stopped.
+/// The recovered state of a replica.
 #[derive(Debug, Default)]
 pub(crate) struct StoredState {
     pub(crate) term: u64,
@@ -49,11 +49,11 @@
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Reads back what a journal holds.
+/// Restores the state from a recovered journal.
 ///
 /// # Errors
 ///
-/// [`JournalError::Corrupt`] when a record is none of ours or does not follow the one before.
+/// [`JournalError::Corrupt`] if a record cannot be decoded or does not follow the previous one.
 pub(crate) fn restore_state(recovered: RecoveredJournal) -> Result<StoredState, JournalError> {
     let mut state = StoredState::default();
     if let Some(bytes) = recovered.snapshot {
@@ -87,9 +87,9 @@
                 return Ok(());
             }
             state.log.truncate_from(entry.index);
-            let due = state.log.last().index + 1;
-            if entry.index != due {
-                let reason = format!("entry {} where {due} is due", entry.index);
+            let expected = state.log.last().index + 1;
+            if entry.index != expected {
+                let reason = format!("found entry {}, expected entry {expected}", entry.index);
                 return Err(corrupt(number, reason));
             }
             state.log.push(entry);
--- a/crates/quorum/src/timing.rs
+++ b/crates/quorum/src/timing.rs
@@ -1,38 +1,40 @@
-//! The spans of time that agreement depends on.
+//! Timing parameters of the consensus protocol.
 
 use std::time::Duration;
 
-/// Spans of time of a quorum; all replicas of a cluster use the same.
+/// Timing parameters of a quorum, equal for all replicas of a cluster.
 ///
-/// Invariant: `lease` is shorter than `min_election_timeout`, with room for clocks that run at different
-/// speed. A voter refuses every vote for `min_election_timeout` after it heard a leader, so no other
-/// leader can be elected while a lease lasts.
+/// Invariant: `lease_duration` is shorter than `min_election_timeout`, with a margin for clocks
+/// that run at different speeds. A voter refuses all votes for `min_election_timeout` after contact
+/// with a leader, so no other leader can be elected while a lease is valid.
 #[derive(Debug, Clone, Copy)]
 pub struct QuorumTiming {
-    /// Between two heartbeats of a leader to one peer.
+    /// Interval between heartbeats of a leader to each peer.
     pub heartbeat_interval: Duration,
-    /// How long a leader may act on a heartbeat that a majority answered, from its sending.
+    /// Duration of a leader's lease, measured from the sending of a heartbeat that a majority
+    /// acknowledged.
     pub lease_duration: Duration,
-    /// The least silence of a leader after which a voter takes part in an election.
+    /// Minimum time without contact to a leader after which a voter takes part in an election.
     pub min_election_timeout: Duration,
-    /// The greatest silence that a voter waits for, by chance, before it starts an election.
+    /// Maximum of the random time without contact to a leader after which a voter starts an
+    /// election.
     pub max_election_timeout: Duration,
-    /// The least and the greatest wait of a replica that has heard no leader since its start before
-    /// it asks whether any voter has.
+    /// Minimum and maximum time that a replica without leader contact since its start waits before
+    /// it asks the voters whether any of them has had contact.
     pub min_first_election_timeout: Duration,
     /// See [`QuorumTiming::min_first_election_timeout`].
     pub max_first_election_timeout: Duration,
-    /// How long a peer may take to answer a vote request.
+    /// Timeout for the reply to a vote request.
     pub vote_timeout: Duration,
-    /// How long a peer may take to answer entries or a part of a snapshot.
+    /// Timeout for the reply to entries or to a chunk of a snapshot.
     pub append_timeout: Duration,
-    /// How long a member may be silent before the leader takes it out, where enough others are
-    /// left; nothing where only operators take members out.
+    /// Time without contact after which the leader removes a member, if enough others remain;
+    /// `None` if only operators remove members.
     pub removal_timeout: Option<Duration>,
 }
 
 impl QuorumTiming {
-    /// Creates the spans for halls that lie a few milliseconds apart.
+    /// Creates the timing for data halls a few milliseconds apart.
     pub fn new() -> Self {
         Self {
             heartbeat_interval: Duration::from_millis(150),
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Sets the pace of heartbeats; lease and elections follow it.
+    /// Sets the heartbeat interval, and the lease duration and election timeouts in proportion.
     pub fn with_heartbeat_interval(mut self, interval: Duration) -> Self {
         self.heartbeat_interval = interval;
         self.lease_duration = interval.mul_f64(3.2);
@@ -56,7 +58,7 @@
         self
     }
 
-    /// Lets the leader take out members that are silent for a span.
+    /// Lets the leader remove members that have been silent for `timeout`.
     pub fn with_removal_timeout(mut self, timeout: Duration) -> Self {
         self.removal_timeout = Some(timeout);
         self
--- a/crates/quorum/tests/stored_form.rs
+++ b/crates/quorum/tests/stored_form.rs
@@ -1,11 +1,11 @@
-//! The form in which entries are stored: folders that an earlier program wrote are read on.
+//! Compatibility of stored entries: data folders written by earlier versions can still be read.
 
 #![allow(clippy::unwrap_used)]
 
 use linnet_quorum::{LogEntry, LogPayload};
 use serde::Serialize;
 
-/// An entry whose command is written as a list of numbers.
+/// An entry whose command is encoded as a list of numbers.
 #[derive(Serialize)]
 struct ListEntry {
     index: u64,
@@ -13,7 +13,7 @@
     payload: ListPayload,
 }
 
-/// The place of a variant counts, not its name.
+/// The position of a variant counts, not its name.
 #[derive(Serialize)]
 #[allow(dead_code)]
 enum ListPayload {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_command_written_as_a_block_has_the_bytes_of_a_list() {
+fn a_command_encoded_as_a_block_has_the_bytes_of_a_list() {
     for length in [0, 1, 127, 128, 70_000] {
         let command: Vec<u8> = (0..length).map(|byte| byte as u8).collect();
         let list = ListEntry {
