--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -169,7 +169,7 @@
     full.rollouts = Some(rollouts);
     full.counted = vec![ReporterCounts {
         reporter: "entry-0/7".to_owned(),
-        counted: counted.clone(),
+        phases: counted.clone(),
     }];
     full.own_gateways = Some(OwnGateways {
         heard: vec![gateway()],
--- a/crates/quorum/src/election.rs
+++ b/crates/quorum/src/election.rs
@@ -49,9 +49,12 @@
 fn should_start_election(shared: &ReplicaShared) -> bool {
     let state = shared.lock();
     let no_leader = state.last_leader_contact.elapsed() >= shared.timing.min_election_timeout;
-    let due = Instant::now() >= state.next_election_at;
+    let is_timer_due = Instant::now() >= state.next_election_at;
     let may_be_leaderless = no_leader || state.is_leaderless();
-    state.role != Role::Leader && state.members.is_voter(state.own_id) && may_be_leaderless && due
+    state.role != Role::Leader
+        && state.members.is_voter(state.own_id)
+        && may_be_leaderless
+        && is_timer_due
 }
 
 async fn run_election(shared: &Arc<ReplicaShared>) {
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -81,7 +81,8 @@
         /// Whether the voter neither leads nor has been in contact with a leader since it started.
         leaderless: bool,
     },
-    /// Reply to a heartbeat or to a chunk that is not the last one.
+    /// Reply to a heartbeat, to a chunk that is not the last one, or to a chunk of a leader whose term
+    /// is over.
     Acknowledged {
         /// The peer's term.
         term: u64,
--- a/crates/quorum/src/propose.rs
+++ b/crates/quorum/src/propose.rs
@@ -46,25 +46,31 @@
         &self,
         payload: LogPayload,
     ) -> Result<Vec<u8>, ProposeError> {
-        let (answer, ticket, position) = {
+        let (result, ticket, position) = {
             let mut state = self.lock();
             self.check_accepts_proposals(&state)?;
             if let LogPayload::Members(_) = payload {
                 check_membership_settled(&state).map_err(ProposeError::Members)?;
             }
             let index = state.append_as_leader(payload);
-            let (done, answer) = oneshot::channel();
+            let (result_sender, result) = oneshot::channel();
             let term = state.term;
-            state.proposals.insert(index, ProposalWaiter { term, done });
+            state.proposals.insert(
+                index,
+                ProposalWaiter {
+                    term,
+                    result_sender,
+                },
+            );
             let ticket = state.flush(&self.writer);
-            (answer, ticket, LogPosition { term, index })
+            (result, ticket, LogPosition { term, index })
         };
         self.notify_change();
         if self.wait_until_synced(ticket, position).await.is_err() {
             self.lock().proposals.remove(&position.index);
             return Err(ProposeError::Unknown);
         }
-        match timeout(COMMIT_TIMEOUT, answer).await {
+        match timeout(COMMIT_TIMEOUT, result).await {
             Ok(Ok(result)) => result,
             _ => {
                 self.lock().proposals.remove(&position.index);
@@ -150,13 +156,13 @@
             let entry = {
                 let state = self.lock();
                 let next = machine.applied.index + 1;
-                let due = (next <= state.commit).then(|| state.log.get(next).cloned());
-                match due.flatten() {
+                let next_entry = (next <= state.commit).then(|| state.log.get(next).cloned());
+                match next_entry.flatten() {
                     Some(entry) => entry,
                     None => return,
                 }
             };
-            let answer = match &entry.payload {
+            let result = match &entry.payload {
                 LogPayload::Command(command) => (machine.hooks.apply)(entry.index, command),
                 LogPayload::Members(_) | LogPayload::Noop => Vec::new(),
             };
@@ -165,7 +171,7 @@
                 index: entry.index,
             };
             let mut state = self.lock();
-            resolve_proposal(&mut state, entry.index, entry.term, answer);
+            resolve_proposal(&mut state, entry.index, entry.term, result);
             self.step_down_if_removed(&mut state, entry.index);
         }
     }
@@ -180,14 +186,14 @@
     }
 }
 
-fn resolve_proposal(state: &mut ReplicaState, index: u64, term: u64, answer: Vec<u8>) {
+fn resolve_proposal(state: &mut ReplicaState, index: u64, term: u64, result: Vec<u8>) {
     if let Some(waiter) = state.proposals.remove(&index) {
         let result = if waiter.term == term {
-            Ok(answer)
+            Ok(result)
         } else {
             Err(ProposeError::Lost)
         };
-        let _ = waiter.done.send(result);
+        let _ = waiter.result_sender.send(result);
     }
 }
 
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -143,10 +143,10 @@
         hooks: StateMachineHooks,
         config: ReplicaConfig,
     ) -> Result<Self, StartError> {
-        let fresh = getrandom::u64().map_err(|_| StartError::NoRandom)?;
-        let folder = DataFolder::open(folder, fresh)?;
+        let new_identity = getrandom::u64().map_err(|_| StartError::NoRandom)?;
+        let folder = DataFolder::open(folder, new_identity)?;
         let (journal, recovered) = Journal::open(&folder, config.disk)?;
-        let torn = recovered.torn_bytes;
+        let torn_bytes = recovered.torn_bytes;
         let stored = restore_state(recovered)?;
         let mark = folder.mark();
         let mut state = ReplicaState::new(NodeId(mark.identity), mark.cluster, &config.timing);
@@ -166,7 +166,7 @@
         state.base_members = stored.base_members;
         state.reload_members();
         let detail = format!(
-            "identity={} term={} last={} torn_bytes={torn}",
+            "identity={} term={} last={} torn_bytes={torn_bytes}",
             state.own_id, state.term, state.synced
         );
         config
@@ -276,9 +276,9 @@
     pub fn has_recent_leader(&self) -> bool {
         let state = self.shared.lock();
         let timing = &self.shared.timing;
-        let heard = state.leader_seen_since_start
+        let has_contact = state.leader_seen_since_start
             && state.last_leader_contact.elapsed() < timing.max_election_timeout;
-        heard || state.has_valid_lease(timing)
+        has_contact || state.has_valid_lease(timing)
     }
 
     /// Returns the status of the replica.
@@ -308,12 +308,12 @@
         }
         let voters = state.members.voters.iter().map(|voter| voter.id);
         let others = voters.filter(|id| *id != state.own_id);
-        let mut silent: Vec<_> = others
+        let mut voters_by_silence: Vec<_> = others
             .map(|id| (state.silence_of(id), id))
             .filter(|(silence, _)| *silence >= span)
             .collect();
-        silent.sort_by(|a, b| b.cmp(a));
-        silent.into_iter().map(|(_, id)| id).collect()
+        voters_by_silence.sort_by(|a, b| b.cmp(a));
+        voters_by_silence.into_iter().map(|(_, id)| id).collect()
     }
 
     /// Returns a receiver that is notified whenever the log, the commit index or the role may have
@@ -374,8 +374,8 @@
             let mut state = self.lock();
             let applied = machine.applied;
             let entries = applied.index - state.log.base().index.min(applied.index);
-            let large = entries > 0 && state.log.bytes() >= SNAPSHOT_LOG_BYTES;
-            if entries < SNAPSHOT_LOG_ENTRIES && !large {
+            let is_large = entries > 0 && state.log.bytes() >= SNAPSHOT_LOG_BYTES;
+            if entries < SNAPSHOT_LOG_ENTRIES && !is_large {
                 return;
             }
             let keep_from = first_retained_index(&state, applied.index);
--- a/crates/quorum/src/replicate.rs
+++ b/crates/quorum/src/replicate.rs
@@ -378,7 +378,7 @@
             continue;
         }
         start_peer_tasks(&shared, term);
-        if let Some(change) = next_promotion(&shared).or_else(|| next_removal(&shared)) {
+        if let Some(change) = next_learner_change(&shared).or_else(|| next_removal(&shared)) {
             // A change that is refused or has an unknown outcome is attempted again at the next
             // interval.
             let _ = shared.propose_member_change(&change).await;
@@ -393,9 +393,9 @@
 // A permanently lost member would count against every majority forever. One that was only
 // partitioned discovers on its return that it was removed, and joins again.
 fn next_removal(shared: &ReplicaShared) -> Option<MemberChange> {
-    let span = shared.timing.removal_timeout?;
+    let timeout = shared.timing.removal_timeout?;
     let state = shared.lock();
-    let silent = |id: NodeId| id != state.own_id && state.silence_of(id) >= span;
+    let silent = |id: NodeId| id != state.own_id && state.silence_of(id) >= timeout;
     let learners = state.members.learners.iter().map(|member| member.id);
     if let Some(learner) = learners.into_iter().find(|id| silent(*id)) {
         return Some(MemberChange::Remove(learner));
@@ -406,7 +406,7 @@
         .iter()
         .map(|member| member.id)
         .collect();
-    if voters.len() <= MIN_VOTERS || state.leading_since.elapsed() < span {
+    if voters.len() <= MIN_VOTERS || state.leading_since.elapsed() < timeout {
         return None;
     }
     // Only if enough of the other voters have replied within a lease, so that the rest can commit
@@ -424,7 +424,7 @@
 
 // A wiped voter is removed before its replacement is promoted: until then each majority consists of
 // voters that hold all committed entries.
-fn next_promotion(shared: &ReplicaShared) -> Option<MemberChange> {
+fn next_learner_change(shared: &ReplicaShared) -> Option<MemberChange> {
     let state = shared.lock();
     let last = state.log.last().index;
     let learner = state.members.learners.iter().find(|learner| {
--- a/crates/quorum/src/rule.rs
+++ b/crates/quorum/src/rule.rs
@@ -49,10 +49,10 @@
 
 /// Returns the latest instant at which a majority is known to have followed the leader, given the
 /// sending time of the last heartbeat that each voter acknowledged; `None` without a majority.
-pub fn quorum_instant<T: Ord + Copy>(mut answered: Vec<Option<T>>) -> Option<T> {
-    answered.sort_unstable();
-    match answered.len() {
+pub fn quorum_instant<T: Ord + Copy>(mut acknowledged: Vec<Option<T>>) -> Option<T> {
+    acknowledged.sort_unstable();
+    match acknowledged.len() {
         0 => None,
-        count => answered[(count - 1) / 2],
+        count => acknowledged[(count - 1) / 2],
     }
 }
--- a/crates/quorum/src/state.rs
+++ b/crates/quorum/src/state.rs
@@ -37,7 +37,7 @@
 /// A proposal that waits for the result of the state machine.
 pub(crate) struct ProposalWaiter {
     pub(crate) term: u64,
-    pub(crate) done: oneshot::Sender<Result<Vec<u8>, ProposeError>>,
+    pub(crate) result_sender: oneshot::Sender<Result<Vec<u8>, ProposeError>>,
 }
 
 pub(crate) struct ReplicaState {
@@ -133,9 +133,9 @@
     /// before it was restarted, so it refuses votes for a while, unless every voter in this round
     /// reported that it knows no leader.
     pub(crate) fn voter_state(&self, timing: &QuorumTiming, leaderless: bool) -> VoterState {
-        let quiet = leaderless && self.is_leaderless();
+        let no_leader = leaderless && self.is_leaderless();
         let has_recent_contact =
-            !quiet && self.last_leader_contact.elapsed() < timing.min_election_timeout;
+            !no_leader && self.last_leader_contact.elapsed() < timing.min_election_timeout;
         VoterState {
             term: self.term,
             voted_for: self.vote,
@@ -166,7 +166,7 @@
 
     /// Returns whether a majority acknowledged a heartbeat that was sent within `span`.
     pub(crate) fn has_majority_contact_within(&self, span: Duration, now: BootInstant) -> bool {
-        let answered = self.members.voters.iter().map(|voter| {
+        let last_acks = self.members.voters.iter().map(|voter| {
             if voter.id == self.own_id {
                 Some(now)
             } else {
@@ -175,7 +175,7 @@
                     .and_then(|peer| peer.last_ack_sent_at)
             }
         });
-        quorum_instant(answered.collect()).is_some_and(|instant| now - instant < span)
+        quorum_instant(last_acks.collect()).is_some_and(|instant| now - instant < span)
     }
 
     /// Returns the time for which a peer has not replied to this leader.
@@ -353,8 +353,8 @@
 
 /// Returns a random duration between two limits, so that voters do not repeatedly start elections
 /// at the same moment.
-fn random_duration(least: Duration, most: Duration) -> Duration {
-    let least = least.as_millis() as u64;
-    let most = most.as_millis() as u64;
-    Duration::from_millis(fastrand::u64(least..=most.max(least)))
+fn random_duration(min: Duration, max: Duration) -> Duration {
+    let min = min.as_millis() as u64;
+    let max = max.as_millis() as u64;
+    Duration::from_millis(fastrand::u64(min..=max.max(min)))
 }
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -56,9 +56,9 @@
     #[test]
     fn a_lease_starts_at_the_sending_time_acknowledged_by_a_majority(ages in prop::collection::vec(prop::option::of(0..50_u64), 1..8)) {
         let now = Instant::now() + Duration::from_secs(1);
-        let answered: Vec<_> = ages.iter().map(|age| age.map(|age| now - Duration::from_millis(age))).collect();
-        let instant = quorum_instant(answered.clone());
-        let within = answered.iter().filter(|own| instant.is_some() && **own >= instant).count();
+        let acknowledged: Vec<_> = ages.iter().map(|age| age.map(|age| now - Duration::from_millis(age))).collect();
+        let instant = quorum_instant(acknowledged.clone());
+        let within = acknowledged.iter().filter(|own| instant.is_some() && **own >= instant).count();
         match instant {
             Some(_) => prop_assert!(within * 2 > ages.len()),
             None => prop_assert!(ages.iter().flatten().count() * 2 <= ages.len()),
--- a/crates/rollout/src/count.rs
+++ b/crates/rollout/src/count.rs
@@ -123,7 +123,7 @@
     /// The incarnation of the entry host.
     pub reporter: String,
     /// Its counts, by service and phase.
-    pub counted: Vec<PhaseCounts>,
+    pub phases: Vec<PhaseCounts>,
 }
 
 /// The counts of one entry host for a service during one phase, in which the share of the tested version is
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -51,8 +51,8 @@
             return;
         }
         self.revision += 1;
-        if let Some(known) = self.reporters.get_mut(reporter) {
-            known.changed_at = self.revision;
+        if let Some(entry) = self.reporters.get_mut(reporter) {
+            entry.changed_at = self.revision;
         }
     }
 
@@ -60,7 +60,7 @@
     /// all others itself.
     pub fn merge_forwarded(&mut self, reported: &[ReporterCounts]) {
         for one in reported {
-            self.merge(&one.reporter, &one.counted);
+            self.merge(&one.reporter, &one.phases);
         }
     }
 
@@ -73,7 +73,7 @@
             .filter(|(_, one)| one.changed_at > revision);
         let reported = changed.map(|(name, one)| ReporterCounts {
             reporter: name.clone(),
-            counted: one.phases.values().cloned().collect(),
+            phases: one.phases.values().cloned().collect(),
         });
         (reported.collect(), self.revision)
     }
@@ -86,13 +86,13 @@
         if self.reporters.len() >= MAX_REPORTERS && !self.reporters.contains_key(reporter) {
             return false;
         }
-        let known = self.reporters.entry(reporter.to_owned()).or_default();
+        let entry = self.reporters.entry(reporter.to_owned()).or_default();
         let mut changed = false;
         for counts in reported {
             let key = (counts.service.clone(), counts.phase);
-            let before = known.phases.get(&key);
+            let before = entry.phases.get(&key);
             if before.is_none_or(|before| is_newer(counts, before)) {
-                known.phases.insert(key, counts.clone());
+                entry.phases.insert(key, counts.clone());
                 changed = true;
             }
         }
@@ -146,8 +146,8 @@
 /// Returns whether counts are newer than others of the same host and phase. If no response was counted in
 /// between, only the requests in flight may differ.
 fn is_newer(counts: &PhaseCounts, before: &PhaseCounts) -> bool {
-    let (now, then) = (responses_of(counts), responses_of(before));
-    now > then || (now == then && counts != before)
+    let (new, old) = (responses_of(counts), responses_of(before));
+    new > old || (new == old && counts != before)
 }
 
 impl RolloutTotals {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -112,16 +112,16 @@
             && progress.totals.former_in_flight == 0
             && progress.totals.lagging_hosts == 0;
         return match may_complete && !is_doubtful {
-            true => RolloutStep::Complete(favorable_cause(progress.totals)),
+            true => RolloutStep::Complete(supporting_cause(progress.totals)),
             false => RolloutStep::NoChange,
         };
     }
-    let planned = target_permille(progress, time);
-    let raises = f64::from(planned) > f64::from(progress.record.permille) * MIN_SHARE_INCREASE;
-    if is_doubtful || !(raises || planned == FULL_PERMILLE) {
+    let target = target_permille(progress, time);
+    let is_increase = f64::from(target) > f64::from(progress.record.permille) * MIN_SHARE_INCREASE;
+    if is_doubtful || !(is_increase || target == FULL_PERMILLE) {
         return RolloutStep::NoChange;
     }
-    RolloutStep::SetShare(planned, favorable_cause(progress.totals))
+    RolloutStep::SetShare(target, supporting_cause(progress.totals))
 }
 
 /// Ends a roll-out whose time is nearly used up.
@@ -134,7 +134,7 @@
         return RolloutStep::Revert(verdict.cause.clone());
     }
     match has_enough_slots(progress) && progress.record.permille == FULL_PERMILLE {
-        true => RolloutStep::Complete(favorable_cause(progress.totals)),
+        true => RolloutStep::Complete(supporting_cause(progress.totals)),
         false => RolloutStep::Revert(RolloutCause::NoTargets),
     }
 }
@@ -152,8 +152,8 @@
     }
     let exposure = allowed_exposure(progress, time);
     let phase = PHASES.iter().rev().find(|(from, _)| time >= *from);
-    let (_, multiple) = phase.filter(|_| has_enough_slots).unwrap_or(&PHASES[0]);
-    let permille = exposure * multiple * f64::from(FULL_PERMILLE);
+    let (_, exposure_factor) = phase.filter(|_| has_enough_slots).unwrap_or(&PHASES[0]);
+    let permille = exposure * exposure_factor * f64::from(FULL_PERMILLE);
     // The version always gets some requests, and all of them only in the final phase.
     (permille.round() as u16).clamp(1, FULL_PERMILLE - 1)
 }
@@ -173,7 +173,7 @@
 }
 
 /// Returns the cause of a step in favour of the version.
-fn favorable_cause(totals: &RolloutTotals) -> RolloutCause {
+fn supporting_cause(totals: &RolloutTotals) -> RolloutCause {
     match totals.responses().0 >= MIN_RESPONSES {
         true => RolloutCause::Evidence,
         false => RolloutCause::Time,
--- a/crates/rollout/src/plan/tests.rs
+++ b/crates/rollout/src/plan/tests.rs
@@ -312,9 +312,9 @@
     let little = RolloutStep::SetShare(35, RolloutCause::Time);
     assert_eq!(step(&none, 0.9, (2, 18)), little);
     assert_eq!(step(&first, 0.9, (2, 18)), RolloutStep::NoChange);
-    let gone = RolloutStep::Revert(RolloutCause::NoTargets);
-    assert_eq!(step(&first, 0.96, (2, 18)), gone);
-    assert_eq!(step(&none, 0.96, (0, 18)), gone);
+    let reverted = RolloutStep::Revert(RolloutCause::NoTargets);
+    assert_eq!(step(&first, 0.96, (2, 18)), reverted);
+    assert_eq!(step(&none, 0.96, (0, 18)), reverted);
     // No former target is left, so there is nothing to revert to.
     let all = RolloutStep::SetShare(1_000, RolloutCause::Time);
     assert_eq!(step(&first, 0.9, (2, 0)), all);
@@ -379,12 +379,12 @@
                 let mut spoiled: Vec<u64> = found.iter().map(|one| one.spoiled).collect();
                 spoiled.sort();
                 let median = spoiled.get(spoiled.len() / 2).copied().unwrap_or(0);
-                let most = outcomes
+                let max_exposure = outcomes
                     .iter()
                     .map(|one| one.tested as f64 / one.requests as f64);
-                let most = most.fold(0.0, f64::max);
+                let max_exposure = max_exposure.fold(0.0, f64::max);
                 println!(
-                    "{per_s}/s {rule_name}: errors {errors} slower {slowdown}: found {:.3}, bad responses until then {median} (p50) {} (most), exposed {most:.3} at most",
+                    "{per_s}/s {rule_name}: errors {errors} slower {slowdown}: found {:.3}, bad responses until then {median} (p50) {} (most), exposed {max_exposure:.3} at most",
                     found.len() as f64 / seeds as f64,
                     spoiled.last().copied().unwrap_or(0)
                 );
--- a/crates/rollout/src/store.rs
+++ b/crates/rollout/src/store.rs
@@ -183,7 +183,7 @@
             let position = |one: &RolloutRecord| (one.revision, one.step);
             if self
                 .newest(service)
-                .is_none_or(|known| position(known) < position(last))
+                .is_none_or(|record| position(record) < position(last))
             {
                 self.services.insert(service.clone(), records.clone());
                 changed = true;
@@ -212,15 +212,15 @@
 
 /// Returns whether an order repeats one that is in progress or done. A version that was reverted may be ordered
 /// again later, once its targets have been fixed.
-fn is_repeat(known: &RolloutRecord, order: &RolloutOrder, now_ms: u64) -> bool {
-    if known.version != order.version {
+fn is_repeat(record: &RolloutRecord, order: &RolloutOrder, now_ms: u64) -> bool {
+    if record.version != order.version {
         return false;
     }
-    let is_recent = known.started_ms + known.duration_ms + REPEAT_WINDOW_MS > now_ms;
-    match known.state {
-        RolloutState::InProgress => known.duration_ms == order.duration_ms,
+    let is_recent = record.started_ms + record.duration_ms + REPEAT_WINDOW_MS > now_ms;
+    match record.state {
+        RolloutState::InProgress => record.duration_ms == order.duration_ms,
         RolloutState::Completed => true,
-        RolloutState::Reverted => known.duration_ms == order.duration_ms && is_recent,
+        RolloutState::Reverted => record.duration_ms == order.duration_ms && is_recent,
     }
 }
 
