--- a/crates/directory/src/machine/tests.rs
+++ b/crates/directory/src/machine/tests.rs
@@ -116,7 +116,7 @@
 }
 
 fn rollout_commands() -> Vec<RolloutCommand> {
-    let begin = |version: &str| RolloutCommand::Begin {
+    let begin = |version: &str| RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: version.to_owned(),
@@ -128,16 +128,16 @@
     vec![
         begin("v2"),
         begin("v3"),
-        RolloutCommand::Look {
+        RolloutCommand::Query {
             service: "desk".to_owned(),
         },
-        RolloutCommand::Move {
+        RolloutCommand::SetShare {
             service: "desk".to_owned(),
-            seen: (1, 0),
+            expected: (1, 0),
             permille: 35,
             cause: RolloutCause::Time,
         },
-        RolloutCommand::End {
+        RolloutCommand::Finish {
             service: "desk".to_owned(),
             revision: 1,
             completed: false,
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -5,7 +5,7 @@
 use linnet_quarantine::SuspectRecord;
 use linnet_quorum::{Member, Members, NodeId};
 use linnet_rate::RateObservation;
-use linnet_rollout::{PhaseCounts, ReporterCounts, RolloutBook};
+use linnet_rollout::{PhaseCounts, ReporterCounts, RolloutStore};
 use serde::{Deserialize, Serialize};
 
 use crate::{DocumentKey, EvacuationStore, PayloadKey};
@@ -156,7 +156,7 @@
     pub suspects: Vec<SuspectRecord>,
     /// The roll-outs of services, if they changed. Sent in an [`UpdateTail`].
     #[serde(skip)]
-    pub rollouts: Option<RolloutBook>,
+    pub rollouts: Option<RolloutStore>,
     /// Counts for roll-outs that entry hosts reported since the last update; sent to control hosts
     /// only, in an [`UpdateTail`].
     #[serde(skip)]
@@ -180,7 +180,7 @@
 pub(crate) struct UpdateTail {
     /// The version of each target of the update, in the same order.
     versions: Vec<String>,
-    rollouts: Option<RolloutBook>,
+    rollouts: Option<RolloutStore>,
     reporter_counts: Vec<ReporterCounts>,
     local_entry_hosts: Option<LocalEntryHosts>,
     leaderless: bool,
--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -149,8 +149,8 @@
 #[test]
 fn tail_encoding_is_unchanged_and_tails_are_optional() {
     use linnet_rollout::{RolloutCommand, RolloutOrder, RouteCounts};
-    let mut rollouts = RolloutBook::default();
-    rollouts.apply(&RolloutCommand::Begin {
+    let mut rollouts = RolloutStore::default();
+    rollouts.apply(&RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: "v2".to_owned(),
@@ -163,14 +163,14 @@
         service: "desk".to_owned(),
         phase: (1, 2),
         routes: vec![("quote".to_owned(), RouteCounts::default())],
-        open_former: 3,
+        former_in_flight: 3,
     }];
     let mut full = update();
     full.targets[0].version = "v2".to_owned();
     full.rollouts = Some(rollouts);
     full.reporter_counts = vec![ReporterCounts {
         reporter: "entry-0/7".to_owned(),
-        counted: counted.clone(),
+        phases: counted.clone(),
     }];
     full.local_entry_hosts = Some(LocalEntryHosts {
         connected: vec![entry_host()],
--- a/crates/directory/src/node.rs
+++ b/crates/directory/src/node.rs
@@ -14,7 +14,7 @@
 
 use derive_more::Display;
 use linnet_quorum::{Member, Replica};
-use linnet_rollout::{ExposureRule, OrderFault, RolloutBook};
+use linnet_rollout::{ExposureLimit, OrderError, RolloutStore};
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::PeerIdentity;
 use tokio::sync::watch;
@@ -76,7 +76,7 @@
     /// The roll-out order is invalid.
     #[display("{_0}")]
     #[error(ignore)]
-    InvalidOrder(OrderFault),
+    InvalidOrder(OrderError),
     /// The configuration has no such service.
     #[display("unknown service {_0}")]
     #[error(ignore)]
@@ -178,12 +178,12 @@
     }
 
     /// Returns the roll-outs that this host has applied.
-    pub fn rollouts(&self) -> Arc<RolloutBook> {
+    pub fn rollouts(&self) -> Arc<RolloutStore> {
         self.shared.machine.rollouts()
     }
 
     /// Sets the limit on what a version may be exposed to during a roll-out.
-    pub fn set_exposure(&self, rule: ExposureRule) {
+    pub fn set_exposure(&self, rule: ExposureLimit) {
         self.lock().exposure = rule;
     }
 
@@ -352,7 +352,7 @@
         let may_announce = &self.shared.may_announce_state;
         if !may_announce.load(Ordering::Relaxed) {
             let is_waiting = self.shared.started.elapsed() < LEADER_WAIT_TIMEOUT;
-            let ready = !is_waiting || self.shared.replica.has_reached_term();
+            let ready = !is_waiting || self.shared.replica.has_applied_current_term();
             may_announce.store(ready, Ordering::Relaxed);
         }
         may_announce.load(Ordering::Relaxed)
@@ -400,7 +400,7 @@
         }
         self.merge_suspects(&update.suspects);
         self.merge_rate_limits(&update.rate_limits);
-        self.lock().evidence.take_told(&update.reporter_counts);
+        self.lock().evidence.merge_forwarded(&update.reporter_counts);
         for heartbeat in &update.heartbeats {
             let change = self
                 .lock()
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use linnet_rollout::{
-    RolloutCause, RolloutCommand, RolloutFacts, RolloutLine, RolloutOrder, RolloutOutcome,
-    RolloutRecord, RolloutState, RolloutStep, RolloutSums, next_step,
+    RolloutCause, RolloutCommand, RolloutLine, RolloutOrder, RolloutOutcome, RolloutProgress,
+    RolloutRecord, RolloutState, RolloutStep, RolloutTotals, next_step,
 };
 use linnet_telemetry::EventCode;
 use tokio::time::sleep;
@@ -90,14 +90,14 @@
         }
         let slots = self.lock().registry.slots_by_version(&order.service);
         let former = slots.into_keys().filter(|one| *one != order.version);
-        let command = RolloutCommand::Begin {
+        let command = RolloutCommand::Start {
             former: former.collect(),
             order,
             now_ms: unix_ms(),
         };
         match self.commit_rollout(command).await? {
-            RolloutOutcome::Held(record) => record.ok_or(DirectoryError::NoQuorum),
-            RolloutOutcome::UnderWay(other) => {
+            RolloutOutcome::Newest(record) => record.ok_or(DirectoryError::NoQuorum),
+            RolloutOutcome::InProgress(other) => {
                 Err(DirectoryError::RolloutInProgress(other.version))
             }
         }
@@ -117,11 +117,11 @@
         }
         let service = service.to_owned();
         match self
-            .commit_rollout(RolloutCommand::Look { service })
+            .commit_rollout(RolloutCommand::Query { service })
             .await?
         {
-            RolloutOutcome::Held(record) => Ok(record),
-            RolloutOutcome::UnderWay(record) => Ok(Some(record)),
+            RolloutOutcome::Newest(record) => Ok(record),
+            RolloutOutcome::InProgress(record) => Ok(Some(record)),
         }
     }
 
@@ -149,7 +149,7 @@
         let lines = services.flat_map(|service| {
             let records = book.history(service).iter();
             let line = |record: &RolloutRecord| {
-                RolloutLine::new(service, record, &state.evidence.sums(service, record))
+                RolloutLine::new(service, record, &state.evidence.totals(service, record))
             };
             records.map(line).collect::<Vec<RolloutLine>>()
         });
@@ -166,7 +166,9 @@
             return;
         };
         let reporter = format!("{}/{:x}", entry_host.name, report.incarnation);
-        self.lock().evidence.take(&reporter, &report.phase_counts);
+        self.lock()
+            .evidence
+            .record_report(&reporter, &report.phase_counts);
     }
 
     async fn commit_rollout(
@@ -188,13 +190,13 @@
             let selected = selected.filter(|(version, _)| (**version == record.version) == tested);
             selected.map(|(_, slots)| slots).sum()
         };
-        let sums: RolloutSums = state.evidence.sums(service, record);
-        next_step(&RolloutFacts {
+        let sums: RolloutTotals = state.evidence.totals(service, record);
+        next_step(&RolloutProgress {
             record,
             elapsed,
             slots: (slots_of(true), slots_of(false)),
-            sums: &sums,
-            rule: state.exposure,
+            totals: &sums,
+            exposure_limit: state.exposure,
         })
     }
 
@@ -205,17 +207,17 @@
         step: RolloutStep,
     ) -> Result<(), DirectoryError> {
         let (service_name, revision) = (service.to_owned(), record.revision);
-        let end = |completed, cause| RolloutCommand::End {
+        let end = |completed, cause| RolloutCommand::Finish {
             service: service_name.clone(),
             revision,
             completed,
             cause,
         };
         let command = match step {
-            RolloutStep::Hold => return Ok(()),
-            RolloutStep::Move(permille, cause) => RolloutCommand::Move {
+            RolloutStep::NoChange => return Ok(()),
+            RolloutStep::SetShare(permille, cause) => RolloutCommand::SetShare {
                 service: service_name.clone(),
-                seen: (revision, record.step),
+                expected: (revision, record.step),
                 permille,
                 cause,
             },
@@ -223,15 +225,15 @@
             RolloutStep::Revert(cause) => end(false, cause),
         };
         let outcome = self.commit_rollout(command).await;
-        if let Ok(RolloutOutcome::Held(Some(record))) = &outcome {
+        if let Ok(RolloutOutcome::Newest(Some(record))) = &outcome {
             self.record_step(service, record);
         }
         outcome.map(|_| ())
     }
 
     fn record_step(&self, service: &str, record: &RolloutRecord) {
-        let sums = self.lock().evidence.sums(service, record);
-        let ((tested, former), (tested_bad, former_bad)) = (sums.answers(), sums.failures());
+        let sums = self.lock().evidence.totals(service, record);
+        let ((tested, former), (tested_bad, former_bad)) = (sums.responses(), sums.failures());
         let detail = format!(
             "service={service} version={} revision={} permille={} state={} cause={} answers={tested}/{former} failures={tested_bad}/{former_bad}",
             record.version, record.revision, record.permille, record.state, record.cause
@@ -255,7 +257,7 @@
             let newest = book.newest(service);
             newest.is_some_and(|one| one.is_in_progress() && one.revision == revision)
         });
-        node.lock().evidence.set_book(&book);
+        node.lock().evidence.retain_in_progress(&book);
         for (service, record) in book.in_progress() {
             // Every control host records when it first saw the order, since it may lead later.
             let elapsed = ages.age_of(service, record);
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -7,7 +7,7 @@
 
 use linnet_quarantine::SuspectStore;
 use linnet_rate::RateStore;
-use linnet_rollout::{EvidenceBook, ExposureRule};
+use linnet_rollout::{EvidenceStore, ExposureLimit};
 use linnet_wire::MessageForm;
 
 use super::suspects::LivenessProbes;
@@ -38,9 +38,9 @@
     /// Rate limits that targets announced to entry hosts.
     pub(crate) rate_limits: RateStore,
     /// Counts for roll-outs, reported by entry hosts.
-    pub(crate) evidence: EvidenceBook,
+    pub(crate) evidence: EvidenceStore,
     /// Limit on what a version may be exposed to before it has proved itself.
-    pub(crate) exposure: ExposureRule,
+    pub(crate) exposure: ExposureLimit,
     pub(crate) subscribers: BTreeMap<u64, SubscriberState>,
     pub(crate) last_subscriber_id: u64,
     /// Entry hosts that disconnected without announcing a stop, and until when they stay in the
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -7,7 +7,7 @@
 
 use linnet_clock::BootInstant;
 use linnet_rate::RateObservation;
-use linnet_rollout::RolloutBook;
+use linnet_rollout::RolloutStore;
 use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
@@ -58,7 +58,7 @@
     is_control: bool,
     offer: Option<DocumentKey>,
     evacuations: Option<Arc<EvacuationStore>>,
-    rollouts: Option<Arc<RolloutBook>>,
+    rollouts: Option<Arc<RolloutStore>>,
     /// Number of the last change of counts for roll-outs that was sent.
     counts_sent: u64,
     sender: DocumentSender,
@@ -324,7 +324,7 @@
 
 fn next_update(node: &DirectoryNode, pushed: &mut Pushed) -> DirectoryUpdate {
     let mut update = DirectoryUpdate {
-        leaderless: !pushed.is_control && !node.replica().hears_leader(),
+        leaderless: !pushed.is_control && !node.replica().has_recent_leader(),
         ..DirectoryUpdate::default()
     };
     if !pushed.is_control && node.may_announce_state() {
--- a/crates/directory/src/view.rs
+++ b/crates/directory/src/view.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use linnet_rollout::{RolloutBook, VersionStanding};
+use linnet_rollout::{RolloutStore, VersionStatus};
 
 use crate::{
     DirectoryUpdate, EntryHostRecord, EvacuationStore, StoredDocument, TargetRecord, TargetState,
@@ -35,7 +35,7 @@
     /// The newest withdrawn incarnation of each target.
     withdrawn: BTreeMap<String, u64>,
     evacuations: EvacuationStore,
-    rollouts: RolloutBook,
+    rollouts: RolloutStore,
     /// When the cold period of a target ends, by identity.
     cold: HashMap<String, Instant>,
     /// Available targets as of the last call of [`DirectoryView::take_changes`].
@@ -125,7 +125,7 @@
     }
 
     /// Returns the roll-outs of services.
-    pub fn rollouts(&self) -> &RolloutBook {
+    pub fn rollouts(&self) -> &RolloutStore {
         &self.rollouts
     }
 
@@ -176,8 +176,10 @@
     fn is_available(&self, id: &str, record: &TargetRecord) -> bool {
         let withdrawn = self.withdrawn.get(id);
         let is_withdrawn = withdrawn.is_some_and(|born| *born >= record.born);
-        let standing = self.rollouts.standing_of(&record.service, &record.version);
-        let is_closed = standing == VersionStanding::Closed;
+        let standing = self
+            .rollouts
+            .version_status(&record.service, &record.version);
+        let is_closed = standing == VersionStatus::Excluded;
         !record.silent
             && !is_withdrawn
             && !is_closed
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -217,7 +217,7 @@
             last_event: None,
         };
         let may_retry =
-            trace.attempts - refusals < request.route.max_attempts && request.route.may_repeat();
+            trace.attempts - refusals < request.route.max_attempts && request.route.is_repeatable();
         let outcome = send_attempt(gateway, request, attempt, may_retry).await;
         if !matches!(outcome, AttemptOutcome::Withheld) {
             run_permit
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -120,7 +120,7 @@
         let now = Instant::now();
         let mut next_start: Option<Instant> = None;
         for number in 0..stages.len() {
-            let is_ready = stages[number].after.iter().all(|after| done[*after]);
+            let is_ready = stages[number].depends_on.iter().all(|after| done[*after]);
             if started[number] || !is_ready {
                 continue;
             }
@@ -172,7 +172,7 @@
         .zip(&request.piece_counts)
         .enumerate();
     let later = stages.map(|(number, (stage, count))| {
-        let starts_later = *count > 0 && (!stage.after.is_empty() || schedule.is_delayed(number));
+        let starts_later = *count > 0 && (!stage.depends_on.is_empty() || schedule.is_delayed(number));
         starts_later.then(|| {
             gateway.stage_client.expect_pieces(ExpectedPieces {
                 pool: select_partition(gateway, request, number, None),
@@ -191,7 +191,7 @@
     let last = final_stages(request);
     for (number, stage_results) in results.iter_mut().enumerate() {
         let mut consumers =
-            (0..stages.len()).filter(|later| stages[*later].after.contains(&number));
+            (0..stages.len()).filter(|later| stages[*later].depends_on.contains(&number));
         if !last.contains(&number) && consumers.all(|later| done[later]) {
             *stage_results = None;
         }
@@ -203,7 +203,7 @@
     results: &[Option<StageResults>],
     number: usize,
 ) -> Vec<String> {
-    let before = request.route.stages[number].after.iter();
+    let before = request.route.stages[number].depends_on.iter();
     let stages = before.filter_map(|after| results[*after].as_ref());
     stages
         .flat_map(|stage| stage.handles.iter().cloned())
@@ -242,7 +242,7 @@
     target_hall: &str,
 ) -> Option<String> {
     let stage = &request.route.stages[number];
-    let inputs = bytes_by_hall(request, results, &stage.after, &gateway.targets.borrow());
+    let inputs = bytes_by_hall(request, results, &stage.depends_on, &gateway.targets.borrow());
     if let Some((hall, bytes)) = inputs.heaviest()
         && bytes >= LARGE_RESULT_BYTES
     {
@@ -261,7 +261,7 @@
     hall: Option<String>,
 ) -> (usize, Result<StageResults, StageFailure>) {
     let stage = &request.route.stages[number];
-    let input = if stage.after.is_empty() {
+    let input = if stage.depends_on.is_empty() {
         PieceInput::Key(request.piece_key.clone())
     } else {
         PieceInput::Results(inputs)
@@ -274,7 +274,7 @@
         number: 0,
         pool: select_partition(gateway, request, number, hall.as_deref()),
         rank: request.rank,
-        first_stage: stage.after.is_empty(),
+        first_stage: stage.depends_on.is_empty(),
         objective_ms: objective.as_millis() as u64,
         remaining_ms: request.time_left().as_millis() as u64,
         preferred_hall: hall,
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -25,7 +25,7 @@
     let mut ends: Vec<(f64, f64)> = Vec::with_capacity(stages.len());
     let mut times: Vec<f64> = Vec::with_capacity(stages.len());
     for (number, stage) in stages.iter().enumerate() {
-        let before = stage.after.iter().map(|before| ends[*before]);
+        let before = stage.depends_on.iter().map(|before| ends[*before]);
         let (start, waits) = before.fold((0.0, 0.0), later_end);
         let count = request.piece_counts[number];
         let load = gateway.stage_client.load_of(&stage.service);
@@ -61,7 +61,7 @@
     for (number, stage) in stages.iter().enumerate().rev() {
         let pool = stage_pool_of(table.as_deref(), &stage.service);
         let total = call_time_ms(pool, request.piece_counts[number]) + after[number];
-        for before in &stage.after {
+        for before in &stage.depends_on {
             after[*before] = after[*before].max(total);
         }
     }
@@ -105,7 +105,7 @@
         let later = stages.iter().zip(&request.piece_counts);
         later
             .into_iter()
-            .any(|(stage, count)| *count > 0 && stage.after.contains(&number))
+            .any(|(stage, count)| *count > 0 && stage.depends_on.contains(&number))
     };
     (0..stages.len())
         .filter(|number| request.piece_counts[*number] > 0 && !is_used_later(*number))
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -66,7 +66,7 @@
         results: Option<RequestResults>,
         attempts: u32,
     ) -> Self {
-        let may_resume = request.route.may_repeat() && attempts < request.route.max_attempts;
+        let may_resume = request.route.is_repeatable() && attempts < request.route.max_attempts;
         Self {
             gateway: gateway.clone(),
             request: request.clone(),
@@ -130,7 +130,7 @@
         let route = &self.request.route.name;
         self.gateway
             .count_response(service, target, route, ResponseQuality::Failed);
-        while self.request.route.may_repeat()
+        while self.request.route.is_repeatable()
             && self.attempts < self.request.route.max_attempts
             && acquire_run_permit(&self.gateway, &self.request, &mut self.run_permit)
                 .await
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_directory::CountSource;
-use linnet_rollout::{RolloutBook, RolloutTally};
+use linnet_rollout::{ResponseTracker, RolloutStore};
 use linnet_routing::RouteKind;
 use linnet_telemetry::EventCode;
 
@@ -32,8 +32,8 @@
 /// The roll-outs in force, and the responses of the versions that this host has counted.
 #[derive(Default)]
 pub(crate) struct RolloutTracker {
-    current: RefCell<RolloutBook>,
-    tally: RefCell<RolloutTally>,
+    current: RefCell<RolloutStore>,
+    tally: RefCell<ResponseTracker>,
     /// Whether this host is connected to a control host.
     is_connected: Cell<bool>,
 }
@@ -123,7 +123,7 @@
         }
         self.record_rollouts(rollouts, is_connected);
         self.rollouts.current.replace(rollouts.clone());
-        self.rollouts.tally.borrow_mut().set_book(rollouts);
+        self.rollouts.tally.borrow_mut().retain_in_progress(rollouts);
         let splits = VersionSplit::all_in_progress(rollouts, is_connected);
         self.metrics.rollouts_open.set(splits.len() as i64);
         self.coordinator.set_splits(&splits);
@@ -132,7 +132,7 @@
     }
 
     /// Records an event for each roll-out that is in progress or has changed.
-    fn record_rollouts(&self, rollouts: &RolloutBook, is_connected: bool) {
+    fn record_rollouts(&self, rollouts: &RolloutStore, is_connected: bool) {
         let known = self.rollouts.current.borrow();
         for (service, record) in rollouts.all_newest() {
             if known.newest(service) == Some(record) && !record.is_in_progress() {
@@ -194,6 +194,6 @@
             ResponseQuality::Timed(_) | ResponseQuality::Good => Some(None),
         };
         let mut tally = self.rollouts.tally.borrow_mut();
-        tally.note(&rollouts, service, (route, version), response);
+        tally.record_response(&rollouts, service, (route, version), response);
     }
 }
--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -44,7 +44,7 @@
         let delayable: Vec<usize> = stages
             .filter(|(number, stage)| {
                 stage.result_bytes >= LARGE_RESULT_BYTES
-                    && stage.after.is_empty()
+                    && stage.depends_on.is_empty()
                     && last.contains(number)
             })
             .map(|(number, _)| number)
--- a/crates/gateway/src/version_split.rs
+++ b/crates/gateway/src/version_split.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use linnet_rollout::{RolloutBook, VersionSide};
+use linnet_rollout::{RolloutStore, VersionSide};
 
 /// The share of all requests, in thousandths.
 const FULL_PERMILLE: f64 = 1_000.0;
@@ -23,7 +23,7 @@
     /// Returns the split of every service with a roll-out in progress, for a host that is or is not connected
     /// to a control host.
     pub(crate) fn all_in_progress(
-        rollouts: &RolloutBook,
+        rollouts: &RolloutStore,
         is_connected: bool,
     ) -> HashMap<String, Self> {
         let splits = rollouts.in_progress().map(|(service, record)| {
--- a/crates/gateway/src/version_split/tests.rs
+++ b/crates/gateway/src/version_split/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn rollouts(permille: u16) -> RolloutBook {
-    let mut rollouts = RolloutBook::default();
-    rollouts.apply(&RolloutCommand::Begin {
+fn rollouts(permille: u16) -> RolloutStore {
+    let mut rollouts = RolloutStore::default();
+    rollouts.apply(&RolloutCommand::Start {
         order: RolloutOrder {
             service: "desk".to_owned(),
             version: "v2".to_owned(),
@@ -13,9 +13,9 @@
         former: vec!["v1".to_owned()],
         now_ms: 0,
     });
-    rollouts.apply(&RolloutCommand::Move {
+    rollouts.apply(&RolloutCommand::SetShare {
         service: "desk".to_owned(),
-        seen: (1, 0),
+        expected: (1, 0),
         permille,
         cause: RolloutCause::Time,
     });
--- a/crates/quorum/src/message/tests.rs
+++ b/crates/quorum/src/message/tests.rs
@@ -1,5 +1,5 @@
-//! The bytes of messages between replicas, and of what they write to disk, as they were shipped. They never
-//! change: a new form has lines of its own.
+//! The shipped encodings of messages between replicas and of their records on disk. Existing lines
+//! never change; a new message version gets lines of its own.
 
 use std::net::SocketAddr;
 
@@ -62,18 +62,18 @@
             term: 7,
             commit: 300,
         },
-        PeerRequest::Append {
+        PeerRequest::AppendEntries {
             term: 7,
             previous: POSITION,
             entries: entries(),
             commit: 300,
         },
-        PeerRequest::Install {
+        PeerRequest::InstallSnapshot {
             term: 7,
             last: POSITION,
             members: members(),
             offset: 128,
-            part: vec![1, 2, 3],
+            chunk: vec![1, 2, 3],
             done: true,
         },
     ]
@@ -86,20 +86,20 @@
             granted: true,
             leaderless: false,
         },
-        PeerReply::Alive { term: 7 },
+        PeerReply::Acknowledged { term: 7 },
         PeerReply::Matched {
             term: 7,
             index: 300,
         },
         PeerReply::Mismatch { term: 7, next: 299 },
-        PeerReply::OtherReplica,
+        PeerReply::WrongReplica,
         PeerReply::Refused,
     ]
 }
 
 #[test]
-fn messages_between_replicas_are_as_they_were_shipped() {
-    let addressed = |request| Addressed {
+fn message_bytes_match_the_shipped_format() {
+    let addressed = |request| AddressedRequest {
         cluster: 5,
         from: NodeId(300),
         to: NodeId(7),
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn records_on_disk_are_as_they_were_shipped() {
+fn stored_record_bytes_match_the_shipped_format() {
     let mut lines = vec![
         hex(&StoredRecord::Ballot {
             term: 7,
--- a/crates/quorum/src/propose.rs
+++ b/crates/quorum/src/propose.rs
@@ -1,4 +1,4 @@
-//! Taking proposals and giving them to the state machine once they are committed.
+//! Proposals: appending them to the log and applying them to the state machine once committed.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -7,103 +7,115 @@
 
 use crate::log::LogPayload;
 use crate::replica::ReplicaShared;
-use crate::state::{ReplicaState, Waiter};
+use crate::state::{ProposalWaiter, ReplicaState};
 use crate::{LogPosition, Member, MemberChange, MemberError, Role};
 
-/// Proposals that may wait at one time; more are refused.
-const MAX_WAITERS: usize = 4_096;
+/// Maximum number of pending proposals; more are refused.
+const MAX_PENDING_PROPOSALS: usize = 4_096;
 
-/// The longest time that a proposal waits for its commit.
-pub(crate) const PROPOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
+/// Maximum time that a proposal waits for its commit.
+pub(crate) const COMMIT_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Why a proposal has no answer.
+/// Why a proposal has no result.
 #[derive(Debug, Clone, Display, derive_more::Error, Serialize, Deserialize)]
 pub enum ProposeError {
-    /// This replica does not lead, or its lease has lapsed. The proposal was not taken.
+    /// This replica is not the leader, or its lease has expired. The proposal was not accepted.
     #[display("not the leader")]
     NotLeader {
-        /// The leader, where it is known.
+        /// The leader, if known.
         leader: Option<Box<Member>>,
     },
-    /// Too many proposals wait. The proposal was not taken.
-    #[display("too many proposals wait")]
+    /// Too many proposals are pending. The proposal was not accepted.
+    #[display("too many pending proposals")]
     Busy,
-    /// A change of members does not fit. It was not taken.
+    /// The membership change is not valid. It was not accepted.
     #[display("{_0}")]
     #[error(ignore)]
     Members(MemberError),
-    /// Another entry took the place of the proposal. It was not taken.
-    #[display("another leader's entry took its place")]
+    /// Another leader's entry replaced the proposal, which has no effect.
+    #[display("replaced by an entry of another leader")]
     Lost,
-    /// The proposal may be committed later, or never.
-    #[display("the outcome is unknown")]
+    /// The proposal may or may not be committed later.
+    #[display("the outcome of the proposal is unknown")]
     Unknown,
 }
 
 impl ReplicaShared {
-    /// Appends a payload as the leader and waits for the answer of the state machine.
+    /// Appends a payload as the leader and waits for the result of the state machine.
     pub(crate) async fn propose_payload(
         &self,
         payload: LogPayload,
     ) -> Result<Vec<u8>, ProposeError> {
-        let (answer, ticket, position) = {
+        let (result, ticket, position) = {
             let mut state = self.lock();
-            self.check_can_propose(&state)?;
+            self.check_accepts_proposals(&state)?;
             if let LogPayload::Members(_) = payload {
-                check_members_settled(&state).map_err(ProposeError::Members)?;
+                check_membership_settled(&state).map_err(ProposeError::Members)?;
             }
-            let index = state.append_own(payload);
-            let (done, answer) = oneshot::channel();
+            let index = state.append_as_leader(payload);
+            let (result_sender, result) = oneshot::channel();
             let term = state.term;
-            state.waiters.insert(index, Waiter { term, done });
+            state.proposals.insert(
+                index,
+                ProposalWaiter {
+                    term,
+                    result_sender,
+                },
+            );
             let ticket = state.flush(&self.writer);
-            (answer, ticket, LogPosition { term, index })
+            (result, ticket, LogPosition { term, index })
         };
-        self.bump();
-        if self.await_synced(ticket, position).await.is_err() {
-            self.lock().waiters.remove(&position.index);
+        self.notify_change();
+        if self.wait_until_synced(ticket, position).await.is_err() {
+            self.lock().proposals.remove(&position.index);
             return Err(ProposeError::Unknown);
         }
-        match timeout(PROPOSE_TIMEOUT, answer).await {
+        match timeout(COMMIT_TIMEOUT, result).await {
             Ok(Ok(result)) => result,
             _ => {
-                self.lock().waiters.remove(&position.index);
+                self.lock().proposals.remove(&position.index);
                 Err(ProposeError::Unknown)
             }
         }
     }
 
     /// Changes one member as the leader and waits for the commit.
-    pub(crate) async fn propose_members(&self, change: &MemberChange) -> Result<(), ProposeError> {
+    pub(crate) async fn propose_member_change(
+        &self,
+        change: &MemberChange,
+    ) -> Result<(), ProposeError> {
         let members = {
             let state = self.lock();
-            self.check_can_propose(&state)?;
-            state.members.after(change).map_err(ProposeError::Members)?
+            self.check_accepts_proposals(&state)?;
+            state
+                .members
+                .with_change(change)
+                .map_err(ProposeError::Members)?
         };
         self.propose_payload(LogPayload::Members(members)).await?;
         Ok(())
     }
 
-    fn check_can_propose(&self, state: &ReplicaState) -> Result<(), ProposeError> {
-        if !state.lease_lasts(&self.timing) {
-            let leader = state.leader.filter(|id| *id != state.me);
+    fn check_accepts_proposals(&self, state: &ReplicaState) -> Result<(), ProposeError> {
+        if !state.has_valid_lease(&self.timing) {
+            let leader = state.leader.filter(|id| *id != state.own_id);
             return Err(ProposeError::NotLeader {
                 leader: leader
                     .and_then(|id| state.members.find(id))
                     .map(|member| Box::new(member.clone())),
             });
         }
-        if state.waiters.len() >= MAX_WAITERS {
+        if state.proposals.len() >= MAX_PENDING_PROPOSALS {
             return Err(ProposeError::Busy);
         }
         Ok(())
     }
 
-    /// Waits until records are synced and counts them as synced.
+    /// Waits until records are synced and advances the synced index.
     ///
-    /// `position` is the last entry among them. It counts only while the log still holds it: a
-    /// newer leader may have had it replaced meanwhile.
-    pub(crate) async fn await_synced(
+    /// `position` is the last entry among the records. It is counted only if the log still contains
+    /// it: a newer leader may have replaced it in the meantime.
+    pub(crate) async fn wait_until_synced(
         &self,
         ticket: Option<linnet_journal::JournalTicket>,
         position: LogPosition,
@@ -120,37 +132,37 @@
                 }
                 if state.advance_commit() {
                     drop(state);
-                    self.bump();
+                    self.notify_change();
                 }
                 Ok(())
             }
             Ok(Err(refusal)) => {
-                state.undo_refused(&self.timing);
+                state.roll_back_unsynced(&self.timing);
                 self.writer.resume();
                 drop(state);
-                self.note_refusal(&refusal);
-                self.bump();
+                self.record_disk_refusal(&refusal);
+                self.notify_change();
                 Err(refusal)
             }
             // The journal thread has ended, which ends the process.
-            Err(_) => Err("the journal has ended".to_owned()),
+            Err(_) => Err("the journal thread has ended".to_owned()),
         }
     }
 
-    /// Gives every committed entry that is due to the state machine.
+    /// Applies every committed entry that is not yet applied.
     pub(crate) fn apply_committed(&self) {
         let mut machine = self.lock_machine();
         loop {
             let entry = {
                 let state = self.lock();
                 let next = machine.applied.index + 1;
-                let due = (next <= state.commit).then(|| state.log.get(next).cloned());
-                match due.flatten() {
+                let next_entry = (next <= state.commit).then(|| state.log.get(next).cloned());
+                match next_entry.flatten() {
                     Some(entry) => entry,
                     None => return,
                 }
             };
-            let answer = match &entry.payload {
+            let result = match &entry.payload {
                 LogPayload::Command(command) => (machine.hooks.apply)(entry.index, command),
                 LogPayload::Members(_) | LogPayload::Noop => Vec::new(),
             };
@@ -159,34 +171,35 @@
                 index: entry.index,
             };
             let mut state = self.lock();
-            answer_waiter(&mut state, entry.index, entry.term, answer);
-            self.leave_if_removed(&mut state, entry.index);
+            resolve_proposal(&mut state, entry.index, entry.term, result);
+            self.step_down_if_removed(&mut state, entry.index);
         }
     }
 
-    // A leader that is no voter any more leads until the entry that says so is committed.
-    fn leave_if_removed(&self, state: &mut ReplicaState, applied: u64) {
-        let removed = applied >= state.members_index && !state.members.is_voter(state.me);
+    // A leader that was removed as a voter keeps leading until the entry that removes it is
+    // committed.
+    fn step_down_if_removed(&self, state: &mut ReplicaState, applied: u64) {
+        let removed = applied >= state.members_index && !state.members.is_voter(state.own_id);
         if state.role == Role::Leader && removed {
             state.step_down(state.term, &self.timing);
         }
     }
 }
 
-fn answer_waiter(state: &mut ReplicaState, index: u64, term: u64, answer: Vec<u8>) {
-    if let Some(waiter) = state.waiters.remove(&index) {
+fn resolve_proposal(state: &mut ReplicaState, index: u64, term: u64, result: Vec<u8>) {
+    if let Some(waiter) = state.proposals.remove(&index) {
         let result = if waiter.term == term {
-            Ok(answer)
+            Ok(result)
         } else {
             Err(ProposeError::Lost)
         };
-        let _ = waiter.done.send(result);
+        let _ = waiter.result_sender.send(result);
     }
 }
 
-// Two changes of members that overlap could have majorities that do not meet. A new leader must
-// have committed an entry of its own term first, for the same reason.
-fn check_members_settled(state: &ReplicaState) -> Result<(), MemberError> {
+// The majorities of two overlapping membership changes may be disjoint. For the same reason a new
+// leader must first have committed an entry of its own term.
+fn check_membership_settled(state: &ReplicaState) -> Result<(), MemberError> {
     let own_term_committed = state.log.term_at(state.commit) == Some(state.term);
     if state.members_index > state.commit || !own_term_committed {
         return Err(MemberError::Pending);
--- a/crates/rollout/src/count.rs
+++ b/crates/rollout/src/count.rs
@@ -1,105 +1,105 @@
-//! Counts of the answers of both versions. All of them only grow, so that a later report of a host replaces an
+//! Counts of the responses of both versions. All counts only grow, so a later report of a host replaces an
 //! earlier one.
 
 use serde::{Deserialize, Serialize};
 
-/// Times are counted in so many spans, each ending at 1.41 times the end of the one before; the first ends at 1 ms
-/// and the last, at 46 s, holds all that took longer.
-const SPANS: usize = 32;
+/// Number of histogram buckets. The first ends at 1 ms, each later one at 1.41 times the end of the one before;
+/// the last, whose nominal end is 46 s, also holds everything longer.
+const BUCKET_COUNT: usize = 32;
 
-/// Which of the two versions of a roll-out a target has.
+/// The side of a roll-out that a target's version is on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionSide {
-    /// The one that is rolled out.
+    /// The version that is rolled out.
     Tested,
-    /// Any other.
+    /// Any other version.
     Former,
 }
 
-/// How many answers took how long.
+/// A histogram of response times.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TimeCounts {
-    /// By span; spans at the end that hold nothing are left out.
-    spans: Vec<u32>,
+pub struct ResponseTimeHistogram {
+    /// Counts by bucket; trailing empty buckets are left out.
+    buckets: Vec<u32>,
 }
 
-impl TimeCounts {
-    /// Counts a time in milliseconds.
-    pub fn note(&mut self, time_ms: f64) {
-        let span = (time_ms.max(1.0).log2() * 2.0).ceil() as usize;
-        let span = span.min(SPANS - 1);
-        if self.spans.len() <= span {
-            self.spans.resize(span + 1, 0);
+impl ResponseTimeHistogram {
+    /// Records a time in milliseconds.
+    pub fn record(&mut self, time_ms: f64) {
+        let bucket = (time_ms.max(1.0).log2() * 2.0).ceil() as usize;
+        let bucket = bucket.min(BUCKET_COUNT - 1);
+        if self.buckets.len() <= bucket {
+            self.buckets.resize(bucket + 1, 0);
         }
-        self.spans[span] = self.spans[span].saturating_add(1);
+        self.buckets[bucket] = self.buckets[bucket].saturating_add(1);
     }
 
-    /// Returns how many were counted.
+    /// Returns the number of recorded times.
     pub fn total(&self) -> u64 {
-        self.above(0)
+        self.count_from(0)
     }
 
-    /// Returns how many took longer than the spans before `first`.
-    pub fn above(&self, first: usize) -> u64 {
-        self.spans
+    /// Returns the number of times in bucket `first` and later ones.
+    pub fn count_from(&self, first: usize) -> u64 {
+        self.buckets
             .iter()
             .skip(first)
             .map(|count| u64::from(*count))
             .sum()
     }
 
-    /// Returns the first span such that at most a part of the times lie in it or later ones.
-    pub fn span_of(&self, part: f64) -> usize {
-        let most = self.total() as f64 * part;
-        let is_rare = |span: &usize| self.above(*span) as f64 <= most;
-        (0..=SPANS).find(is_rare).unwrap_or(SPANS)
+    /// Returns the first bucket such that at most the given fraction of the times lies in it and later ones.
+    pub fn tail_bucket(&self, fraction: f64) -> usize {
+        let limit = self.total() as f64 * fraction;
+        let is_rare = |bucket: &usize| self.count_from(*bucket) as f64 <= limit;
+        (0..=BUCKET_COUNT).find(is_rare).unwrap_or(BUCKET_COUNT)
     }
 
     fn add(&mut self, other: &Self) {
-        if self.spans.len() < other.spans.len() {
-            self.spans.resize(other.spans.len(), 0);
+        if self.buckets.len() < other.buckets.len() {
+            self.buckets.resize(other.buckets.len(), 0);
         }
-        for (own, more) in self.spans.iter_mut().zip(&other.spans) {
+        for (own, more) in self.buckets.iter_mut().zip(&other.buckets) {
             *own = own.saturating_add(*more);
         }
     }
 }
 
-/// Answers of targets of one version.
+/// Responses of targets of one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounts {
     /// Requests that were answered or failed.
-    pub answers: u64,
-    /// Of these, the ones that failed.
+    pub responses: u64,
+    /// Requests among them that failed.
     pub failures: u64,
-    /// How long the others took, in milliseconds, or as a part of what was expected.
-    pub times: TimeCounts,
+    /// Times of the others, in milliseconds or relative to the expected time.
+    pub times: ResponseTimeHistogram,
 }
 
 impl VersionCounts {
-    /// Counts an answer, with its time where that says something; `None` for a failure.
-    pub(crate) fn note(&mut self, answered: Option<Option<f64>>) {
-        self.answers += 1;
-        match answered {
+    /// Records a response, with its time if the time is meaningful; `None` is a failure.
+    pub(crate) fn record(&mut self, response: Option<Option<f64>>) {
+        self.responses += 1;
+        match response {
             None => self.failures += 1,
-            Some(Some(time_ms)) => self.times.note(time_ms),
+            Some(Some(time_ms)) => self.times.record(time_ms),
             Some(None) => {}
         }
     }
 
     pub(crate) fn add(&mut self, other: &Self) {
-        self.answers = self.answers.saturating_add(other.answers);
+        self.responses = self.responses.saturating_add(other.responses);
         self.failures = self.failures.saturating_add(other.failures);
         self.times.add(&other.times);
     }
 }
 
-/// Answers of both versions on one route.
+/// Responses of both versions on one route.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteCounts {
-    /// Targets of the version that is rolled out.
+    /// Responses of the version that is rolled out.
     pub tested: VersionCounts,
-    /// All others.
+    /// Responses of all other versions.
     pub former: VersionCounts,
 }
 
@@ -117,25 +117,25 @@
     }
 }
 
-/// What one start of an entry host counted.
+/// The counts of one incarnation of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReporterCounts {
-    /// The start of the entry host.
+    /// The incarnation of the entry host.
     pub reporter: String,
-    /// Its counts.
-    pub counted: Vec<PhaseCounts>,
+    /// Its counts, by service and phase.
+    pub phases: Vec<PhaseCounts>,
 }
 
-/// What one entry host counted of a service while the share of the tested version was the same. Both versions are
-/// compared within such a phase only: between phases the load differs.
+/// The counts of one entry host for a service during one phase, in which the share of the tested version is
+/// constant. Versions are compared only within a phase, since the load differs between phases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PhaseCounts {
     /// The service.
     pub service: String,
-    /// The roll-out and the phase of it, by the revision and the step of its record.
+    /// The roll-out and its phase: the revision and step of its record.
     pub phase: (u64, u64),
-    /// By route.
+    /// Counts by route.
     pub routes: Vec<(String, RouteCounts)>,
-    /// Requests of this host that are under way at targets of other versions.
-    pub open_former: u32,
+    /// Requests of this host in flight at targets of other versions.
+    pub former_in_flight: u32,
 }
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -1,73 +1,73 @@
-//! How strongly the counts speak against a version.
+//! Tests how strongly the counts speak against a version.
 //!
-//! For each route, and for all together, two things are tested: whether more answers fail than those of the former
-//! versions do, and whether more of them are late by the times of those. Each test bets against the tested version
-//! at several rates and keeps the mean of its wins; under the assumption that the version is no worse, the chance
-//! that this mean ever reaches w is 1/w at most, however often it is looked at. So the counts may be judged with
-//! each report, and there is no least number of answers to wait for.
+//! For each route, and for all routes together, two hypotheses are tested: that more responses fail than those
+//! of the former versions, and that more of them are slow relative to those. Each test bets against the tested
+//! version at several bet sizes and averages the gains (a test martingale). If the version is no worse, the
+//! probability that this mean ever reaches w is at most 1/w, however often it is checked. So the counts can be
+//! evaluated with each report, without a minimum number of responses.
 
 use std::collections::BTreeMap;
 
-use crate::{RolloutCause, RolloutSums, RouteCounts, VersionCounts};
+use crate::{RolloutCause, RolloutTotals, RouteCounts, VersionCounts};
 
-/// The rates at which is bet: each tests against an error share that is about so much higher.
-const BETS: [f64; 4] = [0.03, 0.1, 0.3, 0.7];
+/// Bet sizes; each one tests against a failure share that is higher by about that amount.
+const BET_SIZES: [f64; 4] = [0.03, 0.1, 0.3, 0.7];
 
-/// Shares of the former versions' times that count as late, one test each.
-const LATE_PARTS: [f64; 3] = [0.5, 0.2, 0.05];
+/// Shares of the slowest responses of former versions that define slow; one test for each.
+const TAIL_SHARES: [f64; 3] = [0.5, 0.2, 0.05];
 
-/// Spans by which the tested version's times may be longer: one is a factor of 1.41. Its targets may have started
-/// lately and hold little.
-const TIME_SLACK: usize = 1;
+/// Number of buckets by which times of the tested version may be longer; one bucket is a factor of 1.41. Its
+/// targets may have started recently, with little cached.
+const BUCKET_SLACK: usize = 1;
 
-/// Answers of former versions in a phase that are enough to compare with.
-const LEAST_FORMER: u64 = 20;
+/// Minimum number of responses of former versions to compare against.
+const MIN_FORMER_RESPONSES: u64 = 20;
 
-/// The error share that is assumed where nothing is known of former versions.
-const UNKNOWN_SHARE: f64 = 0.2;
+/// Failure share that is assumed if there are no counts of former versions.
+const DEFAULT_BAD_SHARE: f64 = 0.2;
 
-/// The least error share that is assumed of former versions: fewer errors cannot be told from none.
-const LEAST_SHARE: f64 = 0.005;
+/// Minimum failure share that is assumed of former versions: lower shares cannot be distinguished from zero.
+const MIN_BAD_SHARE: f64 = 0.005;
 
-/// By how many deviations a share that was counted may be too low.
-const DEVIATIONS: f64 = 1.64;
+/// Number of standard deviations of the confidence bound on a counted share.
+const CONFIDENCE_DEVIATIONS: f64 = 1.64;
 
-/// The name of all routes together.
+/// Route name that stands for all routes together.
 const ALL_ROUTES: &str = "*";
 
-/// What the counts say.
+/// The evaluation of the counts.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Verdict {
-    /// The natural logarithm of the mean win of all tests; above 0 speaks against the version.
-    pub against: f64,
-    /// What speaks against it most.
+pub struct RolloutVerdict {
+    /// Natural logarithm of the mean gain of all tests; a value above 0 speaks against the version.
+    pub log_gain: f64,
+    /// The strongest evidence against the version.
     pub cause: RolloutCause,
 }
 
-/// The wins of one test in one phase, as logarithms, by rate.
+/// Logarithms of the gains of one test in one phase, by bet size.
 #[derive(Clone, Copy)]
-struct Wins([f64; BETS.len()]);
+struct LogGains([f64; BET_SIZES.len()]);
 
-impl Wins {
-    /// Returns the wins with so many bad answers of all, where a part of them is expected to be bad.
-    fn of(bad: u64, all: u64, expected: f64) -> Self {
+impl LogGains {
+    /// Returns the gains for `bad` of `all` responses if the share `expected` of them is expected to be bad.
+    fn new(bad: u64, all: u64, expected: f64) -> Self {
         let good = all.saturating_sub(bad);
-        Self(BETS.map(|bet| {
-            let won = (1.0 + bet * (1.0 / expected - 1.0)).ln();
-            let lost = (1.0 - bet).ln();
-            bad as f64 * won + good as f64 * lost
+        Self(BET_SIZES.map(|size| {
+            let gain = (1.0 + size * (1.0 / expected - 1.0)).ln();
+            let loss = (1.0 - size).ln();
+            bad as f64 * gain + good as f64 * loss
         }))
     }
 }
 
-/// Returns the mean win over the rates, and over the phases in which the betting may begin: a version may have turned
-/// bad after many good answers.
-fn mean_win(phases: impl DoubleEndedIterator<Item = Wins>) -> f64 {
-    let mut sums = [0.0; BETS.len()];
+/// Returns the logarithm of the mean gain over the bet sizes and over the phases in which betting may start: a
+/// version may turn bad after many good responses.
+fn log_mean_gain(phases: impl DoubleEndedIterator<Item = LogGains>) -> f64 {
+    let mut sums = [0.0; BET_SIZES.len()];
     let mut logs = vec![0.0];
-    for wins in phases.rev() {
-        for (sum, win) in sums.iter_mut().zip(wins.0) {
-            *sum += win;
+    for gains in phases.rev() {
+        for (sum, gain) in sums.iter_mut().zip(gains.0) {
+            *sum += gain;
         }
         logs.extend(sums);
     }
@@ -75,36 +75,36 @@
 }
 
 fn log_mean(logs: &[f64]) -> f64 {
-    let most = logs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let sum: f64 = logs.iter().map(|log| (log - most).exp()).sum();
-    most + (sum / logs.len() as f64).ln()
+    let max = logs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let sum: f64 = logs.iter().map(|log| (log - max).exp()).sum();
+    max + (sum / logs.len() as f64).ln()
 }
 
-/// Returns the bound of a share that was counted, so many deviations away from it.
+/// Returns the Wilson confidence bound of a counted share at a number of standard deviations.
 fn share_bound(bad: u64, all: u64, deviations: f64) -> f64 {
     let (n, squared) = (all as f64, deviations * deviations);
     let share = bad as f64 / n;
-    let middle = share + squared / (2.0 * n);
+    let center = share + squared / (2.0 * n);
     let spread = deviations * (share * (1.0 - share) / n + squared / (4.0 * n * n)).sqrt();
-    (middle + spread) / (1.0 + squared / n)
+    (center + spread) / (1.0 + squared / n)
 }
 
-/// Returns a share that is hardly too low for what was counted.
+/// Returns an upper confidence bound of a counted share.
 fn upper_share(bad: u64, all: u64) -> f64 {
     if all == 0 {
-        return UNKNOWN_SHARE;
+        return DEFAULT_BAD_SHARE;
     }
-    share_bound(bad, all, DEVIATIONS).clamp(LEAST_SHARE, 0.99)
+    share_bound(bad, all, CONFIDENCE_DEVIATIONS).clamp(MIN_BAD_SHARE, 0.99)
 }
 
-/// Judges the version that is rolled out.
-pub fn judge(sums: &RolloutSums) -> Verdict {
-    let routes = by_route(sums);
+/// Evaluates the version that is rolled out.
+pub fn evaluate_rollout(totals: &RolloutTotals) -> RolloutVerdict {
+    let routes = by_route(totals);
     let mut logs = Vec::new();
     let mut worst = (f64::NEG_INFINITY, RolloutCause::Evidence);
     for (route, phases) in &routes {
-        let failures = failure_wins(phases);
-        let slowness = LATE_PARTS.map(|part| late_wins(phases, part));
+        let failures = failure_gains(phases);
+        let slowness = TAIL_SHARES.map(|share| slowness_gains(phases, share));
         if failures > worst.0 {
             worst = (failures, RolloutCause::Failures(route.clone()));
         }
@@ -116,8 +116,8 @@
         }
         logs.push(failures);
     }
-    Verdict {
-        against: if logs.is_empty() {
+    RolloutVerdict {
+        log_gain: if logs.is_empty() {
             0.0
         } else {
             log_mean(&logs)
@@ -126,10 +126,10 @@
     }
 }
 
-/// Returns the counts of each route by phase, and of all together.
-fn by_route(sums: &RolloutSums) -> BTreeMap<String, Vec<RouteCounts>> {
+/// Returns the counts by phase for each route and for all routes together.
+fn by_route(totals: &RolloutTotals) -> BTreeMap<String, Vec<RouteCounts>> {
     let mut routes: BTreeMap<String, Vec<RouteCounts>> = BTreeMap::new();
-    for phase in sums.phases.values() {
+    for phase in totals.phases.values() {
         let mut all = RouteCounts::default();
         for (route, counts) in phase {
             all.add(counts);
@@ -143,47 +143,52 @@
     routes
 }
 
-/// Returns the share of bad answers that is expected of a version that is no worse: what was counted of the former
-/// ones in all phases, unless they clearly were worse in this one.
-fn expected_share((bad, all): (u64, u64), (whole_bad, whole): (u64, u64)) -> f64 {
-    let usual = upper_share(whole_bad, whole);
-    let is_worse = all >= LEAST_FORMER && share_bound(bad, all, -DEVIATIONS) > usual;
+/// Returns the share of bad responses to expect of a version that is no worse: that of the former versions over
+/// all phases, unless they were clearly worse in this phase.
+fn expected_share((bad, all): (u64, u64), (total_bad, total): (u64, u64)) -> f64 {
+    let overall = upper_share(total_bad, total);
+    let is_worse =
+        all >= MIN_FORMER_RESPONSES && share_bound(bad, all, -CONFIDENCE_DEVIATIONS) > overall;
     if is_worse {
         upper_share(bad, all)
     } else {
-        usual
+        overall
     }
 }
 
-fn whole_former(phases: &[RouteCounts]) -> VersionCounts {
-    let mut whole = VersionCounts::default();
-    phases.iter().for_each(|phase| whole.add(&phase.former));
-    whole
+fn former_totals(phases: &[RouteCounts]) -> VersionCounts {
+    let mut total = VersionCounts::default();
+    phases.iter().for_each(|phase| total.add(&phase.former));
+    total
 }
 
-fn failure_wins(phases: &[RouteCounts]) -> f64 {
-    let whole = whole_former(phases);
-    let wins = phases.iter().map(|phase| {
-        let former = (phase.former.failures, phase.former.answers);
-        let expected = expected_share(former, (whole.failures, whole.answers));
-        Wins::of(phase.tested.failures, phase.tested.answers, expected)
+fn failure_gains(phases: &[RouteCounts]) -> f64 {
+    let total = former_totals(phases);
+    let gains = phases.iter().map(|phase| {
+        let former = (phase.former.failures, phase.former.responses);
+        let expected = expected_share(former, (total.failures, total.responses));
+        LogGains::new(phase.tested.failures, phase.tested.responses, expected)
     });
-    mean_win(wins)
+    log_mean_gain(gains)
 }
 
-fn late_wins(phases: &[RouteCounts], part: f64) -> f64 {
-    let whole = whole_former(phases).times;
-    if whole.total() < LEAST_FORMER {
+fn slowness_gains(phases: &[RouteCounts], share: f64) -> f64 {
+    let total = former_totals(phases).times;
+    if total.total() < MIN_FORMER_RESPONSES {
         return 0.0;
     }
-    let span = whole.span_of(part);
-    let wins = phases.iter().map(|phase| {
+    let bucket = total.tail_bucket(share);
+    let gains = phases.iter().map(|phase| {
         let (former, tested) = (&phase.former.times, &phase.tested.times);
-        let of_phase = (former.above(span), former.total());
-        let expected = expected_share(of_phase, (whole.above(span), whole.total()));
-        Wins::of(tested.above(span + TIME_SLACK), tested.total(), expected)
+        let of_phase = (former.count_from(bucket), former.total());
+        let expected = expected_share(of_phase, (total.count_from(bucket), total.total()));
+        LogGains::new(
+            tested.count_from(bucket + BUCKET_SLACK),
+            tested.total(),
+            expected,
+        )
     });
-    mean_win(wins)
+    log_mean_gain(gains)
 }
 
 #[cfg(test)]
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Matching and checks of a configuration, as tables of cases.
+//! Tests of route matching and configuration validation, as tables of cases.
 
 use linnet_routing::*;
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_prefix_of_the_host_is_chosen() {
     let table = RouteTable::new(config(vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -69,9 +69,9 @@
         ("c.example", "/x/1", None),
         ("", "/x/1", None),
     ];
-    for (host, path, wanted) in cases {
+    for (host, path, expected) in cases {
         let found = table.find_route(host, path).map(|r| r.name.as_str());
-        assert_eq!(found, wanted, "{host} {path}");
+        assert_eq!(found, expected, "{host} {path}");
     }
 }
 
@@ -93,22 +93,22 @@
 }
 
 #[test]
-fn every_fault_is_found_at_once() {
+fn all_config_errors_are_reported_at_once() {
     let mut bad = route("bad", "a.example", "/x/");
     bad.timeout_ms = 0;
     bad.split[0].weight = 0;
     bad.stages.push(StageSpec {
         service: "nowhere".into(),
-        after: vec![0],
+        depends_on: vec![0],
         result_bytes: 1,
     });
     let mut config = config(vec![route("good", "A.example", "/x/"), bad]);
     config.accounts.push(account("b", "key-a"));
-    let told: Vec<String> = check_config(&config)
+    let reported: Vec<String> = check_config(&config)
         .iter()
         .map(|f| f.to_string())
         .collect();
-    let wanted = [
+    let expected = [
         "route bad: unknown service nowhere",
         "route bad: the weights add up to 0",
         "route bad: the timeout is 0",
@@ -116,11 +116,11 @@
         "routes good and bad share host and prefix",
         "accounts a and b share a key",
     ];
-    assert_eq!(told, wanted);
+    assert_eq!(reported, expected);
 }
 
 #[test]
-fn a_valid_configuration_has_no_fault() {
+fn a_valid_configuration_has_no_errors() {
     let routes = vec![
         route("a", "a.example", "/x/"),
         route("b", "a.example", "/y/"),
