--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -253,7 +253,12 @@
     }
 }
 
-type Snapshot = (Option<Document>, EvacuationStore, HeldRequests, RolloutStore);
+type Snapshot = (
+    Option<Document>,
+    EvacuationStore,
+    HeldRequests,
+    RolloutStore,
+);
 
 /// Decodes a snapshot. One that an older program wrote ends after the document, or after one of the
 /// later parts.
--- a/crates/directory/src/node.rs
+++ b/crates/directory/src/node.rs
@@ -400,7 +400,9 @@
         }
         self.merge_suspects(&update.suspects);
         self.merge_rate_limits(&update.rate_limits);
-        self.lock().evidence.merge_forwarded(&update.reporter_counts);
+        self.lock()
+            .evidence
+            .merge_forwarded(&update.reporter_counts);
         for heartbeat in &update.heartbeats {
             let change = self
                 .lock()
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -172,7 +172,8 @@
         .zip(&request.piece_counts)
         .enumerate();
     let later = stages.map(|(number, (stage, count))| {
-        let starts_later = *count > 0 && (!stage.depends_on.is_empty() || schedule.is_delayed(number));
+        let starts_later =
+            *count > 0 && (!stage.depends_on.is_empty() || schedule.is_delayed(number));
         starts_later.then(|| {
             gateway.stage_client.expect_pieces(ExpectedPieces {
                 pool: select_partition(gateway, request, number, None),
@@ -242,7 +243,12 @@
     target_hall: &str,
 ) -> Option<String> {
     let stage = &request.route.stages[number];
-    let inputs = bytes_by_hall(request, results, &stage.depends_on, &gateway.targets.borrow());
+    let inputs = bytes_by_hall(
+        request,
+        results,
+        &stage.depends_on,
+        &gateway.targets.borrow(),
+    );
     if let Some((hall, bytes)) = inputs.heaviest()
         && bytes >= LARGE_RESULT_BYTES
     {
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -123,7 +123,10 @@
         }
         self.record_rollouts(rollouts, is_connected);
         self.rollouts.current.replace(rollouts.clone());
-        self.rollouts.tally.borrow_mut().retain_in_progress(rollouts);
+        self.rollouts
+            .tally
+            .borrow_mut()
+            .retain_in_progress(rollouts);
         let splits = VersionSplit::all_in_progress(rollouts, is_connected);
         self.metrics.rollouts_open.set(splits.len() as i64);
         self.coordinator.set_splits(&splits);
