--- a/crates/entry/src/control_link.rs
+++ b/crates/entry/src/control_link.rs
@@ -1,4 +1,4 @@
-//! Asks the leading control host over one connection: claims and deferred requests.
+//! Sends claims and commands on deferred requests to the leading control host over one connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,128 +7,130 @@
 use std::time::Duration;
 
 use derive_more::Display;
-use linnet_claim::{CallAnswer, CallReply, CallRequest, ControlCall};
+use linnet_claim::{CallReply, CallRequest, ControlCall, ControlReply};
 use linnet_wire::{PeerGreeting, PeerIdentity, PeerReader, PeerWriter, WireError, connect_peer};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Calls that may wait to be sent.
-const MAX_QUEUED: usize = 1_024;
+/// The maximum number of calls queued for sending.
+const MAX_QUEUED_CALLS: usize = 1_024;
 
-/// Steps that may wait to be recorded later; past it the oldest stay unrecorded, and a resend of
-/// such a request is told that it may have run.
-const MAX_LATER: usize = 4_096;
+/// The maximum number of queued background calls. Beyond it new calls are dropped; a resend of such
+/// a request gets the error that the request may have run.
+const MAX_BACKGROUND_CALLS: usize = 4_096;
 
-/// How long replies to calls are waited for on a connection that is about to be left.
-const LAST_REPLIES_WAIT: Duration = Duration::from_millis(100);
+/// How long to wait for outstanding replies before a connection is closed.
+const LAST_REPLIES_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Wait before the next control host is tried.
-const ROTATE_WAIT: Duration = Duration::from_millis(30);
+/// The delay before the next control host is tried.
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 
-/// Wait before a step that must be recorded later is tried again, and how long one try may take.
-const LATER_WAIT: Duration = Duration::from_millis(500);
-const LATER_TIME: Duration = Duration::from_secs(2);
+/// The delay between two attempts of a background call, and the timeout of one attempt.
+const BACKGROUND_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+const BACKGROUND_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a call has no answer.
+/// Why a call has no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum CallFailure {
-    /// It was certainly not taken.
-    #[display("no control host took it")]
-    NotTaken,
-    /// It may be taken later.
-    #[display("control did not answer in time")]
+    /// The command was certainly not applied.
+    #[display("no control host applied the command")]
+    NotApplied,
+    /// The command may have been applied, or may be applied later.
+    #[display("no reply from the control host in time")]
     Unknown,
 }
 
-/// A request and the step that is to be recorded later.
-type LaterCall = (String, ControlCall);
+/// The request id and call of a command that is submitted in the background.
+type BackgroundCall = (String, ControlCall);
 
 struct QueuedCall {
     request: String,
     call: ControlCall,
     done: oneshot::Sender<CallReply>,
-    claim: SendClaim,
+    token: SendToken,
 }
 
-/// Whether a call in the queue is sent or taken back: whoever asks first. Cheap to clone.
+/// Decides whether a queued call is sent or withdrawn: the side that takes the token first decides.
+/// Clones share one token.
 #[derive(Debug, Clone, Default)]
-struct SendClaim(Arc<AtomicBool>);
+struct SendToken(Arc<AtomicBool>);
 
-impl SendClaim {
-    /// Takes the call, to send it or to take it back; false where the other side has.
-    fn take(&self) -> bool {
+impl SendToken {
+    /// Takes the token in order to send or withdraw the call. Returns false if it was already taken.
+    fn try_take(&self) -> bool {
         !self.0.swap(true, Ordering::AcqRel)
     }
 }
 
-/// A handle to the task that keeps the connection.
+/// A handle to the task that maintains the connection.
 #[derive(Clone)]
 pub(crate) struct ControlLink {
     queue: mpsc::Sender<QueuedCall>,
-    later: mpsc::Sender<LaterCall>,
+    background: mpsc::Sender<BackgroundCall>,
 }
 
-/// The ends of the queues, for the tasks that serve them.
+/// The receivers of the queues, for the tasks that serve them.
 pub(crate) struct CallQueues {
     queue: mpsc::Receiver<QueuedCall>,
-    later: mpsc::Receiver<LaterCall>,
+    background: mpsc::Receiver<BackgroundCall>,
 }
 
 impl ControlLink {
-    /// Creates a link and the queues that its tasks serve.
+    /// Creates a link and the queues for its tasks.
     pub(crate) fn new() -> (Self, CallQueues) {
-        let (queue, queue_end) = mpsc::channel(MAX_QUEUED);
-        let (later, later_end) = mpsc::channel(MAX_LATER);
+        let (queue, queue_receiver) = mpsc::channel(MAX_QUEUED_CALLS);
+        let (background, background_receiver) = mpsc::channel(MAX_BACKGROUND_CALLS);
         let queues = CallQueues {
-            queue: queue_end,
-            later: later_end,
+            queue: queue_receiver,
+            background: background_receiver,
         };
-        (Self { queue, later }, queues)
+        (Self { queue, background }, queues)
     }
 
-    /// Commits a step within a time.
+    /// Submits a call and waits for its reply for at most `limit`.
     ///
-    /// A step that one host did not take is tried at the next. The same step sent twice counts
-    /// once, by its own number.
+    /// A call that one host did not apply is sent to the next. A command that is applied twice has
+    /// no further effect, as it carries its own claim or lease id.
     pub(crate) async fn submit(
         &self,
         request: &str,
         call: ControlCall,
-        within: Duration,
-    ) -> Result<CallAnswer, CallFailure> {
-        let until = Instant::now() + within;
-        let mut failure = CallFailure::NotTaken;
-        while Instant::now() < until {
+        limit: Duration,
+    ) -> Result<ControlReply, CallFailure> {
+        let deadline = Instant::now() + limit;
+        let mut failure = CallFailure::NotApplied;
+        while Instant::now() < deadline {
             let (done, reply) = oneshot::channel();
-            let claim = SendClaim::default();
+            let token = SendToken::default();
             let queued = QueuedCall {
                 request: request.to_owned(),
                 call: call.clone(),
                 done,
-                claim: claim.clone(),
+                token: token.clone(),
             };
             if self.queue.try_send(queued).is_err() {
                 return Err(failure);
             }
-            match timeout_at(until, reply).await {
+            match timeout_at(deadline, reply).await {
                 Ok(Ok(CallReply {
-                    answer: Some(answer),
+                    result: Some(reply),
                     ..
-                })) => return Ok(answer),
-                Ok(Ok(reply)) if reply.not_taken => sleep(ROTATE_WAIT).await,
-                // Out of time before it was sent, which it is not any more.
-                Err(_) if claim.take() => {}
-                // Lost with its connection or out of time: it may have been taken.
+                })) => return Ok(reply),
+                Ok(Ok(reply)) if reply.not_applied => sleep(RECONNECT_DELAY).await,
+                // Timed out before it was sent. Taking the token prevents that it is sent later.
+                Err(_) if token.try_take() => {}
+                // The connection was lost or the call timed out after sending: it may be applied.
                 _ => failure = CallFailure::Unknown,
             }
         }
         Err(failure)
     }
 
-    /// Records a step in the background, again and again until a voter has it.
-    pub(crate) fn submit_later(&self, request: &str, call: ControlCall) {
-        // A full queue leaves the step unrecorded, which a resend is told honestly.
-        let _ = self.later.try_send((request.to_owned(), call));
+    /// Submits a call in the background, retrying until there is a reply.
+    pub(crate) fn submit_in_background(&self, request: &str, call: ControlCall) {
+        // With a full queue the call is dropped; a resend then gets the error that the request may
+        // have run.
+        let _ = self.background.try_send((request.to_owned(), call));
     }
 }
 
@@ -139,7 +141,7 @@
     identity: PeerIdentity,
     control: Vec<SocketAddr>,
 ) {
-    ntex::rt::spawn(record_later(link, queues.later));
+    ntex::rt::spawn(run_background_calls(link, queues.background));
     let mut queue = queues.queue;
     let mut turn = 0;
     loop {
@@ -150,25 +152,26 @@
             let _ = serve_queue(&mut queue, reader, writer).await;
         }
         turn += 1;
-        refuse_waiting(&mut queue);
-        sleep(ROTATE_WAIT).await;
+        refuse_queued(&mut queue);
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-// What waits while no host can be reached is answered at once, so that callers are too.
-fn refuse_waiting(queue: &mut mpsc::Receiver<QueuedCall>) {
+// Calls queued while no control host can be reached fail at once, so that their callers do not
+// wait.
+fn refuse_queued(queue: &mut mpsc::Receiver<QueuedCall>) {
     while let Ok(queued) = queue.try_recv() {
         let _ = queued.done.send(CallReply {
-            number: 0,
-            answer: None,
-            not_taken: true,
+            id: 0,
+            result: None,
+            not_applied: true,
         });
     }
 }
 
 type OpenCalls = Arc<Mutex<HashMap<u64, oneshot::Sender<CallReply>>>>;
 
-/// Serves the queue over one connection until it is lost or its host does not lead.
+/// Serves the queue over one connection until the connection is lost or its host is not the leader.
 async fn serve_queue(
     queue: &mut mpsc::Receiver<QueuedCall>,
     reader: PeerReader,
@@ -177,7 +180,7 @@
     let open = OpenCalls::default();
     tokio::select! {
         result = send_calls(queue, &open, writer) => result,
-        result = take_replies(&open, reader) => result,
+        result = receive_replies(&open, reader) => result,
     }
 }
 
@@ -186,15 +189,15 @@
     open: &OpenCalls,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
-    let mut number = 0;
+    let mut id = 0;
     while let Some(queued) = queue.recv().await {
-        if !queued.claim.take() {
+        if !queued.token.try_take() {
             continue;
         }
-        number += 1;
-        lock_open(open).insert(number, queued.done);
+        id += 1;
+        lock_open(open).insert(id, queued.done);
         let request = CallRequest {
-            number,
+            id,
             request: queued.request,
             call: queued.call,
         };
@@ -203,33 +206,33 @@
     Ok(())
 }
 
-async fn take_replies(open: &OpenCalls, mut reader: PeerReader) -> Result<(), WireError> {
+async fn receive_replies(open: &OpenCalls, mut reader: PeerReader) -> Result<(), WireError> {
     loop {
         let reply: CallReply = reader.receive().await?;
-        let rotate = reply.answer.is_none();
-        settle_call(open, reply);
+        let rotate = reply.result.is_none();
+        complete_call(open, reply);
         if rotate {
-            return take_last_replies(open, reader).await;
+            return receive_last_replies(open, reader).await;
         }
     }
 }
 
-/// Takes the replies to calls that were sent to a host before it refused one: it refuses them as well, and without its
-/// reply nobody knows.
-async fn take_last_replies(open: &OpenCalls, mut reader: PeerReader) -> Result<(), WireError> {
-    let until = Instant::now() + LAST_REPLIES_WAIT;
+/// Receives the replies to calls that were sent to a host before it refused one. It refuses these as
+/// well; without its reply it would be unknown whether they were applied.
+async fn receive_last_replies(open: &OpenCalls, mut reader: PeerReader) -> Result<(), WireError> {
+    let deadline = Instant::now() + LAST_REPLIES_TIMEOUT;
     while !lock_open(open).is_empty() {
-        let Ok(reply) = timeout_at(until, reader.receive()).await else {
+        let Ok(reply) = timeout_at(deadline, reader.receive()).await else {
             return Ok(());
         };
-        settle_call(open, reply?);
+        complete_call(open, reply?);
     }
     Ok(())
 }
 
-fn settle_call(open: &OpenCalls, reply: CallReply) {
-    if let Some(done) = lock_open(open).remove(&reply.number) {
-        // Nobody waits any more where its time is over.
+fn complete_call(open: &OpenCalls, reply: CallReply) {
+    if let Some(done) = lock_open(open).remove(&reply.id) {
+        // The receiver is gone if the call has timed out.
         let _ = done.send(reply);
     }
 }
@@ -238,14 +241,14 @@
     open.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn record_later(link: ControlLink, mut later: mpsc::Receiver<LaterCall>) {
-    while let Some((request, call)) = later.recv().await {
+async fn run_background_calls(link: ControlLink, mut background: mpsc::Receiver<BackgroundCall>) {
+    while let Some((request, call)) = background.recv().await {
         while link
-            .submit(&request, call.clone(), LATER_TIME)
+            .submit(&request, call.clone(), BACKGROUND_CALL_TIMEOUT)
             .await
             .is_err()
         {
-            sleep(LATER_WAIT).await;
+            sleep(BACKGROUND_RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/entry/src/control_link/tests.rs
+++ b/crates/entry/src/control_link/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const WITHIN: Duration = Duration::from_millis(50);
+const CALL_TIMEOUT: Duration = Duration::from_millis(50);
 
 fn call() -> ControlCall {
     ControlCall::Query(DeferredQuery::Fetch {
@@ -11,30 +11,34 @@
     })
 }
 
-/// Nobody sends it, as while the next control host is called.
+/// The queue is not served, as while the link connects to the next control host.
 #[test]
-fn a_call_that_was_not_sent_in_time_was_not_taken_and_is_not_sent_later() {
+fn a_call_that_was_not_sent_in_time_was_not_applied_and_is_not_sent_later() {
     let test = async {
         let (link, mut queues) = ControlLink::new();
-        let failure = link.submit("r-1", call(), WITHIN).await;
-        assert_eq!(failure.err(), Some(CallFailure::NotTaken));
+        let failure = link.submit("r-1", call(), CALL_TIMEOUT).await;
+        assert_eq!(failure.err(), Some(CallFailure::NotApplied));
         let late = queues.queue.recv().await;
-        assert!(late.is_some_and(|queued| !queued.claim.take()));
+        assert!(late.is_some_and(|queued| !queued.token.try_take()));
     };
     ntex::rt::System::new("link", ntex::rt::DefaultRuntime).block_on(test);
 }
 
 #[test]
-fn a_call_that_was_sent_and_not_answered_in_time_may_have_been_taken() {
+fn a_call_that_was_sent_without_a_reply_in_time_may_have_been_applied() {
     let test = async {
         let (link, mut queues) = ControlLink::new();
         ntex::rt::spawn(async move {
             let queued = queues.queue.recv().await;
-            assert!(queued.as_ref().is_some_and(|queued| queued.claim.take()));
-            sleep(WITHIN * 10).await;
+            assert!(
+                queued
+                    .as_ref()
+                    .is_some_and(|queued| queued.token.try_take())
+            );
+            sleep(CALL_TIMEOUT * 10).await;
             drop(queued);
         });
-        let failure = link.submit("r-1", call(), WITHIN).await;
+        let failure = link.submit("r-1", call(), CALL_TIMEOUT).await;
         assert_eq!(failure.err(), Some(CallFailure::Unknown));
     };
     ntex::rt::System::new("link", ntex::rt::DefaultRuntime).block_on(test);
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -21,28 +21,28 @@
 use crate::caller::{caller_routes, refuse_path};
 use crate::context::{EntryContext, RequestFlow, WorkerContext};
 use crate::control_link::{ControlLink, run_control_link};
-use crate::deferred::sweep_lost;
-use crate::hall::{HallView, receive_beats, send_beats};
+use crate::deferred::take_over_expired_jobs;
+use crate::hall::{HallView, receive_heartbeats, send_heartbeats};
 use crate::hosts::follow_host_list;
 use crate::ops::entry_ops_routes;
 use crate::settings::{CheckedEntry, EntrySettings};
-use crate::shares::follow_demand;
+use crate::shares::update_shares;
 use crate::source::follow_table;
 use crate::stats::EntryStats;
 
-/// Connections of callers at one time, for each thread.
-const MAX_CALLERS: usize = 25_000;
+/// The maximum number of concurrent connections of callers, for each thread.
+const MAX_CALLER_CONNECTIONS: usize = 25_000;
 
-/// How long a caller's connection is kept without a request.
-const CALLER_KEEP_ALIVE: Seconds = Seconds(30);
+/// How long an idle connection of a caller is kept open.
+const CALLER_KEEP_ALIVE_TIMEOUT: Seconds = Seconds(30);
 
-/// How often gauges are brought up to date.
-const UPKEEP_PERIOD: Duration = Duration::from_secs(1);
+/// The interval at which gauges are updated.
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a planned stop looks whether requests are in flight.
-const STOP_TICK: Duration = Duration::from_millis(20);
+/// The interval at which a planned stop checks for requests in flight.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the daemon until a planned stop; must run inside an ntex runtime.
+/// Runs the daemon until a planned stop. Must be called within an ntex runtime.
 pub async fn run_entry(settings: EntrySettings) -> ExitCode {
     match settings.check() {
         Ok(checked) => exit_code(serve(checked).await),
@@ -75,16 +75,16 @@
     let socket = Arc::new(UdpSocket::bind(settings.peer_listen).await?);
     let clients = TargetClients::new().await?;
 
-    start_peer_port(&entry, listener, &identity);
+    start_peer_listener(&entry, listener, &identity);
     let control = settings.control.clone();
-    ntex::rt::spawn(send_beats(
+    ntex::rt::spawn(send_heartbeats(
         entry.clone(),
         view.clone(),
         identity.clone(),
         socket.clone(),
         peers,
     ));
-    ntex::rt::spawn(receive_beats(
+    ntex::rt::spawn(receive_heartbeats(
         entry.clone(),
         view.clone(),
         identity.clone(),
@@ -97,14 +97,14 @@
         control.clone(),
     ));
     ntex::rt::spawn(run_control_link(link, call_queues, identity, control));
-    let sweeper = WorkerContext {
+    let takeover_worker = WorkerContext {
         entry: entry.clone(),
         clients: clients.clone(),
     };
-    ntex::rt::spawn(sweep_lost(sweeper, view.clone()));
+    ntex::rt::spawn(take_over_expired_jobs(takeover_worker, view.clone()));
     ntex::rt::spawn(follow_host_list(entry.clone(), clients, settings.host_list));
-    ntex::rt::spawn(keep_up(entry.clone()));
-    ntex::rt::spawn(follow_demand(entry.clone(), view.clone()));
+    ntex::rt::spawn(update_metrics(entry.clone()));
+    ntex::rt::spawn(update_shares(entry.clone(), view.clone()));
 
     let ops = OpsContext {
         keys: checked.operators,
@@ -133,7 +133,8 @@
     registry: &Mutex<Registry>,
 ) -> Result<EntryContext, std::io::Error> {
     let settings = &checked.settings;
-    let incarnation = getrandom::u32().map_err(|_| std::io::Error::other("no random number"))?;
+    let incarnation = getrandom::u32()
+        .map_err(|_| std::io::Error::other("the system returned no random number"))?;
     Ok(EntryContext {
         name: settings.name.clone(),
         hall: settings.hall.clone(),
@@ -145,22 +146,23 @@
         recorder: Arc::new(EventRecorder::new(settings.name.clone(), clock)),
         control: link,
         stats: EntryStats::new(registry),
-        claim_time: Duration::from_millis(settings.claim_ms),
+        claim_timeout: Duration::from_millis(settings.claim_ms),
         deferred_lease: Duration::from_millis(settings.deferred_lease_ms),
         flow: RequestFlow::default(),
-        hall_news: tokio::sync::Notify::new(),
+        leaving_changed: tokio::sync::Notify::new(),
     })
 }
 
-fn start_peer_port(entry: &Arc<EntryContext>, listener: TcpListener, identity: &PeerIdentity) {
+fn start_peer_listener(entry: &Arc<EntryContext>, listener: TcpListener, identity: &PeerIdentity) {
     let feed = entry.feed.clone();
     let serve_one = move |greeting, reader, writer| {
         let feed = feed.clone();
         async move {
             match greeting {
-                // What followers tell goes to control by the hall's messages instead.
+                // Ignores the reports of followers: their state reaches the control hosts through
+                // the heartbeats of the hall.
                 PeerGreeting::Follow => serve_follower(&feed, reader, writer, |_| {}).await,
-                // Meant for hosts of other roles.
+                // Other greetings are meant for hosts of other roles.
                 _ => Ok(()),
             }
         }
@@ -211,11 +213,11 @@
             .configure(caller_routes)
             .default_service(web::route().to(refuse_path))
     });
-    let config = HttpServiceConfig::new().set_keepalive(CALLER_KEEP_ALIVE);
+    let config = HttpServiceConfig::new().set_keepalive(CALLER_KEEP_ALIVE_TIMEOUT);
     let stop_time = Seconds((settings.stop_ms / 1_000).clamp(1, 600) as u16);
     Ok(server
         .workers(settings.workers)
-        .maxconn(MAX_CALLERS)
+        .maxconn(MAX_CALLER_CONNECTIONS)
         .disable_signals()
         .shutdown_timeout(stop_time)
         .config(SharedCfg::new("callers").add(config))
@@ -223,16 +225,16 @@
         .run())
 }
 
-/// Stops without cutting a request: first the host is shown as not ready, long enough for the
-/// balancer to see it, then new requests are refused, then those in flight end.
+/// Stops without interrupting requests: first the host reports that it is not ready, long enough for
+/// the load balancer to notice, then it refuses new requests, then it waits for those in flight.
 async fn drain(entry: &Arc<EntryContext>, settings: &EntrySettings) {
     entry.recorder.record(EventCode::StopRequested, "", "");
     entry.flow.begin_draining();
     sleep(Duration::from_millis(settings.drain_ms)).await;
     entry.flow.close();
-    let until = Instant::now() + Duration::from_millis(settings.stop_ms);
-    while entry.flow.in_flight() > 0 && Instant::now() < until {
-        sleep(STOP_TICK).await;
+    let deadline = Instant::now() + Duration::from_millis(settings.stop_ms);
+    while entry.flow.in_flight() > 0 && Instant::now() < deadline {
+        sleep(STOP_POLL_INTERVAL).await;
     }
     match entry.flow.in_flight() {
         0 => entry.recorder.record(EventCode::ProcessStopped, "", ""),
@@ -243,11 +245,11 @@
     }
 }
 
-/// Keeps gauges true and notes new versions.
-async fn keep_up(entry: Arc<EntryContext>) {
+/// Updates gauges and records new table versions.
+async fn update_metrics(entry: Arc<EntryContext>) {
     let mut versions = entry.feed.subscribe();
     loop {
-        let changed = tokio::time::timeout(UPKEEP_PERIOD, versions.changed()).await;
+        let changed = tokio::time::timeout(METRICS_INTERVAL, versions.changed()).await;
         let version = entry.feed.version();
         if changed.is_ok() {
             let detail = format!("version={version}");
--- a/crates/entry/src/deferred.rs
+++ b/crates/entry/src/deferred.rs
@@ -1,11 +1,11 @@
-//! Deferred requests at an entry host: accepting, running when there is room, taking over.
+//! Deferred requests on an entry host: acceptance, execution with spare capacity, takeover.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use linnet_claim::{
-    CallAnswer, ControlCall, DeferredAnswer, DeferredCommand, DeferredJob, DeferredOutcome,
-    DeferredQuery, DeferredReply, JobLease, MAX_INPUT_BYTES, MAX_RESULT_BYTES,
+    ControlCall, ControlReply, DeferredCommand, DeferredCommandReply, DeferredJob, DeferredOutcome,
+    DeferredQuery, DeferredQueryReply, JobLease, MAX_INPUT_BYTES, MAX_RESULT_BYTES,
 };
 use linnet_table::RouteKind;
 use tokio::time::sleep;
@@ -14,96 +14,100 @@
 use crate::context::WorkerContext;
 use crate::control_link::CallFailure;
 use crate::hall::HallView;
-use crate::run::{RequestPlan, RunAnswer, RunTarget, run_request};
+use crate::run::{RequestPlan, RequestWork, RunResponse, run_request};
 use crate::{CallerError, ErrorCode, RanState};
 
-/// The step that errors of deferred requests name.
+/// The `step` of errors of deferred requests.
 const STEP: &str = "deferred";
 
-/// A lease is renewed so many times before it would end.
-const RENEWALS_A_LEASE: u32 = 4;
+/// The number of renewals within the duration of a lease.
+const RENEWALS_PER_LEASE: u32 = 4;
 
-/// How often a job that waits looks whether there is room.
-const ROOM_TICK: Duration = Duration::from_millis(100);
+/// The interval at which a queued job checks for spare capacity.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a linked host looks for jobs whose host was lost.
-const SWEEP_PERIOD: Duration = Duration::from_secs(2);
+/// The interval at which a host linked to control looks for jobs with an expired lease.
+const TAKEOVER_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Runs of a job that may run twice, before its last error is its end.
+/// The maximum number of runs of a repeatable job. The error of the last run is its outcome.
 const MAX_RUNS: u32 = 5;
 
-/// Wait between two runs.
-const RUN_PAUSE: Duration = Duration::from_millis(500);
+/// The minimum delay between two runs.
+const RUN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How long one call to control may take where nobody waits for it.
-const CALL_TIME: Duration = Duration::from_secs(2);
+/// The timeout of a call to control on which no caller waits.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// When a caller without a quorum is told to come back.
-const NO_QUORUM_WAIT: Duration = Duration::from_millis(1_500);
+/// The retry delay announced to a caller if there is no quorum.
+const NO_QUORUM_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
-/// A job that this host may run.
-pub(crate) struct HeldJob {
+/// A job and the lease under which this host runs it.
+pub(crate) struct LeasedJob {
     job: DeferredJob,
     lease: JobLease,
 }
 
-/// Accepts a request for later. It is durable before the caller is told.
+/// Accepts a request for deferred execution. The job is durable before the caller gets its handle.
 pub(crate) async fn accept_job(
     worker: &WorkerContext,
     head: &CheckedHead,
     request: &str,
     body: &[u8],
-) -> Result<(String, Option<HeldJob>), CallerError> {
+) -> Result<(String, Option<LeasedJob>), CallerError> {
     if body.len() > MAX_INPUT_BYTES {
         let message = format!("a deferred request has at most {MAX_INPUT_BYTES} bytes");
         return Err(CallerError::new(ErrorCode::BodyTooLarge, STEP, message));
     }
-    let held = HeldJob {
+    let leased = LeasedJob {
         job: build_job(worker, head, body),
-        lease: fresh_lease(worker),
+        lease: new_lease(worker),
     };
     let command = DeferredCommand::Accept {
-        job: held.job.clone(),
-        lease: held.lease.clone(),
-        now_ms: wall_millis(),
+        job: leased.job.clone(),
+        lease: leased.lease.clone(),
+        now_ms: unix_millis(),
     };
-    let handle = held.job.handle.clone();
+    let handle = leased.job.handle.clone();
     let has_key = head.request_key.is_some();
     let entry = &worker.entry;
     let call = ControlCall::Deferred(command);
-    match entry.control.submit(request, call, entry.claim_time).await {
-        Ok(CallAnswer::Deferred(DeferredAnswer::Accepted)) => Ok((handle, Some(held))),
-        Ok(CallAnswer::Deferred(DeferredAnswer::Known)) => Ok((handle, None)),
-        Ok(CallAnswer::Deferred(DeferredAnswer::OtherContent)) => {
+    match entry
+        .control
+        .submit(request, call, entry.claim_timeout)
+        .await
+    {
+        Ok(ControlReply::Deferred(DeferredCommandReply::Accepted)) => Ok((handle, Some(leased))),
+        Ok(ControlReply::Deferred(DeferredCommandReply::Known)) => Ok((handle, None)),
+        Ok(ControlReply::Deferred(DeferredCommandReply::OtherContent)) => {
             let message = "the request key was used for another request";
             Err(CallerError::new(ErrorCode::KeyReused, STEP, message))
         }
         Ok(other) => Err(no_quorum(format!("{other:?}"))),
-        // It may be accepted later all the same. Then it runs, and under its key the caller finds
-        // it; without a key nobody knows its handle, so nobody gets an answer twice.
+        // The job may still be accepted later. It then runs; the caller finds it by its request
+        // key. Without a key nobody knows its handle, so its response is never delivered twice.
         Err(failure) => Err(no_quorum(failure.to_string())
-            .with_ran(ran_after(failure))
+            .with_ran(ran_state_after(failure))
             .with_earlier_unknown(has_key)),
     }
 }
 
-fn ran_after(failure: CallFailure) -> RanState {
+fn ran_state_after(failure: CallFailure) -> RanState {
     match failure {
-        CallFailure::NotTaken => RanState::No,
+        CallFailure::NotApplied => RanState::No,
         CallFailure::Unknown => RanState::Unknown,
     }
 }
 
 fn no_quorum(message: String) -> CallerError {
-    CallerError::new(ErrorCode::NoQuorum, STEP, message).with_retry_after(NO_QUORUM_WAIT)
+    CallerError::new(ErrorCode::NoQuorum, STEP, message).with_retry_after(NO_QUORUM_RETRY_AFTER)
 }
 
 fn build_job(worker: &WorkerContext, head: &CheckedHead, body: &[u8]) -> DeferredJob {
     let table = worker.entry.feed.read();
     let account = table.account(head.account).name.clone();
     let handle = match &head.request_key {
-        Some(key) => DeferredJob::handle_of_key(&account, key),
-        None => DeferredJob::handle_of_number(fastrand::u128(..)),
+        Some(key) => DeferredJob::handle_from_key(&account, key),
+        None => DeferredJob::handle_from_number(fastrand::u128(..)),
     };
     DeferredJob {
         handle,
@@ -115,7 +119,7 @@
     }
 }
 
-fn fresh_lease(worker: &WorkerContext) -> JobLease {
+fn new_lease(worker: &WorkerContext) -> JobLease {
     JobLease {
         runner: worker.entry.name.clone(),
         number: fastrand::u64(..),
@@ -124,51 +128,52 @@
 }
 
 fn lease_end(worker: &WorkerContext) -> u64 {
-    wall_millis() + worker.entry.deferred_lease.as_millis() as u64
+    unix_millis() + worker.entry.deferred_lease.as_millis() as u64
 }
 
-/// Runs a job once there is room, and records its end. Ends early when the lease is lost.
-pub(crate) async fn run_held(worker: WorkerContext, held: HeldJob) {
-    let lost = keep_lease(&worker, &held);
+/// Runs a job once there is spare capacity, and records its outcome. Stops if the lease is lost.
+pub(crate) async fn run_leased_job(worker: WorkerContext, leased: LeasedJob) {
+    let lost = renew_until_lost(&worker, &leased);
     tokio::select! {
-        outcome = run_to_end(&worker, &held.job) => match outcome {
-            Some(outcome) => record_end(&worker, &held, outcome).await,
-            None => give_back(&worker, &held),
+        outcome = run_until_outcome(&worker, &leased.job) => match outcome {
+            Some(outcome) => record_outcome(&worker, &leased, outcome).await,
+            None => release_job(&worker, &leased),
         },
         () = lost => {}
     }
 }
 
-/// Renews the lease again and again; resolves when it is lost.
-async fn keep_lease(worker: &WorkerContext, held: &HeldJob) {
+/// Renews the lease periodically. Returns when the lease is lost.
+async fn renew_until_lost(worker: &WorkerContext, leased: &LeasedJob) {
     loop {
-        sleep(worker.entry.deferred_lease / RENEWALS_A_LEASE).await;
+        sleep(worker.entry.deferred_lease / RENEWALS_PER_LEASE).await;
         let lease = JobLease {
             until_ms: lease_end(worker),
-            ..held.lease.clone()
+            ..leased.lease.clone()
         };
         let command = DeferredCommand::Renew {
-            handle: held.job.handle.clone(),
+            handle: leased.job.handle.clone(),
             lease,
         };
         let call = ControlCall::Deferred(command);
-        let answer = worker
+        let reply = worker
             .entry
             .control
-            .submit(&held.job.handle, call, CALL_TIME)
+            .submit(&leased.job.handle, call, CALL_TIMEOUT)
             .await;
-        if let Ok(CallAnswer::Deferred(DeferredAnswer::NoSuchJob)) = answer {
+        if let Ok(ControlReply::Deferred(DeferredCommandReply::NoSuchJob)) = reply {
             return;
         }
     }
 }
 
-/// Runs a job until it has an end; nothing when this host stops before a run began.
-async fn run_to_end(worker: &WorkerContext, job: &DeferredJob) -> Option<DeferredOutcome> {
+/// Runs a job until it has an outcome. Returns `None` if this host stops while the job waits for
+/// capacity.
+async fn run_until_outcome(worker: &WorkerContext, job: &DeferredJob) -> Option<DeferredOutcome> {
     let mut runs = 0;
     loop {
-        wait_for_room(worker, job).await?;
-        let flight = worker.entry.begin_flight();
+        wait_for_capacity(worker, job).await?;
+        let flight = worker.entry.track_in_flight();
         let result = match build_plan(worker, job) {
             Ok(plan) => run_request(worker, plan, None).await,
             Err(error) => Err(error),
@@ -176,21 +181,27 @@
         drop(flight);
         runs += 1;
         match result {
-            Ok(answer) => return Some(outcome_of(&answer)),
+            Ok(response) => return Some(outcome_of_response(&response)),
             Err(error) => {
-                let gone = matches!(error.code, ErrorCode::UnknownRoute | ErrorCode::BadBody);
+                let permanent = matches!(error.code, ErrorCode::UnknownRoute | ErrorCode::BadBody);
                 let again = error.ran == RanState::No || (job.repeatable && runs < MAX_RUNS);
-                if gone || !again {
+                if permanent || !again {
                     return Some(outcome_of_error(&job.handle, &error));
                 }
-                sleep(error.retry_after.unwrap_or(RUN_PAUSE).max(RUN_PAUSE)).await;
+                sleep(
+                    error
+                        .retry_after
+                        .unwrap_or(RUN_RETRY_DELAY)
+                        .max(RUN_RETRY_DELAY),
+                )
+                .await;
             }
         }
     }
 }
 
-/// Waits until every pool of the job has room to spare; nothing when this host stops.
-async fn wait_for_room(worker: &WorkerContext, job: &DeferredJob) -> Option<()> {
+/// Waits until every pool of the job has spare capacity. Returns `None` if this host stops.
+async fn wait_for_capacity(worker: &WorkerContext, job: &DeferredJob) -> Option<()> {
     loop {
         if worker.entry.flow.is_closed() {
             return None;
@@ -199,11 +210,11 @@
         if worker
             .entry
             .dispatcher
-            .has_spare(pools.iter().map(String::as_str))
+            .has_spare_capacity(pools.iter().map(String::as_str))
         {
             return Some(());
         }
-        sleep(ROOM_TICK).await;
+        sleep(CAPACITY_POLL_INTERVAL).await;
     }
 }
 
@@ -219,22 +230,24 @@
 }
 
 fn build_plan(worker: &WorkerContext, job: &DeferredJob) -> Result<RequestPlan, CallerError> {
-    let gone =
-        |what: &str| CallerError::new(ErrorCode::UnknownRoute, STEP, format!("{what} is gone"));
+    let removed = |what: &str| {
+        let message = format!("{what} was removed from the table");
+        CallerError::new(ErrorCode::UnknownRoute, STEP, message)
+    };
     let input = serde_json::from_slice(&job.input)
         .map_err(|error| CallerError::new(ErrorCode::BadBody, STEP, error.to_string()))?;
-    let id = worker.entry.name_request();
+    let id = worker.entry.next_request_id();
     let table = worker.entry.feed.read();
     let account = table
         .account_id(&job.account)
-        .ok_or_else(|| gone("the account"))?;
+        .ok_or_else(|| removed("the account"))?;
     let route = table
         .route_id(&job.route)
-        .ok_or_else(|| gone("the pipeline"))?;
+        .ok_or_else(|| removed("the pipeline"))?;
     let RouteKind::Pipeline(stages) = &table.route(route).kind else {
-        return Err(gone("the pipeline"));
+        return Err(removed("the pipeline"));
     };
-    let target = RunTarget::Pipeline {
+    let work = RequestWork::Pipeline {
         stages: stages.clone(),
         input,
     };
@@ -246,18 +259,18 @@
         request_key: None,
     };
     let now = std::time::Instant::now();
-    Ok(RequestPlan::new(&table, id, head, target, &job.input, now))
+    Ok(RequestPlan::new(&table, id, head, work, &job.input, now))
 }
 
-fn outcome_of(answer: &RunAnswer) -> DeferredOutcome {
-    if answer.body.len() > MAX_RESULT_BYTES {
-        let message = "the answer was too large to be kept";
+fn outcome_of_response(response: &RunResponse) -> DeferredOutcome {
+    if response.body.len() > MAX_RESULT_BYTES {
+        let message = "the response was too large to be stored";
         let error = CallerError::new(ErrorCode::ResultNotKept, STEP, message);
         return outcome_of_error("", &error.with_ran(RanState::Yes));
     }
     DeferredOutcome {
-        status: answer.status,
-        body: answer.body.to_vec(),
+        status: response.status,
+        body: response.body.to_vec(),
     }
 }
 
@@ -268,84 +281,92 @@
     }
 }
 
-/// Records the end, trying until a voter has it or the lease is found lost.
-async fn record_end(worker: &WorkerContext, held: &HeldJob, outcome: DeferredOutcome) {
+/// Records the outcome, retrying until there is a reply or the lease is lost.
+async fn record_outcome(worker: &WorkerContext, leased: &LeasedJob, outcome: DeferredOutcome) {
     let command = DeferredCommand::Finish {
-        handle: held.job.handle.clone(),
-        number: held.lease.number,
+        handle: leased.job.handle.clone(),
+        number: leased.lease.number,
         outcome,
     };
     let call = ControlCall::Deferred(command);
     while worker
         .entry
         .control
-        .submit(&held.job.handle, call.clone(), CALL_TIME)
+        .submit(&leased.job.handle, call.clone(), CALL_TIMEOUT)
         .await
         .is_err()
     {
-        sleep(RUN_PAUSE).await;
+        sleep(RUN_RETRY_DELAY).await;
     }
 }
 
-fn give_back(worker: &WorkerContext, held: &HeldJob) {
-    let command = DeferredCommand::GiveBack {
-        handle: held.job.handle.clone(),
-        number: held.lease.number,
+fn release_job(worker: &WorkerContext, leased: &LeasedJob) {
+    let command = DeferredCommand::Release {
+        handle: leased.job.handle.clone(),
+        number: leased.lease.number,
     };
     let call = ControlCall::Deferred(command);
-    worker.entry.control.submit_later(&held.job.handle, call);
+    worker
+        .entry
+        .control
+        .submit_in_background(&leased.job.handle, call);
 }
 
-/// Takes over jobs whose host was lost. Only the host of a hall that is linked to control looks,
-/// so that control answers halls, not hosts.
-pub(crate) async fn sweep_lost(worker: WorkerContext, view: Arc<HallView>) {
+/// Takes over jobs with an expired lease. Only the host of a hall that is linked to control does
+/// so, which keeps the load of the control hosts proportional to halls, not hosts.
+pub(crate) async fn take_over_expired_jobs(worker: WorkerContext, view: Arc<HallView>) {
     loop {
-        sleep(SWEEP_PERIOD).await;
+        sleep(TAKEOVER_INTERVAL).await;
         if !view.is_linked() || !worker.entry.is_ready() {
             continue;
         }
         let query = ControlCall::Query(DeferredQuery::Expired {
-            now_ms: wall_millis(),
+            now_ms: unix_millis(),
         });
-        let answer = worker.entry.control.submit("", query, CALL_TIME).await;
-        if let Ok(CallAnswer::Query(DeferredReply::Expired(handles))) = answer {
+        let reply = worker.entry.control.submit("", query, CALL_TIMEOUT).await;
+        if let Ok(ControlReply::Query(DeferredQueryReply::Expired(handles))) = reply {
             for handle in handles {
-                take_over(&worker, handle).await;
+                take_over_job(&worker, handle).await;
             }
         }
     }
 }
 
-async fn take_over(worker: &WorkerContext, handle: String) {
-    let lease = fresh_lease(worker);
-    let command = DeferredCommand::Take {
+async fn take_over_job(worker: &WorkerContext, handle: String) {
+    let lease = new_lease(worker);
+    let command = DeferredCommand::TakeOver {
         handle: handle.clone(),
         lease: lease.clone(),
-        now_ms: wall_millis(),
+        now_ms: unix_millis(),
     };
     let call = ControlCall::Deferred(command);
-    let answer = worker.entry.control.submit(&handle, call, CALL_TIME).await;
-    if let Ok(CallAnswer::Deferred(DeferredAnswer::Taken(job))) = answer {
-        ntex::rt::spawn(run_held(worker.clone(), HeldJob { job, lease }));
+    let reply = worker
+        .entry
+        .control
+        .submit(&handle, call, CALL_TIMEOUT)
+        .await;
+    if let Ok(ControlReply::Deferred(DeferredCommandReply::Taken(job))) = reply {
+        ntex::rt::spawn(run_leased_job(worker.clone(), LeasedJob { job, lease }));
     }
 }
 
-/// Asks what became of a job.
+/// Fetches the state of a job.
 pub(crate) async fn fetch_job(
     worker: &WorkerContext,
     account: String,
     handle: String,
-) -> Result<DeferredReply, CallerError> {
+) -> Result<DeferredQueryReply, CallerError> {
     let entry = &worker.entry;
     let call = ControlCall::Query(DeferredQuery::Fetch { account, handle });
-    match entry.control.submit("", call, entry.claim_time).await {
-        Ok(CallAnswer::Query(reply)) => Ok(reply),
+    match entry.control.submit("", call, entry.claim_timeout).await {
+        Ok(ControlReply::Query(reply)) => Ok(reply),
         Ok(other) => Err(no_quorum(format!("{other:?}"))),
         Err(failure) => Err(no_quorum(failure.to_string())),
     }
 }
 
-/// Forgets a job whose answer the account has; false when there is none.
+/// Acknowledges the response of a job, which removes the job. Returns false if there is no such
+/// job.
 pub(crate) async fn acknowledge_job(
     worker: &WorkerContext,
     account: String,
@@ -354,14 +375,14 @@
     let entry = &worker.entry;
     let command = DeferredCommand::Acknowledge { account, handle };
     let call = ControlCall::Deferred(command);
-    match entry.control.submit("", call, entry.claim_time).await {
-        Ok(CallAnswer::Deferred(answer)) => Ok(answer == DeferredAnswer::Recorded),
+    match entry.control.submit("", call, entry.claim_timeout).await {
+        Ok(ControlReply::Deferred(reply)) => Ok(reply == DeferredCommandReply::Recorded),
         Ok(other) => Err(no_quorum(format!("{other:?}"))),
         Err(failure) => Err(no_quorum(failure.to_string())),
     }
 }
 
-fn wall_millis() -> u64 {
+fn unix_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/entry/src/hall.rs
+++ b/crates/entry/src/hall.rs
@@ -1,8 +1,8 @@
-//! What entry hosts of one data hall tell each other, by UDP.
+//! Heartbeats between the entry hosts of one data hall, by UDP.
 //!
-//! Each says twice a second which version of the table it has, whether it hears a control host,
-//! and which targets it knows to be leaving. So a restarted host in a hall that is cut off finds
-//! the newest table of the hall, and news of a leaving target is everywhere at once.
+//! Twice a second each host publishes its table version, whether it is connected to a control host,
+//! and which targets are leaving. A restarted host in an unreachable hall thereby finds the newest
+//! table of the hall, and a leaving target is known to all hosts at once.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,27 +18,27 @@
 use tokio::time::timeout;
 
 use crate::context::EntryContext;
-use crate::shares::{AccountDemand, DEMAND_LIFE, HeardDemand};
+use crate::shares::{AccountDemand, DEMAND_LIFETIME, PeerDemand};
 
-/// Between two messages to the same few peers.
-pub(crate) const BEAT_PERIOD: Duration = Duration::from_millis(500);
+/// The interval between two heartbeats.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Peers that one round of messages goes to; with more of them, rounds take turns. It bounds what
-/// a host sends in a large hall.
-const BEAT_FANOUT: usize = 8;
+/// The number of peers that get one heartbeat; larger halls are covered round-robin. Limits the
+/// traffic of a host in a large hall.
+const HEARTBEAT_FANOUT: usize = 8;
 
-/// A peer is taken as gone after so many of its rounds were missed.
-const MISSED_ROUNDS: u32 = 4;
+/// The number of missed heartbeats after which a peer is considered lost.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
 
-/// How long control is not tried again while a peer is linked to it.
-const CONTROL_PAUSE: Duration = Duration::from_secs(5);
+/// How long a host does not retry a lost control connection while a peer is linked to control.
+const CONTROL_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Leaving targets that one message names.
-const MAX_LEAVING: usize = 16;
+/// The maximum number of leaving targets in one heartbeat.
+const MAX_LEAVING_TARGETS: usize = 16;
 
-/// What a host tells its hall.
+/// The heartbeat of a host to its hall.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct HallBeat {
+struct HallHeartbeat {
     hall: String,
     ops: SocketAddr,
     version: u64,
@@ -47,7 +47,7 @@
     demand: Vec<AccountDemand>,
 }
 
-/// A host of the hall as it was last heard.
+/// A host of the hall according to its last heartbeat.
 #[derive(Debug, Clone)]
 pub(crate) struct HallPeer {
     pub(crate) name: String,
@@ -57,36 +57,36 @@
     ops: SocketAddr,
     demand: Vec<AccountDemand>,
     stamp: Stamp,
-    heard: Instant,
+    received_at: Instant,
 }
 
-/// The hosts of the hall, and this host's link to control.
+/// The state of the hosts of the hall, and of this host's link to control.
 pub(crate) struct HallView {
     peers: Mutex<HashMap<String, HallPeer>>,
-    patience: Duration,
+    peer_timeout: Duration,
     linked: AtomicBool,
-    control_lost: Mutex<Option<Instant>>,
-    own_demand: Mutex<Vec<AccountDemand>>,
+    control_lost_at: Mutex<Option<Instant>>,
+    local_demand: Mutex<Vec<AccountDemand>>,
     hall_size: u32,
     ops: SocketAddr,
 }
 
 impl HallView {
-    /// Creates a view of a hall with so many other hosts.
+    /// Creates a view of a hall with `peer_count` other hosts.
     pub(crate) fn new(peer_count: usize, ops: SocketAddr) -> Self {
-        let rounds = peer_count.div_ceil(BEAT_FANOUT).max(1) as u32;
+        let rounds = peer_count.div_ceil(HEARTBEAT_FANOUT).max(1) as u32;
         Self {
             peers: Mutex::default(),
-            patience: BEAT_PERIOD * rounds * MISSED_ROUNDS,
+            peer_timeout: HEARTBEAT_INTERVAL * rounds * MAX_MISSED_HEARTBEATS,
             linked: AtomicBool::new(false),
-            control_lost: Mutex::new(None),
-            own_demand: Mutex::default(),
+            control_lost_at: Mutex::new(None),
+            local_demand: Mutex::default(),
             hall_size: peer_count as u32 + 1,
             ops,
         }
     }
 
-    /// Says whether this host hears a control host.
+    /// Returns whether this host receives updates from a control host.
     pub(crate) fn is_linked(&self) -> bool {
         self.linked.load(Ordering::Acquire)
     }
@@ -95,71 +95,72 @@
         self.linked.store(linked, Ordering::Release);
     }
 
-    /// Notes that a control host was lost or could not be reached.
-    pub(crate) fn note_control_lost(&self) {
+    /// Records that the connection to a control host was lost or could not be established.
+    pub(crate) fn mark_control_lost(&self) {
         let mut lost = self
-            .control_lost
+            .control_lost_at
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         *lost = Some(Instant::now());
     }
 
-    /// Says whether that was so lately that another host of the hall should be followed.
-    pub(crate) fn lost_control_lately(&self) -> bool {
+    /// Returns whether control was lost so recently that another host of the hall should be
+    /// followed.
+    pub(crate) fn lost_control_recently(&self) -> bool {
         let lost = self
-            .control_lost
+            .control_lost_at
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        lost.is_some_and(|at| at.elapsed() < CONTROL_PAUSE)
+        lost.is_some_and(|at| at.elapsed() < CONTROL_RETRY_DELAY)
     }
 
-    /// Returns the number of entry hosts that the hall is set up with.
+    /// Returns the configured number of entry hosts of the hall.
     pub(crate) fn hall_size(&self) -> u32 {
         self.hall_size
     }
 
-    /// Sets what the hall is told of the demand at this host.
-    pub(crate) fn tell_demand(&self, demand: Vec<AccountDemand>) {
+    /// Sets the demand at this host that is published to the hall.
+    pub(crate) fn publish_demand(&self, demand: Vec<AccountDemand>) {
         *self.lock_demand() = demand;
     }
 
-    /// Returns what accounts ask of the other hosts of the hall.
-    pub(crate) fn heard_demand(&self) -> HeardDemand {
-        let mut heard = HeardDemand::default();
-        let patience = self.patience.max(DEMAND_LIFE);
+    /// Returns the demand of accounts at the other hosts of the hall.
+    pub(crate) fn peer_demand(&self) -> PeerDemand {
+        let mut demand = PeerDemand::default();
+        let max_age = self.peer_timeout.max(DEMAND_LIFETIME);
         for peer in self
             .lock()
             .values()
-            .filter(|peer| peer.heard.elapsed() < patience)
+            .filter(|peer| peer.received_at.elapsed() < max_age)
         {
-            heard.hosts += 1;
+            demand.hosts += 1;
             for (account, amount) in &peer.demand {
-                *heard.by_account.entry(*account).or_default() += f64::from(*amount);
+                *demand.by_account.entry(*account).or_default() += f64::from(*amount);
             }
         }
-        heard
+        demand
     }
 
     fn lock_demand(&self) -> MutexGuard<'_, Vec<AccountDemand>> {
-        self.own_demand
+        self.local_demand
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the peers that live, by name.
+    /// Returns the live peers, sorted by name.
     pub(crate) fn live_peers(&self) -> Vec<HallPeer> {
         let now = Instant::now();
         let mut live: Vec<_> = self
             .lock()
             .values()
-            .filter(|peer| now - peer.heard < self.patience)
+            .filter(|peer| now - peer.received_at < self.peer_timeout)
             .cloned()
             .collect();
         live.sort_by(|a, b| a.name.cmp(&b.name));
         live
     }
 
-    /// Returns what a control host is told: this host and the peers that it hears.
+    /// Returns the reports for a control host: this host and its live peers.
     pub(crate) fn reports(&self, entry: &EntryContext) -> Vec<HostReport> {
         let now = Instant::now();
         let own = HostReport {
@@ -174,13 +175,19 @@
             hall: entry.hall.clone(),
             ops: peer.ops.to_string(),
             version: peer.version,
-            age_ms: (now - peer.heard).as_millis() as u64,
+            age_ms: (now - peer.received_at).as_millis() as u64,
         });
         std::iter::once(own).chain(peers).collect()
     }
 
-    // A stamp that does not rise is a replay, or came out of order; either way it tells nothing.
-    fn take_beat(&self, name: String, address: SocketAddr, stamp: Stamp, beat: &HallBeat) {
+    // Ignores a heartbeat whose stamp does not increase: it is a replay or arrived out of order.
+    fn apply_heartbeat(
+        &self,
+        name: String,
+        address: SocketAddr,
+        stamp: Stamp,
+        heartbeat: &HallHeartbeat,
+    ) {
         let mut peers = self.lock();
         if peers.get(&name).is_some_and(|known| known.stamp >= stamp) {
             return;
@@ -188,12 +195,12 @@
         let peer = HallPeer {
             name: name.clone(),
             address,
-            version: beat.version,
-            linked: beat.linked,
-            ops: beat.ops,
-            demand: beat.demand.clone(),
+            version: heartbeat.version,
+            linked: heartbeat.linked,
+            ops: heartbeat.ops,
+            demand: heartbeat.demand.clone(),
             stamp,
-            heard: Instant::now(),
+            received_at: Instant::now(),
         };
         peers.insert(name, peer);
     }
@@ -203,8 +210,8 @@
     }
 }
 
-/// Tells the hall of this host, a few peers a round, and at once when there is news.
-pub(crate) async fn send_beats(
+/// Sends heartbeats, to a few peers in each round, and to all at once when a target starts leaving.
+pub(crate) async fn send_heartbeats(
     entry: Arc<EntryContext>,
     view: Arc<HallView>,
     identity: PeerIdentity,
@@ -216,10 +223,10 @@
     }
     let mut turn = 0;
     loop {
-        let news = timeout(BEAT_PERIOD, entry.hall_news.notified())
+        let changed = timeout(HEARTBEAT_INTERVAL, entry.leaving_changed.notified())
             .await
             .is_ok();
-        let beat = HallBeat {
+        let heartbeat = HallHeartbeat {
             hall: entry.hall.clone(),
             ops: view.ops,
             version: entry.feed.version(),
@@ -228,20 +235,20 @@
                 .dispatcher
                 .leaving_targets()
                 .into_iter()
-                .take(MAX_LEAVING)
+                .take(MAX_LEAVING_TARGETS)
                 .collect(),
             demand: view.lock_demand().clone(),
         };
-        let Ok(bytes) = seal_datagram(&identity, &beat) else {
+        let Ok(bytes) = seal_datagram(&identity, &heartbeat) else {
             continue;
         };
-        let count = if news {
+        let count = if changed {
             peers.len()
         } else {
-            BEAT_FANOUT.min(peers.len())
+            HEARTBEAT_FANOUT.min(peers.len())
         };
         for offset in 0..count {
-            // A datagram that cannot be sent is as good as lost; the next round comes soon.
+            // Send errors are ignored like lost datagrams; the next round follows soon.
             let _ = socket
                 .send_to(&bytes, peers[(turn + offset) % peers.len()])
                 .await;
@@ -251,8 +258,8 @@
     }
 }
 
-/// Takes in what the other hosts of the hall tell.
-pub(crate) async fn receive_beats(
+/// Receives the heartbeats of the other hosts of the hall.
+pub(crate) async fn receive_heartbeats(
     entry: Arc<EntryContext>,
     view: Arc<HallView>,
     identity: PeerIdentity,
@@ -261,23 +268,23 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, address)) = socket.recv_from(&mut buffer).await else {
-            // An earlier datagram met a closed port; the socket itself is well.
+            // The error is about an earlier datagram to a closed port; the socket still works.
             continue;
         };
-        let Ok(open) = open_datagram::<HallBeat>(&identity.keys, &buffer[..length]) else {
+        let Ok(received) = open_datagram::<HallHeartbeat>(&identity.keys, &buffer[..length]) else {
             continue;
         };
-        if open.message.hall != entry.hall || open.sender == entry.name {
+        if received.message.hall != entry.hall || received.sender == entry.name {
             continue;
         }
-        identity.clock.observe(open.stamp);
-        for target in &open.message.leaving {
+        identity.clock.observe(received.stamp);
+        for target in &received.message.leaving {
             if entry.dispatcher.mark_leaving(target) {
                 entry
                     .recorder
-                    .record(EventCode::TargetLeaving, target, open.sender.clone());
+                    .record(EventCode::TargetLeaving, target, received.sender.clone());
             }
         }
-        view.take_beat(open.sender, address, open.stamp, &open.message);
+        view.apply_heartbeat(received.sender, address, received.stamp, &received.message);
     }
 }
--- a/crates/entry/src/hosts.rs
+++ b/crates/entry/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's host list.
+//! Polls the platform's host list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use crate::adapter::host_list::{HostListRead, parse_list, read_list};
 use crate::context::EntryContext;
 
-/// Between two reads of the list.
-const READ_PERIOD: Duration = Duration::from_millis(500);
+/// The interval between two reads of the list.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads the list again and again. A failed or partial read takes no target out.
+/// Reads the list periodically. A failed or partial read removes no target.
 pub(crate) async fn follow_host_list(
     entry: Arc<EntryContext>,
     clients: TargetClients,
@@ -25,24 +25,25 @@
     let mut last = Bytes::new();
     loop {
         let fault = match read_list(&clients, address).await {
-            // The usual read: nothing is to be taken in, whatever the number of targets.
+            // The common case: an unchanged list is not parsed again, whatever its size.
             Ok(bytes) if bytes == last => {
-                entry.dispatcher.refresh();
+                entry.dispatcher.grant_waiting_requests();
                 None
             }
             Ok(bytes) => match parse_list(&bytes) {
                 Ok(read) => {
-                    take_read(&entry, &read);
-                    if read.whole {
+                    apply_list(&entry, &read);
+                    if read.complete {
                         last = bytes;
                     }
-                    (!read.whole).then(|| "the list is partial".to_owned())
+                    (!read.complete).then(|| "the list is partial".to_owned())
                 }
                 Err(error) => Some(error.to_string()),
             },
             Err(error) => Some(error.to_string()),
         };
-        // One event when it begins to fail; the log would drown in one a read.
+        // Records only the first of consecutive failures; an event for each read would flood the
+        // log.
         if let Some(fault) = &fault
             && !failing
         {
@@ -52,22 +53,24 @@
                 .record(EventCode::HostListFailed, &peer, fault.clone());
         }
         failing = fault.is_some();
-        sleep(READ_PERIOD).await;
+        sleep(READ_INTERVAL).await;
     }
 }
 
-fn take_read(entry: &EntryContext, read: &HostListRead) {
-    let change = entry.dispatcher.take_listing(&read.listings, read.whole);
-    note_targets(entry, EventCode::TargetListed, &change.listed);
-    note_targets(entry, EventCode::TargetLeaving, &change.leaving);
-    note_targets(entry, EventCode::TargetGone, &change.gone);
+fn apply_list(entry: &EntryContext, read: &HostListRead) {
+    let change = entry
+        .dispatcher
+        .apply_listing(&read.listings, read.complete);
+    record_targets(entry, EventCode::TargetListed, &change.listed);
+    record_targets(entry, EventCode::TargetLeaving, &change.leaving);
+    record_targets(entry, EventCode::TargetGone, &change.gone);
     if !change.leaving.is_empty() {
-        entry.hall_news.notify_one();
+        entry.leaving_changed.notify_one();
     }
-    entry.flow.note_host_list();
+    entry.flow.mark_host_list_read();
 }
 
-fn note_targets(entry: &EntryContext, code: EventCode, names: &[String]) {
+fn record_targets(entry: &EntryContext, code: EventCode, names: &[String]) {
     for name in names {
         entry.recorder.record(code, name, "host list");
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,10 +1,10 @@
 //! The entry daemon: callers' HTTP interface, pipelines, targets.
 //!
 //! - [`EntrySettings`] are its settings; [`run_entry`] runs it.
-//! - `caller` checks requests and writes answers; [`CallerError`] is the one shape of an error.
-//! - `run` takes a request through its stages; `adapter` holds one module for each outside system.
-//! - `hall` and `source` keep the table in force, also where the hall is cut off.
-//! - `control_link` asks the leading control host; `deferred` keeps and runs requests for later.
+//! - `caller` validates requests and builds responses; all errors are a [`CallerError`].
+//! - `run` runs a request through its stages; `adapter` has one module for each external system.
+//! - `hall` and `source` keep the table up to date, also while the hall is unreachable.
+//! - `control_link` sends calls to the leading control host; `deferred` runs deferred requests.
 
 pub mod adapter;
 mod caller;
--- a/crates/entry/src/ops.rs
+++ b/crates/entry/src/ops.rs
@@ -11,34 +11,34 @@
 use crate::context::EntryContext;
 use crate::hall::HallView;
 
-/// What an entry daemon tells of itself.
+/// The status of an entry daemon.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EntryStatus {
     /// The name of the host.
     pub name: String,
     /// Its data hall.
     pub hall: String,
-    /// A random number of the process; another after a restart.
+    /// A random number of the process, which changes with each restart.
     pub incarnation: u64,
-    /// Whether the balancer should send requests here.
+    /// Whether the load balancer should send requests to this host.
     pub ready: bool,
-    /// The version of the table in force.
+    /// The version of the active table.
     pub table_version: u64,
-    /// Rows of the table in force.
+    /// The number of rows of the active table.
     pub table_rows: usize,
-    /// Whether it hears a control host itself.
+    /// Whether this host itself receives updates from a control host.
     pub linked: bool,
-    /// The other entry hosts of the hall that it hears.
+    /// The names of the live entry hosts of the hall, except this one.
     pub hall_peers: Vec<String>,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: u64,
-    /// Pools and their queues.
+    /// The pools and their queues.
     pub pools: Vec<PoolReport>,
-    /// Targets.
+    /// The targets.
     pub targets: Vec<TargetReport>,
 }
 
-/// Adds the pages of the entry daemon.
+/// Registers the operators' routes of the entry daemon.
 pub(crate) fn entry_ops_routes(config: &mut web::ServiceConfig) {
     config.route("/v1/status", web::get().to(show_status));
 }
--- a/crates/entry/src/run/attempt.rs
+++ b/crates/entry/src/run/attempt.rs
@@ -1,46 +1,46 @@
-//! What every attempt at a stage has in common.
+//! Attempts at a stage: target, timeout, outcome, retry.
 
 use std::time::{Duration, Instant};
 
-use linnet_dispatch::{AttemptOutcome, LoadReport, StageAsk, TargetId, TargetPermit};
+use linnet_dispatch::{AttemptOutcome, LoadReport, TargetId, TargetPermit, TargetRequest};
 use linnet_telemetry::EventCode;
 
 use super::RequestPlan;
 use crate::adapter::{AttemptCall, AttemptCause, AttemptError};
 use crate::context::WorkerContext;
-use crate::stats::note_dropped;
+use crate::stats::record_dropped_response;
 use crate::{CallerError, ErrorCode, RanState};
 
-/// Attempts at one stage of one request.
+/// The maximum number of attempts at one stage of one request.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// An attempt at a stage that may be tried elsewhere gets so many times its usual time.
-const PATIENCE_RATIO: u32 = 4;
+/// The timeout of an attempt that may be retried, as a multiple of its typical duration.
+const TIMEOUT_RATIO: u32 = 4;
 
-/// The least time that an attempt is given before another is tried.
-const LEAST_PATIENCE: Duration = Duration::from_millis(150);
+/// The minimum timeout of an attempt before another one is started.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// One stage of a request while it is tried.
-pub(crate) struct StageTrial<'a> {
+/// The execution of one stage of a request, over all its attempts.
+pub(crate) struct StageExecution<'a> {
     pub(crate) worker: &'a WorkerContext,
     pub(crate) plan: &'a RequestPlan,
     /// The name of the stage, or `call`.
     pub(crate) stage: &'a str,
-    /// The place of the stage in the chain.
-    pub(crate) place: usize,
+    /// The index of the stage in the chain.
+    pub(crate) index: usize,
     pub(crate) pool: &'a str,
     pub(crate) work_after: Duration,
     attempts: u32,
     avoid: Vec<TargetId>,
 }
 
-impl<'a> StageTrial<'a> {
-    /// Creates a trial of a stage before its first attempt.
+impl<'a> StageExecution<'a> {
+    /// Creates the execution of a stage, without an attempt.
     pub(crate) fn new(
         worker: &'a WorkerContext,
         plan: &'a RequestPlan,
         stage: &'a str,
-        place: usize,
+        index: usize,
         pool: &'a str,
         work_after: Duration,
     ) -> Self {
@@ -48,7 +48,7 @@
             worker,
             plan,
             stage,
-            place,
+            index,
             pool,
             work_after,
             attempts: 0,
@@ -60,9 +60,9 @@
     ///
     /// # Errors
     ///
-    /// The refusal as the caller sees it.
-    pub(crate) async fn next_permit(&self, ran: RanState) -> Result<TargetPermit, CallerError> {
-        let ask = StageAsk {
+    /// Returns the refusal as a caller's error.
+    pub(crate) async fn acquire_target(&self, ran: RanState) -> Result<TargetPermit, CallerError> {
+        let request = TargetRequest {
             pool: self.pool.to_owned(),
             account: self.plan.account,
             weight: self.plan.weight,
@@ -73,55 +73,55 @@
             prefix_holder: None,
         };
         let dispatcher = &self.worker.entry.dispatcher;
-        let permit = dispatcher.acquire(ask).await;
+        let permit = dispatcher.acquire(request).await;
         permit.map_err(|refusal| CallerError::refused(refusal, self.stage, ran))
     }
 
-    /// Names the next attempt and notes that it starts.
-    pub(crate) fn begin(&mut self, permit: &TargetPermit) -> AttemptCall {
-        let attempt = format!("{}/{}/{}", self.plan.id, self.place, self.attempts);
+    /// Assigns an id to the next attempt and records its start.
+    pub(crate) fn begin_attempt(&mut self, permit: &TargetPermit) -> AttemptCall {
+        let attempt = format!("{}/{}/{}", self.plan.id, self.index, self.attempts);
         if self.attempts > 0 {
             self.worker.entry.stats.count_retry();
         }
         self.attempts += 1;
         let detail = format!("{} attempt={attempt}", self.stage);
-        self.note(EventCode::AttemptStarted, permit.name(), detail);
+        self.record(EventCode::AttemptStarted, permit.name(), detail);
         AttemptCall {
             address: permit.address(),
             attempt,
-            time_left: self.patience(),
+            time_left: self.attempt_timeout(),
             repeatable: self.plan.repeatable,
         }
     }
 
-    /// Notes a usable answer.
-    pub(crate) fn succeed(&self, permit: TargetPermit, load: Option<LoadReport>) {
+    /// Records an attempt with a valid response.
+    pub(crate) fn record_success(&self, permit: TargetPermit, load: Option<LoadReport>) {
         let entry = &self.worker.entry;
         let in_time = Instant::now() <= self.plan.deadline;
-        let (route, held) = (&self.plan.route_name, permit.held());
+        let (route, held) = (&self.plan.route_name, permit.held_for());
         entry.stats.count_attempt(route, self.stage, held, in_time);
-        self.note(
+        self.record(
             EventCode::AttemptFinished,
             permit.name(),
             self.stage.to_owned(),
         );
         permit.finish(AttemptOutcome::Success, load);
-        if let Some(pool) = entry.dispatcher.pool_number(self.pool) {
+        if let Some(pool) = entry.dispatcher.pool_index(self.pool) {
             let mut retries = lock_retries(self.worker);
-            retries.earn(self.plan.account, pool);
+            retries.record_success(self.plan.account, pool);
         }
     }
 
-    /// Notes an attempt without a usable answer, and says whether another may follow.
+    /// Records an attempt without a valid response. Returns `Ok` if the stage may be retried.
     ///
-    /// A request that may run only once is tried again only while it is proved that no target
-    /// ran the stage. Every further attempt is paid from the budget of the account, and none
-    /// starts when the time left does not hold the stage.
+    /// A request that may run only once is retried only if it is certain that no target ran the
+    /// stage. Every retry is charged to the retry budget of the account, and none starts if the
+    /// time left is too short for the stage.
     ///
     /// # Errors
     ///
-    /// The error as the caller sees it, when no other attempt may follow.
-    pub(crate) fn fail(
+    /// Returns the caller's error if the stage may not be retried.
+    pub(crate) fn record_failure(
         &mut self,
         permit: TargetPermit,
         error: &AttemptError,
@@ -129,15 +129,15 @@
     ) -> Result<(), CallerError> {
         let entry = &self.worker.entry;
         let peer = permit.name().to_owned();
-        let (route, held) = (&self.plan.route_name, permit.held());
+        let (route, held) = (&self.plan.route_name, permit.held_for());
         entry.stats.count_attempt(route, self.stage, held, false);
-        self.note(
+        self.record(
             EventCode::AttemptFailed,
             &peer,
             format!("{}: {error}", self.stage),
         );
-        if error.is_dropped_answer() {
-            note_dropped(
+        if error.is_dropped_response() {
+            record_dropped_response(
                 &entry.stats,
                 &entry.recorder,
                 &self.plan.id,
@@ -146,67 +146,67 @@
             );
         }
         self.avoid.push(permit.target());
-        permit.finish(self.blame(error, held), error.load);
+        permit.finish(self.target_outcome(error, held), error.load);
         if error.outcome() == AttemptOutcome::Leaving {
             entry.dispatcher.mark_leaving(&peer);
-            entry.hall_news.notify_one();
+            entry.leaving_changed.notify_one();
         }
-        if self.may_follow(error) {
+        if self.can_retry(error) {
             return Ok(());
         }
-        let time_up = self.plan.time_left().is_zero();
-        let code = if time_up {
+        let deadline_passed = self.plan.time_left().is_zero();
+        let code = if deadline_passed {
             ErrorCode::DeadlinePassed
         } else {
             ErrorCode::TargetFailed
         };
-        let refusal = CallerError::new(code, self.stage, error.to_string())
+        let error = CallerError::new(code, self.stage, error.to_string())
             .with_peer(peer)
             .with_ran(ran);
-        Err(refusal.with_retry_after(LEAST_PATIENCE))
+        Err(error.with_retry_after(MIN_ATTEMPT_TIMEOUT))
     }
 
-    // An attempt that had little time because its request came late says nothing of the target.
-    fn blame(&self, error: &AttemptError, held: Duration) -> AttemptOutcome {
-        let fair_chance = (self.usual_time() * PATIENCE_RATIO).max(LEAST_PATIENCE);
-        if error.cause == AttemptCause::TimedOut && held < fair_chance {
+    // A timeout does not count against the target if the attempt had less than the regular timeout,
+    // as its request had little time left.
+    fn target_outcome(&self, error: &AttemptError, held: Duration) -> AttemptOutcome {
+        let regular_timeout = (self.typical_duration() * TIMEOUT_RATIO).max(MIN_ATTEMPT_TIMEOUT);
+        if error.cause == AttemptCause::TimedOut && held < regular_timeout {
             return AttemptOutcome::Cancelled;
         }
         error.outcome()
     }
 
-    fn may_follow(&self, error: &AttemptError) -> bool {
+    fn can_retry(&self, error: &AttemptError) -> bool {
         let allowed = self.plan.repeatable || error.ran() == RanState::No;
-        let own_work = self.usual_time();
-        let fits = self.plan.time_left() > self.work_after + own_work;
+        let fits = self.plan.time_left() > self.work_after + self.typical_duration();
         if !allowed || !fits || self.attempts >= MAX_ATTEMPTS {
             return false;
         }
-        let pool = self.worker.entry.dispatcher.pool_number(self.pool);
-        pool.is_some_and(|pool| lock_retries(self.worker).spend(self.plan.account, pool))
+        let pool = self.worker.entry.dispatcher.pool_index(self.pool);
+        pool.is_some_and(|pool| lock_retries(self.worker).try_take_retry(self.plan.account, pool))
     }
 
-    /// Returns how long an attempt may take. One that may be tried elsewhere is not waited for
-    /// to the end; one that may run only once is.
-    fn patience(&self) -> Duration {
+    /// Returns the timeout of the next attempt. An attempt that may be retried gets a part of the
+    /// time left; one that may run only once, or is the last, gets all of it.
+    fn attempt_timeout(&self) -> Duration {
         let left = self.plan.time_left().saturating_sub(self.work_after);
         if !self.plan.repeatable || self.attempts >= MAX_ATTEMPTS {
             return left;
         }
-        let usual = self.usual_time();
-        if usual.is_zero() {
+        let typical = self.typical_duration();
+        if typical.is_zero() {
             return left / 2;
         }
-        left.min((usual * PATIENCE_RATIO).max(LEAST_PATIENCE))
+        left.min((typical * TIMEOUT_RATIO).max(MIN_ATTEMPT_TIMEOUT))
     }
 
-    fn usual_time(&self) -> Duration {
+    fn typical_duration(&self) -> Duration {
         let dispatcher = &self.worker.entry.dispatcher;
-        dispatcher.usual_time(self.pool, self.plan.route)
+        dispatcher.typical_duration(self.pool, self.plan.route)
     }
 
     /// Records an event of this request.
-    pub(crate) fn note(&self, code: EventCode, peer: &str, detail: String) {
+    pub(crate) fn record(&self, code: EventCode, peer: &str, detail: String) {
         let recorder = &self.worker.entry.recorder;
         recorder.record_request(code, &self.plan.id, peer, detail);
     }
--- a/crates/entry/src/run/claim.rs
+++ b/crates/entry/src/run/claim.rs
@@ -1,88 +1,92 @@
-//! Wraps a request that may run at most once in a claim on its key.
+//! Guards a request that may run at most once by a claim on its request key.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use linnet_claim::{
-    CallAnswer, ClaimAnswer, ClaimCommand, ClaimOutcome, ControlCall, MAX_OUTCOME_BYTES,
+    ClaimCommand, ClaimOutcome, ClaimReply, ControlCall, ControlReply, MAX_OUTCOME_BYTES,
 };
 use ntex::util::Bytes;
 
 use super::plan::PlannedClaim;
-use super::{RequestPlan, RunAnswer};
+use super::{RequestPlan, RunResponse};
 use crate::context::WorkerContext;
 use crate::control_link::CallFailure;
 use crate::{CallerError, ErrorCode, RanState};
 
-/// The step that errors of claims name.
+/// The `step` of errors of claims.
 const STEP: &str = "claim";
 
-/// How long after the deadline a run that lost its host is taken as over.
+/// How long after its deadline a run on a lost host is considered to have ended.
 const RUN_GRACE_MS: u64 = 2_000;
 
-/// When a caller without a quorum is told to come back: about the time of an election.
-const NO_QUORUM_WAIT: Duration = Duration::from_millis(1_500);
+/// The retry delay announced to a caller if there is no quorum; about the duration of an election.
+const NO_QUORUM_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
-/// A claim that this host holds.
-pub(crate) struct HeldClaim {
+/// An open claim of this host.
+pub(crate) struct ActiveClaim {
     planned: PlannedClaim,
     claim: u64,
 }
 
-/// How a claim was answered.
-pub(crate) enum ClaimStart {
-    /// This host runs the request.
-    Run(HeldClaim),
-    /// The request has run; this is what was recorded.
-    Recorded(RunAnswer),
+/// The result of opening a claim.
+pub(crate) enum ClaimDecision {
+    /// The claim is granted; this host runs the request.
+    Run(ActiveClaim),
+    /// The request has already run; this is its recorded response.
+    Recorded(RunResponse),
 }
 
-/// Commits a claim before the first byte of the request goes out.
+/// Commits a claim before the first byte of the request is sent to a target.
 ///
 /// # Errors
 ///
-/// A refusal; the request did not run by this sending.
+/// Returns an error if the claim is not granted; this request did not run.
 pub(crate) async fn open_claim(
     worker: &WorkerContext,
     plan: &RequestPlan,
     planned: &PlannedClaim,
-) -> Result<ClaimStart, CallerError> {
+) -> Result<ClaimDecision, CallerError> {
     let entry = &worker.entry;
-    let now_ms = wall_millis();
-    let held = HeldClaim {
+    let now_ms = unix_millis();
+    let active = ActiveClaim {
         planned: planned.clone(),
         claim: fastrand::u64(..),
     };
     let command = ClaimCommand::Open {
         key: planned.key.clone(),
         runner: entry.name.clone(),
-        claim: held.claim,
+        claim: active.claim,
         content: planned.content,
         now_ms,
         until_ms: now_ms + plan.time_left().as_millis() as u64 + RUN_GRACE_MS,
     };
     match entry
         .control
-        .submit(&plan.id, ControlCall::Claim(command), entry.claim_time)
+        .submit(&plan.id, ControlCall::Claim(command), entry.claim_timeout)
         .await
     {
-        Ok(CallAnswer::Claim(answer)) => start_of(answer, held, now_ms),
+        Ok(ControlReply::Claim(reply)) => decide_claim(reply, active, now_ms),
         Ok(other) => Err(no_quorum(format!("{other:?}"))),
         Err(failure) => {
-            // The claim may be committed later all the same. It is given back, since nothing ran.
+            // The claim may still be committed later. Releases it, as the request did not run.
             if failure == CallFailure::Unknown {
-                held.release(worker, &plan.id);
+                active.release(worker, &plan.id);
             }
             Err(no_quorum(failure.to_string()))
         }
     }
 }
 
-fn start_of(answer: ClaimAnswer, held: HeldClaim, now_ms: u64) -> Result<ClaimStart, CallerError> {
-    match answer {
-        ClaimAnswer::Granted => Ok(ClaimStart::Run(held)),
-        ClaimAnswer::Finished(outcome) => recorded_answer(outcome).map(ClaimStart::Recorded),
-        ClaimAnswer::Held { runner, until_ms } => Err(held_error(&runner, until_ms, now_ms)),
-        ClaimAnswer::OtherContent => {
+fn decide_claim(
+    reply: ClaimReply,
+    active: ActiveClaim,
+    now_ms: u64,
+) -> Result<ClaimDecision, CallerError> {
+    match reply {
+        ClaimReply::Granted => Ok(ClaimDecision::Run(active)),
+        ClaimReply::Finished(outcome) => recorded_response(outcome).map(ClaimDecision::Recorded),
+        ClaimReply::Held { runner, until_ms } => Err(active_claim_error(&runner, until_ms, now_ms)),
+        ClaimReply::OtherContent => {
             let message = "the request key was used for another request";
             Err(CallerError::new(ErrorCode::KeyReused, STEP, message))
         }
@@ -93,17 +97,21 @@
 fn no_quorum(message: String) -> CallerError {
     CallerError::new(ErrorCode::NoQuorum, STEP, message)
         .with_earlier_unknown(true)
-        .with_retry_after(NO_QUORUM_WAIT)
+        .with_retry_after(NO_QUORUM_RETRY_AFTER)
 }
 
-// While the run may go on a resend is told to wait; after that its end cannot be known.
-fn held_error(runner: &str, until_ms: u64, now_ms: u64) -> CallerError {
+// While the other run may continue, a resend has to wait. After that its outcome cannot be known.
+fn active_claim_error(runner: &str, until_ms: u64, now_ms: u64) -> CallerError {
     if now_ms < until_ms {
         let wait = Duration::from_millis(until_ms - now_ms);
-        CallerError::new(ErrorCode::StillRunning, STEP, "another sending runs now")
-            .with_peer(runner)
-            .with_ran(RanState::Unknown)
-            .with_retry_after(wait)
+        CallerError::new(
+            ErrorCode::StillRunning,
+            STEP,
+            "another request with this request key is running",
+        )
+        .with_peer(runner)
+        .with_ran(RanState::Unknown)
+        .with_retry_after(wait)
     } else {
         CallerError::new(ErrorCode::MayHaveRun, STEP, "the host that ran it was lost")
             .with_peer(runner)
@@ -111,9 +119,9 @@
     }
 }
 
-fn recorded_answer(outcome: ClaimOutcome) -> Result<RunAnswer, CallerError> {
+fn recorded_response(outcome: ClaimOutcome) -> Result<RunResponse, CallerError> {
     match outcome.body {
-        Some(body) => Ok(RunAnswer {
+        Some(body) => Ok(RunResponse {
             status: outcome.status,
             content_type: "application/json".to_owned(),
             body: Bytes::from(body),
@@ -121,29 +129,29 @@
         None => Err(CallerError::new(
             ErrorCode::ResultNotKept,
             STEP,
-            "the answer was too large to be kept",
+            "the response was too large to be stored",
         )
         .with_ran(RanState::Yes)),
     }
 }
 
-impl HeldClaim {
-    /// Records the end of the run, before the caller is told of it.
-    pub(crate) async fn settle(
+impl ActiveClaim {
+    /// Records the outcome of the run before the caller gets the response.
+    pub(crate) async fn record_result(
         self,
         worker: &WorkerContext,
         request: &str,
-        result: &Result<RunAnswer, CallerError>,
+        result: &Result<RunResponse, CallerError>,
     ) {
         let outcome = match result {
-            Ok(answer) => ClaimOutcome {
-                status: answer.status,
-                body: kept_body(&answer.body),
+            Ok(response) => ClaimOutcome {
+                status: response.status,
+                body: storable_body(&response.body),
             },
             Err(error) if error.ran == RanState::No => return self.release(worker, request),
             Err(error) => ClaimOutcome {
                 status: error.code.status(),
-                body: kept_body(error.body(request).to_string().as_bytes()),
+                body: storable_body(error.body(request).to_string().as_bytes()),
             },
         };
         let call = ControlCall::Claim(ClaimCommand::Finish {
@@ -154,17 +162,17 @@
         let entry = &worker.entry;
         if entry
             .control
-            .submit(request, call.clone(), entry.claim_time)
+            .submit(request, call.clone(), entry.claim_timeout)
             .await
             .is_err()
         {
-            // The answer is not held back for it; until it is recorded a resend is told that the
-            // request may have run.
-            entry.control.submit_later(request, call);
+            // Does not delay the response further. Until the outcome is recorded, a resend gets the
+            // error that the request may have run.
+            entry.control.submit_in_background(request, call);
         }
     }
 
-    /// Gives the claim back: no target took any of the request.
+    /// Releases the claim. Only valid if no target received any part of the request.
     fn release(self, worker: &WorkerContext, request: &str) {
         let command = ClaimCommand::Release {
             key: self.planned.key,
@@ -173,15 +181,15 @@
         worker
             .entry
             .control
-            .submit_later(request, ControlCall::Claim(command));
+            .submit_in_background(request, ControlCall::Claim(command));
     }
 }
 
-fn kept_body(body: &[u8]) -> Option<Vec<u8>> {
+fn storable_body(body: &[u8]) -> Option<Vec<u8>> {
     (body.len() <= MAX_OUTCOME_BYTES).then(|| body.to_vec())
 }
 
-fn wall_millis() -> u64 {
+fn unix_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/entry/src/run/mod.rs
+++ b/crates/entry/src/run/mod.rs
@@ -1,9 +1,9 @@
-//! Takes one request from admission to its end.
+//! Runs one request from admission to its response.
 //!
-//! - [`RequestPlan`] is what was asked; [`run_request`] runs it.
-//! - `attempt` has what every attempt needs: its name, its time, whether another may follow.
-//! - `stage`, `stream` and `service` run one kind of work each.
-//! - `claim` wraps a request that may run at most once.
+//! - [`RequestPlan`] describes the request; [`run_request`] runs it.
+//! - `attempt` handles attempts: id, timeout, retry.
+//! - `stage`, `stream` and `service` each run one kind of work.
+//! - `claim` guards a request that may run at most once.
 
 mod attempt;
 mod claim;
@@ -13,5 +13,5 @@
 mod stage;
 mod stream;
 
-pub(crate) use plan::{RequestPlan, RunAnswer, RunTarget};
+pub(crate) use plan::{RequestPlan, RequestWork, RunResponse};
 pub(crate) use request::run_request;
--- a/crates/entry/src/run/plan.rs
+++ b/crates/entry/src/run/plan.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, with all that the table says about it.
+//! A validated request with its settings from the table.
 
 use std::time::{Duration, Instant};
 
@@ -11,20 +11,20 @@
 use crate::adapter::service::ServiceCall;
 use crate::caller::CheckedHead;
 
-/// What a request runs on.
-pub(crate) enum RunTarget {
+/// The work of a request.
+pub(crate) enum RequestWork {
     Pipeline { stages: Vec<StageRow>, input: Value },
     Service { pool: String, call: ServiceCall },
 }
 
-/// The claim that a request needs before its first byte goes out.
+/// The claim that a request needs before its first byte is sent to a target.
 #[derive(Debug, Clone)]
 pub(crate) struct PlannedClaim {
     pub(crate) key: ClaimKey,
     pub(crate) content: [u8; 16],
 }
 
-/// One request.
+/// The plan of one request.
 pub(crate) struct RequestPlan {
     pub(crate) id: String,
     pub(crate) account: u32,
@@ -37,24 +37,24 @@
     pub(crate) deadline: Instant,
     pub(crate) repeatable: bool,
     pub(crate) claim: Option<PlannedClaim>,
-    pub(crate) target: RunTarget,
+    pub(crate) work: RequestWork,
 }
 
-/// The whole answer of a request.
+/// The complete response of a request.
 #[derive(Debug, Clone)]
-pub(crate) struct RunAnswer {
+pub(crate) struct RunResponse {
     pub(crate) status: u16,
     pub(crate) content_type: String,
     pub(crate) body: Bytes,
 }
 
 impl RequestPlan {
-    /// Creates a plan from a checked request. Later changes of the table do not touch it.
+    /// Creates a plan from a validated request. Later changes of the table do not affect it.
     pub(crate) fn new(
         table: &TableStore,
         id: String,
         head: CheckedHead,
-        target: RunTarget,
+        work: RequestWork,
         body: &[u8],
         now: Instant,
     ) -> Self {
@@ -65,7 +65,7 @@
             .filter(|_| !head.repeatable)
             .map(|key| PlannedClaim {
                 key: ClaimKey::new(&account.name, &key),
-                content: ClaimCommand::content_digest(&content_scope(&route.name, &target), body),
+                content: ClaimCommand::content_digest(&content_scope(&route.name, &work), body),
             });
         Self {
             id,
@@ -79,38 +79,40 @@
             deadline: now + head.deadline,
             repeatable: head.repeatable,
             claim,
-            target,
+            work,
         }
     }
 
-    /// Says whether the last stage gives a stream.
-    pub(crate) fn streams(&self) -> bool {
-        match &self.target {
-            RunTarget::Pipeline { stages, .. } => stages.last().is_some_and(|stage| stage.streams),
-            RunTarget::Service { .. } => false,
+    /// Returns whether the last stage streams its output.
+    pub(crate) fn is_streaming(&self) -> bool {
+        match &self.work {
+            RequestWork::Pipeline { stages, .. } => {
+                stages.last().is_some_and(|stage| stage.streams)
+            }
+            RequestWork::Service { .. } => false,
         }
     }
 
     /// Returns the pools that the request needs, in order.
     pub(crate) fn pools(&self) -> Vec<&str> {
-        match &self.target {
-            RunTarget::Pipeline { stages, .. } => {
+        match &self.work {
+            RequestWork::Pipeline { stages, .. } => {
                 stages.iter().map(|stage| stage.pool.as_str()).collect()
             }
-            RunTarget::Service { pool, .. } => vec![pool],
+            RequestWork::Service { pool, .. } => vec![pool],
         }
     }
 
-    /// Returns the time left.
+    /// Returns the time left until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
-// A call is the same request only with the same method and path.
-fn content_scope(route: &str, target: &RunTarget) -> String {
-    match target {
-        RunTarget::Pipeline { .. } => route.to_owned(),
-        RunTarget::Service { call, .. } => format!("{route} {} {}", call.method, call.path),
+// Includes method and path of a service call, so that calls to other paths are different requests.
+fn content_scope(route: &str, work: &RequestWork) -> String {
+    match work {
+        RequestWork::Pipeline { .. } => route.to_owned(),
+        RequestWork::Service { call, .. } => format!("{route} {} {}", call.method, call.path),
     }
 }
--- a/crates/entry/src/run/service.rs
+++ b/crates/entry/src/run/service.rs
@@ -1,32 +1,32 @@
-//! Passes a call on to a plain service.
+//! Forwards a call to a plain service.
 
-use super::RunAnswer;
-use super::attempt::StageTrial;
+use super::RunResponse;
+use super::attempt::StageExecution;
 use crate::adapter::service::{ServiceCall, call_service};
 use crate::{CallerError, RanState};
 
-/// Tries a call until the service has answered or no attempt may follow.
+/// Attempts a call until the service responds or no retry is allowed.
 pub(crate) async fn try_call(
-    trial: &mut StageTrial<'_>,
+    execution: &mut StageExecution<'_>,
     request: &ServiceCall,
     ran: &mut RanState,
-) -> Result<RunAnswer, CallerError> {
+) -> Result<RunResponse, CallerError> {
     loop {
-        let permit = trial.next_permit(*ran).await?;
-        let call = trial.begin(&permit);
-        match call_service(&trial.worker.clients, &call, request).await {
-            Ok(answer) => {
+        let permit = execution.acquire_target(*ran).await?;
+        let call = execution.begin_attempt(&permit);
+        match call_service(&execution.worker.clients, &call, request).await {
+            Ok(response) => {
                 *ran = RanState::Yes;
-                trial.succeed(permit, answer.load);
-                return Ok(RunAnswer {
-                    status: answer.status,
-                    content_type: answer.content_type,
-                    body: answer.body,
+                execution.record_success(permit, response.load);
+                return Ok(RunResponse {
+                    status: response.status,
+                    content_type: response.content_type,
+                    body: response.body,
                 });
             }
             Err(error) => {
                 *ran = (*ran).max(error.ran());
-                trial.fail(permit, &error, *ran)?;
+                execution.record_failure(permit, &error, *ran)?;
             }
         }
     }
--- a/crates/entry/src/run/stage.rs
+++ b/crates/entry/src/run/stage.rs
@@ -1,30 +1,30 @@
-//! Runs a stage whose output comes in one piece.
+//! Runs a stage without streamed output.
 
 use serde_json::Value;
 
-use super::attempt::StageTrial;
+use super::attempt::StageExecution;
 use crate::adapter::stage::run_stage;
 use crate::{CallerError, RanState};
 
-/// Tries a stage until it has an output or no attempt may follow. `ran` is raised as targets take
+/// Attempts a stage until it has an output or no retry is allowed. Raises `ran` as targets receive
 /// the request.
 pub(crate) async fn try_stage(
-    trial: &mut StageTrial<'_>,
+    execution: &mut StageExecution<'_>,
     input: &Value,
     ran: &mut RanState,
 ) -> Result<Value, CallerError> {
     loop {
-        let permit = trial.next_permit(*ran).await?;
-        let call = trial.begin(&permit);
-        match run_stage(&trial.worker.clients, &call, trial.stage, input).await {
+        let permit = execution.acquire_target(*ran).await?;
+        let call = execution.begin_attempt(&permit);
+        match run_stage(&execution.worker.clients, &call, execution.stage, input).await {
             Ok((output, load)) => {
                 *ran = RanState::Yes;
-                trial.succeed(permit, load);
+                execution.record_success(permit, load);
                 return Ok(output);
             }
             Err(error) => {
                 *ran = (*ran).max(error.ran());
-                trial.fail(permit, &error, *ran)?;
+                execution.record_failure(permit, &error, *ran)?;
             }
         }
     }
--- a/crates/entry/src/run/stream.rs
+++ b/crates/entry/src/run/stream.rs
@@ -1,40 +1,40 @@
-//! Runs a stage whose output is a stream of tokens.
+//! Runs a stage with streamed output.
 
 use std::time::Duration;
 
-use linnet_dispatch::{LoadReport, QuotaHold};
+use linnet_dispatch::{LoadReport, QuotaGuard};
 use linnet_telemetry::EventCode;
 use ntex::util::Bytes;
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-use super::attempt::StageTrial;
+use super::attempt::StageExecution;
 use crate::adapter::engine::{StreamStep, open_stream};
 use crate::adapter::{AttemptCall, AttemptError};
 use crate::{CallerError, ErrorCode, RanState};
 
-/// How long the next token of a stream is waited for before another engine goes on.
-const TOKEN_PATIENCE: Duration = Duration::from_millis(1_000);
+/// The timeout for the next token of a stream, after which another engine continues.
+const TOKEN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Where the tokens of a request go.
+/// Collects the tokens of a request and forwards them to its caller.
 pub(crate) struct TokenSink<'a> {
-    /// The tokens so far.
+    /// The tokens received so far.
     pub(crate) tokens: Vec<String>,
-    /// Where each is sent as it comes, if anywhere.
+    /// The channel to which each token is sent, if the response is streamed.
     pub(crate) lines: Option<&'a mpsc::Sender<Bytes>>,
-    /// What the tokens are charged to.
-    pub(crate) hold: &'a QuotaHold,
+    /// The quota to which the tokens are charged.
+    pub(crate) quota: &'a QuotaGuard,
 }
 
 impl TokenSink<'_> {
-    async fn take(&mut self, token: String) -> Result<(), CallerError> {
+    async fn push(&mut self, token: String) -> Result<(), CallerError> {
         let line = json!({ "index": self.tokens.len(), "token": token });
         self.tokens.push(token);
-        self.hold.charge_tokens(1);
+        self.quota.charge_tokens(1);
         self.send(&line).await
     }
 
-    /// Sends the end mark, which tells the caller that the answer is whole.
+    /// Sends the end mark, which shows the caller that the response is complete.
     pub(crate) async fn end(&self) -> Result<(), CallerError> {
         self.send(&json!({ "end": true, "count": self.tokens.len() }))
             .await
@@ -46,74 +46,74 @@
         };
         let sent = lines.send(Bytes::from(format!("{line}\n"))).await;
         sent.map_err(|_| {
-            CallerError::new(ErrorCode::TargetFailed, "answer", "the caller went away")
+            CallerError::new(ErrorCode::TargetFailed, "answer", "the caller disconnected")
                 .with_ran(RanState::Yes)
         })
     }
 }
 
-/// Tries a stream until its end mark has come or no attempt may follow. A stream that is lost
-/// goes on at another engine from the token that it had reached.
+/// Attempts a stream until its end mark is received or no retry is allowed. An interrupted stream is
+/// resumed at another engine from the next token.
 pub(crate) async fn try_stream(
-    trial: &mut StageTrial<'_>,
+    execution: &mut StageExecution<'_>,
     input: &Value,
     ran: &mut RanState,
     sink: &mut TokenSink<'_>,
 ) -> Result<(), CallerError> {
     loop {
-        let permit = trial.next_permit(*ran).await?;
-        let call = trial.begin(&permit);
-        let reached = sink.tokens.len();
-        if reached > 0 {
-            let detail = format!("from token {reached}");
-            trial.note(EventCode::StreamResumed, permit.name(), detail);
+        let permit = execution.acquire_target(*ran).await?;
+        let call = execution.begin_attempt(&permit);
+        let next_token = sink.tokens.len();
+        if next_token > 0 {
+            let detail = format!("from token {next_token}");
+            execution.record(EventCode::StreamResumed, permit.name(), detail);
         }
-        match take_stream(trial, &call, input, ran, sink).await {
+        match receive_stream(execution, &call, input, ran, sink).await {
             Ok(load) => {
-                trial.succeed(permit, load);
+                execution.record_success(permit, load);
                 return sink.end().await;
             }
-            Err(StreamEnd::Attempt(error)) => {
+            Err(StreamFailure::Attempt(error)) => {
                 *ran = (*ran).max(error.ran());
-                trial.fail(permit, &error, *ran)?;
+                execution.record_failure(permit, &error, *ran)?;
             }
-            Err(StreamEnd::Caller(error)) => return Err(error),
+            Err(StreamFailure::Caller(error)) => return Err(error),
         }
     }
 }
 
-/// Why a stream ended before its end mark.
-enum StreamEnd {
+/// Why a stream failed before its end mark.
+enum StreamFailure {
     Attempt(AttemptError),
     Caller(CallerError),
 }
 
-impl From<AttemptError> for StreamEnd {
+impl From<AttemptError> for StreamFailure {
     fn from(error: AttemptError) -> Self {
-        StreamEnd::Attempt(error)
+        StreamFailure::Attempt(error)
     }
 }
 
-async fn take_stream(
-    trial: &StageTrial<'_>,
+async fn receive_stream(
+    execution: &StageExecution<'_>,
     call: &AttemptCall,
     input: &Value,
     ran: &mut RanState,
     sink: &mut TokenSink<'_>,
-) -> Result<Option<LoadReport>, StreamEnd> {
+) -> Result<Option<LoadReport>, StreamFailure> {
     let resume_from = sink.tokens.len() as u64;
-    let clients = &trial.worker.clients;
-    let mut stream = open_stream(clients, call, trial.stage, input, resume_from).await?;
+    let clients = &execution.worker.clients;
+    let mut stream = open_stream(clients, call, execution.stage, input, resume_from).await?;
     *ran = (*ran).max(RanState::Unknown);
-    // The first token is waited for as long as the attempt may take.
-    let mut patience = call.time_left.max(TOKEN_PATIENCE);
+    // The first token may take as long as the attempt.
+    let mut timeout = call.time_left.max(TOKEN_TIMEOUT);
     loop {
-        let bounded = patience.min(trial.plan.time_left());
+        let bounded = timeout.min(execution.plan.time_left());
         match stream.next_step(bounded).await? {
             StreamStep::Token(token) => {
                 *ran = RanState::Yes;
-                sink.take(token).await.map_err(StreamEnd::Caller)?;
-                patience = TOKEN_PATIENCE;
+                sink.push(token).await.map_err(StreamFailure::Caller)?;
+                timeout = TOKEN_TIMEOUT;
             }
             StreamStep::End => return Ok(stream.load()),
         }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -8,19 +8,19 @@
 use linnet_dispatch::PolicyChoice;
 use linnet_wire::PeerKeyRing;
 
-/// The most threads that serve callers.
+/// The maximum number of threads that serve callers.
 const MAX_WORKERS: usize = 64;
 
-/// An entry host of linnetdale: takes callers' requests and sends each stage to a target.
+/// An entry host of linnetdale: accepts callers' requests and sends each stage to a target.
 ///
-/// Needs no disk. It serves once it has the operators' table and a host list.
+/// Needs no disk. Serves requests once it has the operators' table and a host list.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "linnet-entry", version)]
 pub struct EntrySettings {
     /// Name of this host
     #[arg(long, env = "LINNET_NAME")]
     pub name: String,
-    /// Data hall that this host stands in
+    /// Data hall of this host
     #[arg(long, env = "LINNET_HALL")]
     pub hall: String,
     /// Address for callers, as IP:PORT
@@ -32,45 +32,45 @@
     /// Address for operators, as IP:PORT
     #[arg(long, env = "LINNET_OPS_LISTEN")]
     pub ops_listen: SocketAddr,
-    /// Peer addresses of the control hosts, parted by commas, nearest first
+    /// Peer addresses of the control hosts, separated by commas, nearest first
     #[arg(long, env = "LINNET_CONTROL", value_delimiter = ',')]
     pub control: Vec<SocketAddr>,
-    /// Peer addresses of the entry hosts of this hall, parted by commas; its own may be among them
+    /// Peer addresses of the entry hosts of this hall, separated by commas; may include its own
     #[arg(long, env = "LINNET_HALL_PEERS", value_delimiter = ',')]
     pub hall_peers: Vec<SocketAddr>,
     /// Address of the platform's host list, as IP:PORT
     #[arg(long, env = "LINNET_HOST_LIST")]
     pub host_list: SocketAddr,
-    /// File of shared keys, one `ID HEX` a line; the first is offered, all are accepted
+    /// File of shared keys, one `ID HEX` per line; the first is offered, all are accepted
     #[arg(long, env = "LINNET_PEER_KEYS")]
     pub peer_keys: PathBuf,
-    /// Digests of operators' keys, parted by commas (see `linnetctl key`)
+    /// Digests of operators' keys, separated by commas (see `linnetctl key`)
     #[arg(long, env = "LINNET_OPERATOR_DIGESTS")]
     pub operator_digests: String,
     /// Threads that serve callers
     #[arg(long, env = "LINNET_WORKERS", default_value_t = 1)]
     pub workers: usize,
-    /// Rules of dispatch: linnetdale, or a baseline to compare with
+    /// Dispatch policy: linnetdale, or a baseline for comparison
     #[arg(long, env = "LINNET_POLICY", default_value = "linnetdale")]
     pub policy: String,
-    /// At a planned stop: how long the host is shown as not ready before it stops taking
-    /// requests, in milliseconds; longer than the balancer needs to see it
+    /// At a planned stop: how long the host reports that it is not ready before it refuses
+    /// requests, in milliseconds; must exceed the time the load balancer needs to notice
     #[arg(long, env = "LINNET_DRAIN_MS", default_value_t = 3_000)]
     pub drain_ms: u64,
-    /// At a planned stop: the longest wait for requests in flight, in milliseconds
+    /// At a planned stop: the maximum wait for requests in flight, in milliseconds
     #[arg(long, env = "LINNET_STOP_MS", default_value_t = 60_000)]
     pub stop_ms: u64,
-    /// How long a claim on a request key may take before the request is answered "not run", in
+    /// Timeout of a claim on a request key, after which the request is refused as not run, in
     /// milliseconds
     #[arg(long, env = "LINNET_CLAIM_MS", default_value_t = 400)]
     pub claim_ms: u64,
-    /// How long a host that runs a deferred request may be silent before another takes it over, in
-    /// milliseconds
+    /// How long a host that runs a deferred request may be silent before another host takes it
+    /// over, in milliseconds
     #[arg(long, env = "LINNET_DEFERRED_LEASE_MS", default_value_t = 15_000)]
     pub deferred_lease_ms: u64,
 }
 
-/// Settings that passed their checks.
+/// Validated settings.
 pub(crate) struct CheckedEntry {
     pub(crate) settings: EntrySettings,
     pub(crate) keys: PeerKeyRing,
@@ -79,7 +79,7 @@
 }
 
 impl EntrySettings {
-    /// Checks every setting; all faults are in the check where anything is wrong.
+    /// Validates all settings. The returned check lists every fault.
     pub(crate) fn check(self) -> Result<CheckedEntry, SettingCheck> {
         let mut check = SettingCheck::new();
         check.require_name("--name", &self.name);
@@ -124,7 +124,7 @@
             "--operator-digests",
             &self.operator_digests,
         );
-        let policy = PolicyChoice::find(&self.policy)
+        let policy = PolicyChoice::from_name(&self.policy)
             .ok_or_else(|| format!("one of {}", PolicyChoice::NAMES.join(", ")));
         let policy = check.take(policy, "--policy", &self.policy);
         match (keys, operators, policy) {
--- a/crates/entry/src/shares.rs
+++ b/crates/entry/src/shares.rs
@@ -1,63 +1,63 @@
-//! Keeps this host's shares of fleet-wide limits true to what accounts ask of the hall.
+//! Adapts this host's shares of fleet-wide limits to the demand of accounts in the hall.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 use cranelift_entity::EntityRef;
-use linnet_dispatch::{ShareFacts, share_of};
+use linnet_dispatch::{ShareInputs, compute_share};
 use tokio::time::sleep;
 
 use crate::context::EntryContext;
-use crate::hall::{BEAT_PERIOD, HallView};
+use crate::hall::{HEARTBEAT_INTERVAL, HallView};
 
-/// Accounts whose demand one message to the hall names; those that ask most.
+/// The maximum number of accounts whose demand is published to the hall; those with the most demand.
 const MAX_DEMANDS: usize = 32;
 
-/// How old a message may be whose demand still counts.
-pub(crate) const DEMAND_LIFE: Duration = Duration::from_secs(3);
+/// The maximum age of a heartbeat whose demand counts, unless the timeout of peers is longer.
+pub(crate) const DEMAND_LIFETIME: Duration = Duration::from_secs(3);
 
-/// What one account asked of one host of late. The account is named by a digest of its name, since
-/// its number differs from host to host.
+/// The recent demand of one account at one host, as a digest of the account name and the demand. The
+/// index of an account differs between hosts.
 pub(crate) type AccountDemand = (u32, u32);
 
-/// What the other hosts of the hall told.
+/// The demand published by the other hosts of the hall.
 #[derive(Debug, Default)]
-pub(crate) struct HeardDemand {
-    /// Hosts that are heard.
+pub(crate) struct PeerDemand {
+    /// The number of hosts with a recent heartbeat.
     pub(crate) hosts: u32,
-    /// What each account asks of them together, by the digest of its name.
+    /// The total demand of each account at these hosts, by the digest of its name.
     pub(crate) by_account: HashMap<u32, f64>,
 }
 
-struct OwnDemand {
+struct LocalDemand {
     account: u32,
     digest: u32,
     amount: f64,
 }
 
-/// Computes the shares again with every round of messages to the hall.
-pub(crate) async fn follow_demand(entry: Arc<EntryContext>, view: Arc<HallView>) {
+/// Publishes the demand at this host and recomputes the shares at every heartbeat interval.
+pub(crate) async fn update_shares(entry: Arc<EntryContext>, view: Arc<HallView>) {
     loop {
-        sleep(BEAT_PERIOD).await;
-        let own = own_demand(&entry);
-        let mut told: Vec<AccountDemand> = own
+        sleep(HEARTBEAT_INTERVAL).await;
+        let own = local_demand(&entry);
+        let mut published: Vec<AccountDemand> = own
             .iter()
             .map(|demand| (demand.digest, demand.amount as u32))
             .collect();
-        told.sort_by_key(|(_, amount)| std::cmp::Reverse(*amount));
-        told.truncate(MAX_DEMANDS);
-        view.tell_demand(told);
+        published.sort_by_key(|(_, amount)| std::cmp::Reverse(*amount));
+        published.truncate(MAX_DEMANDS);
+        view.publish_demand(published);
         set_shares(&entry, &view, &own);
     }
 }
 
-fn own_demand(entry: &EntryContext) -> Vec<OwnDemand> {
+fn local_demand(entry: &EntryContext) -> Vec<LocalDemand> {
     let table = entry.feed.read();
-    let report = entry.quotas.report_demand();
+    let report = entry.quotas.sample_demand();
     let named = report.into_iter().map(|(account, amount)| {
         let id = linnet_table::AccountId::new(account as usize);
-        OwnDemand {
+        LocalDemand {
             account,
             digest: digest_of(&table.account(id).name),
             amount,
@@ -72,23 +72,28 @@
     u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-fn set_shares(entry: &EntryContext, view: &HallView, own: &[OwnDemand]) {
-    let heard = view.heard_demand();
+fn set_shares(entry: &EntryContext, view: &HallView, own: &[LocalDemand]) {
+    let peers = view.peer_demand();
     let hall = view.hall_size();
-    let facts = |own_demand, heard_demand| ShareFacts {
-        // Until the fleet is known the hall counts as the whole of it.
-        fleet: entry.feed.fleet().max(hall),
-        hall,
-        heard: heard.hosts,
-        own_demand,
-        heard_demand,
+    let inputs = |local_demand, peer_demand| ShareInputs {
+        // Until the size of the fleet is known, the hall counts as the complete fleet.
+        fleet_hosts: entry.feed.fleet().max(hall),
+        hall_hosts: hall,
+        live_peers: peers.hosts,
+        local_demand,
+        peer_demand,
     };
     let shares: HashMap<u32, f64> = own
         .iter()
         .map(|demand| {
-            let others = heard.by_account.get(&demand.digest).copied().unwrap_or(0.0);
-            (demand.account, share_of(&facts(demand.amount, others)))
+            let others = peers.by_account.get(&demand.digest).copied().unwrap_or(0.0);
+            (
+                demand.account,
+                compute_share(&inputs(demand.amount, others)),
+            )
         })
         .collect();
-    entry.quotas.set_shares(share_of(&facts(0.0, 0.0)), shares);
+    entry
+        .quotas
+        .set_shares(compute_share(&inputs(0.0, 0.0)), shares);
 }
--- a/crates/entry/src/source.rs
+++ b/crates/entry/src/source.rs
@@ -1,7 +1,8 @@
-//! Which source this host follows for the table.
+//! Chooses the source from which this host receives the table.
 //!
-//! One host of a hall, the first by name that can, follows a control host; the others follow it.
-//! So control serves halls, not hosts. Without any control host each follows the hall's newest.
+//! One host of a hall, the first by name that is able to, follows a control host; the others follow
+//! that host. Control hosts thereby serve halls, not hosts. Without a control host, each host
+//! follows the host of the hall with the newest table.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,13 +16,13 @@
 use crate::context::EntryContext;
 use crate::hall::HallView;
 
-/// How often the choice of source is looked at again.
-const REVIEW_PERIOD: Duration = Duration::from_millis(500);
+/// The interval at which the choice of source is reviewed.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The longest wait after a source was lost; drawn by chance below it.
-const MOST_RETRY_WAIT_MS: u64 = 400;
+/// The upper bound of the random delay after a source is lost.
+const MAX_RETRY_DELAY_MS: u64 = 400;
 
-/// Where the table may come from.
+/// A source of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum TableSource {
     /// A control host.
@@ -56,9 +57,9 @@
             last = Some(source.clone());
         }
         let from_control = source == TableSource::Control;
-        let heard = |_| view.set_linked(from_control);
-        // Only control needs to know the hall; a relay hears the hall's own messages. Towards a
-        // relay the report is a sign of life.
+        let on_received = |_| view.set_linked(from_control);
+        // Only control needs reports about the hall; a relay receives the heartbeats of the hall. To
+        // a relay the empty report only shows that this host is alive.
         let report = || FollowReport {
             hosts: if from_control {
                 view.reports(&entry)
@@ -67,23 +68,23 @@
             },
         };
         tokio::select! {
-            _ = follow_source(&entry.feed, &identity, address, heard, report) => {
+            _ = follow_source(&entry.feed, &identity, address, on_received, report) => {
                 turn += 1;
                 if from_control {
-                    view.note_control_lost();
+                    view.mark_control_lost();
                 }
             }
-            () = until_better(&entry, &view, &source) => {}
+            () = wait_for_other_source(&entry, &view, &source) => {}
         }
         view.set_linked(false);
-        sleep(Duration::from_millis(fastrand::u64(20..MOST_RETRY_WAIT_MS))).await;
+        sleep(Duration::from_millis(fastrand::u64(20..MAX_RETRY_DELAY_MS))).await;
     }
 }
 
-/// Resolves when another source should be followed than the current one.
-async fn until_better(entry: &EntryContext, view: &HallView, current: &TableSource) {
+/// Returns when a source other than the current one should be followed.
+async fn wait_for_other_source(entry: &EntryContext, view: &HallView, current: &TableSource) {
     loop {
-        sleep(REVIEW_PERIOD).await;
+        sleep(REVIEW_INTERVAL).await;
         if choose_source(entry, view) != *current {
             return;
         }
@@ -94,9 +95,9 @@
     let peers = view.live_peers();
     let linked = peers.iter().find(|peer| peer.linked);
     if let Some(relay) = linked {
-        // This host is before the relay by name: it takes its place, unless it cannot reach
-        // control itself, as in a cut of some of the links.
-        if entry.name < relay.name && !view.lost_control_lately() {
+        // This host precedes the relay by name and replaces it, unless it cannot reach control
+        // itself, as in a partial network failure.
+        if entry.name < relay.name && !view.lost_control_recently() {
             return TableSource::Control;
         }
         return TableSource::Peer(relay.name.clone(), relay.address);
--- a/crates/entry/src/stats.rs
+++ b/crates/entry/src/stats.rs
@@ -23,11 +23,11 @@
 pub(crate) struct StageLabels {
     pub(crate) route: String,
     pub(crate) stage: String,
-    /// `useful` where the answer came in time, else `wasted`.
+    /// `useful` if the response was received in time, otherwise `wasted`.
     pub(crate) use_of: String,
 }
 
-/// Labels of an answer that was dropped.
+/// Labels of a dropped response.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct DropLabels {
     pub(crate) cause: String,
@@ -39,7 +39,7 @@
 
 type TimeFamily = Family<StageLabels, Histogram, fn() -> Histogram>;
 
-/// The metrics.
+/// The metrics of the entry daemon.
 pub(crate) struct EntryStats {
     requests: Family<RequestLabels, Counter>,
     stage_time: TimeFamily,
@@ -70,24 +70,24 @@
         );
         registry.register(
             "stage_seconds",
-            "Time of attempts",
+            "Duration of attempts in seconds",
             stats.stage_time.clone(),
         );
         registry.register(
             "cost_target_ms",
-            "Time held at targets",
+            "Time that attempts occupied targets, in milliseconds",
             stats.cost_ms.clone(),
         );
         registry.register(
             "answers_dropped",
-            "Answers of others, late or cut",
+            "Responses that were dropped as invalid, by cause",
             stats.dropped.clone(),
         );
         registry.register("retries", "Attempts after the first", stats.retries.clone());
         registry.register("in_flight", "Requests in flight", stats.in_flight.clone());
         registry.register(
             "table_version",
-            "Version in force",
+            "Version of the active table",
             stats.table_version.clone(),
         );
         drop(registry);
@@ -103,7 +103,7 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Counts the time that an attempt held at a target.
+    /// Counts the time that an attempt occupied a target.
     pub(crate) fn count_attempt(&self, route: &str, stage: &str, held: Duration, useful: bool) {
         let labels = StageLabels {
             route: route.to_owned(),
@@ -117,29 +117,29 @@
         self.cost_ms.get_or_create(&labels).inc_by(millis);
     }
 
-    /// Counts an answer that was dropped.
-    pub(crate) fn count_dropped(&self, cause: &str) {
+    /// Counts a dropped response.
+    pub(crate) fn count_dropped_response(&self, cause: &str) {
         let labels = DropLabels {
             cause: cause.to_owned(),
         };
         self.dropped.get_or_create(&labels).inc();
     }
 
-    /// Counts an attempt after the first.
+    /// Counts a retry of a stage.
     pub(crate) fn count_retry(&self) {
         self.retries.inc();
     }
 }
 
-/// Records that an answer was dropped, in the time line and in the metrics.
-pub(crate) fn note_dropped(
+/// Records a dropped response in the time line and in the metrics.
+pub(crate) fn record_dropped_response(
     stats: &EntryStats,
     recorder: &EventRecorder,
     request: &str,
     peer: &str,
     cause: &str,
 ) {
-    stats.count_dropped(cause);
+    stats.count_dropped_response(cause);
     let code = linnet_telemetry::EventCode::AnswerDropped;
     recorder.record_request(code, request, peer, cause);
 }
--- a/crates/load/src/policy.rs
+++ b/crates/load/src/policy.rs
@@ -25,7 +25,7 @@
         .map(|name| find_scenario(name).ok_or_else(|| wrong("scenario", name)))
         .collect::<Result<_, _>>()?;
     for policy in &args.policies {
-        PolicyChoice::find(policy).ok_or_else(|| wrong("policy", policy))?;
+        PolicyChoice::from_name(policy).ok_or_else(|| wrong("policy", policy))?;
     }
     std::fs::create_dir_all(&args.out)?;
     let mut rows = Vec::new();
