--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -26,7 +26,7 @@
     until_ms: u64,
     outcome: Option<ClaimOutcome>,
     /// The sequence number of the outcome among all outcomes; 0 if there is none.
-    ended: u64,
+    outcome_number: u64,
 }
 
 impl ClaimEntry {
@@ -45,13 +45,13 @@
 pub struct ClaimTable {
     claims: HashMap<ClaimKey, ClaimEntry>,
     /// Claims in order of opening, for the removal of the oldest. May contain removed claims.
-    order: VecDeque<(u64, ClaimKey, u64)>,
+    open_order: VecDeque<(u64, ClaimKey, u64)>,
     /// Outcomes with a body as sequence number and key, oldest first. May contain removed claims.
-    bodies: VecDeque<(u64, ClaimKey)>,
+    body_order: VecDeque<(u64, ClaimKey)>,
     /// The total size of all bodies.
     body_bytes: usize,
     /// The number of outcomes recorded so far.
-    ended: u64,
+    outcome_count: u64,
     /// The latest time carried by any command.
     now_ms: u64,
 }
@@ -82,7 +82,7 @@
                     opened_ms: self.now_ms,
                     until_ms,
                     outcome: None,
-                    ended: 0,
+                    outcome_number: 0,
                 };
                 self.open(key, entry)
             }
@@ -113,7 +113,7 @@
             .collect();
         ClaimImage {
             now_ms: self.now_ms,
-            ended: self.ended,
+            outcome_count: self.outcome_count,
             rows: rows.into_iter().collect(),
         }
     }
@@ -125,7 +125,7 @@
         if self.claims.len() >= MAX_CLAIMS {
             return ClaimReply::Full;
         }
-        self.order
+        self.open_order
             .push_back((entry.opened_ms, key.clone(), entry.claim));
         self.claims.insert(key, entry);
         ClaimReply::Granted
@@ -141,11 +141,11 @@
         };
         // The first outcome is final; a repeated command has no effect.
         if entry.outcome.is_none() {
-            self.ended += 1;
-            entry.ended = self.ended;
+            self.outcome_count += 1;
+            entry.outcome_number = self.outcome_count;
             entry.outcome = Some(outcome);
             self.body_bytes += entry.body_bytes();
-            self.bodies.push_back((self.ended, key));
+            self.body_order.push_back((self.outcome_count, key));
             self.drop_oldest_bodies();
         }
         ClaimReply::Recorded
@@ -154,13 +154,13 @@
     // A claim without its body still records that the request has run.
     fn drop_oldest_bodies(&mut self) {
         while self.body_bytes > MAX_CLAIM_BODY_BYTES {
-            let Some((ended, key)) = self.bodies.pop_front() else {
+            let Some((number, key)) = self.body_order.pop_front() else {
                 return;
             };
             let entry = self
                 .claims
                 .get_mut(&key)
-                .filter(|entry| entry.ended == ended);
+                .filter(|entry| entry.outcome_number == number);
             if let Some(entry) = entry {
                 self.body_bytes -= entry.body_bytes();
                 if let Some(outcome) = &mut entry.outcome {
@@ -187,11 +187,11 @@
     }
 
     fn remove_expired(&mut self) {
-        while let Some((opened_ms, ..)) = self.order.front() {
+        while let Some((opened_ms, ..)) = self.open_order.front() {
             if opened_ms + CLAIM_RETENTION_MS > self.now_ms {
                 return;
             }
-            let Some((_, key, claim)) = self.order.pop_front() else {
+            let Some((_, key, claim)) = self.open_order.pop_front() else {
                 return;
             };
             let same = self
@@ -223,34 +223,34 @@
 #[derive(Serialize, Deserialize)]
 struct ClaimImage {
     now_ms: u64,
-    ended: u64,
+    outcome_count: u64,
     rows: Vec<(ClaimKey, ClaimEntry)>,
 }
 
 impl<'de> Deserialize<'de> for ClaimTable {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let image = ClaimImage::deserialize(deserializer)?;
-        let mut order: Vec<_> = image
+        let mut open_order: Vec<_> = image
             .rows
             .iter()
             .map(|(key, entry)| (entry.opened_ms, key.clone(), entry.claim))
             .collect();
-        order.sort();
+        open_order.sort();
         let with_body = image
             .rows
             .iter()
             .filter(|(_, entry)| entry.body_bytes() > 0);
-        let mut bodies: Vec<_> = with_body
-            .map(|(key, entry)| (entry.ended, key.clone()))
+        let mut body_order: Vec<_> = with_body
+            .map(|(key, entry)| (entry.outcome_number, key.clone()))
             .collect();
-        bodies.sort();
+        body_order.sort();
         let body_bytes = image.rows.iter().map(|(_, entry)| entry.body_bytes()).sum();
         Ok(Self {
             claims: image.rows.into_iter().collect(),
-            order: order.into(),
-            bodies: bodies.into(),
+            open_order: open_order.into(),
+            body_order: body_order.into(),
             body_bytes,
-            ended: image.ended,
+            outcome_count: image.outcome_count,
             now_ms: image.now_ms,
         })
     }
--- a/crates/dispatch/src/context.rs
+++ b/crates/dispatch/src/context.rs
@@ -33,7 +33,7 @@
     pub(crate) queue: FairQueue<QueuedRequest>,
     pub(crate) estimate: StageEstimate,
     /// The duration of attempts by route.
-    pub(crate) routes: HashMap<u32, StageEstimate>,
+    pub(crate) route_estimates: HashMap<u32, StageEstimate>,
     /// The number of admitted requests of each account that have not reached the pool yet.
     pub(crate) reserved: HashMap<u32, usize>,
     /// The weight of each account at its last admission.
@@ -44,7 +44,7 @@
     /// Returns the typical duration of attempts of a route at this pool; that of all routes while
     /// the route has no sample.
     pub(crate) fn typical_duration(&self, route: u32) -> Duration {
-        let own = self.routes.get(&route).unwrap_or(&self.estimate);
+        let own = self.route_estimates.get(&route).unwrap_or(&self.estimate);
         own.typical()
     }
 
@@ -164,7 +164,7 @@
             targets: Vec::new(),
             queue: FairQueue::new(policy.queue),
             estimate: StageEstimate::default(),
-            routes: HashMap::new(),
+            route_estimates: HashMap::new(),
             reserved: HashMap::new(),
             weights: HashMap::new(),
         });
@@ -338,7 +338,7 @@
                 target.record_success();
                 let pool = &mut self.pools[pool];
                 pool.estimate.record(elapsed);
-                let route = pool.routes.entry(finish.route).or_default();
+                let route = pool.route_estimates.entry(finish.route).or_default();
                 route.record(elapsed);
                 target
                     .window
--- a/crates/dispatch/tests/dispatch.rs
+++ b/crates/dispatch/tests/dispatch.rs
@@ -239,7 +239,9 @@
 }
 
 /// Requests more permits than the window holds and waits until some requests are queued.
-async fn queue_requests(dispatcher: &Arc<TargetDispatcher>) -> Vec<ntex::rt::JoinHandle<Granted>> {
+async fn queue_requests(
+    dispatcher: &Arc<TargetDispatcher>,
+) -> Vec<ntex::rt::JoinHandle<AcquireResult>> {
     let tasks = (0..12).map(|_| {
         let waiting = dispatcher.clone();
         ntex::rt::spawn(async move { waiting.acquire(target_request(1, LONG)).await })
@@ -251,7 +253,7 @@
     tasks
 }
 
-type Granted = Result<linnet_dispatch::TargetPermit, linnet_dispatch::DispatchRefusal>;
+type AcquireResult = Result<linnet_dispatch::TargetPermit, linnet_dispatch::DispatchRefusal>;
 
 #[ntex::test]
 async fn queued_requests_are_served_in_turn_as_the_window_permits() {
--- a/crates/entry/src/run/attempt.rs
+++ b/crates/entry/src/run/attempt.rs
@@ -178,7 +178,8 @@
 
     fn can_retry(&self, error: &AttemptError) -> bool {
         let allowed = self.plan.repeatable || error.ran() == RanState::No;
-        let fits = self.plan.time_left() > self.work_after + self.typical_duration();
+        let typical = self.typical_duration();
+        let fits = self.plan.time_left() > self.work_after + typical;
         if !allowed || !fits || self.attempts >= MAX_ATTEMPTS {
             return false;
         }
--- a/crates/entry/src/shares.rs
+++ b/crates/entry/src/shares.rs
@@ -12,7 +12,7 @@
 use crate::hall::{HEARTBEAT_INTERVAL, HallView};
 
 /// The maximum number of accounts whose demand is published to the hall; those with the most demand.
-const MAX_DEMANDS: usize = 32;
+const MAX_PUBLISHED_ACCOUNTS: usize = 32;
 
 /// The maximum age of a heartbeat whose demand counts, unless the timeout of peers is longer.
 pub(crate) const DEMAND_LIFETIME: Duration = Duration::from_secs(3);
@@ -46,7 +46,7 @@
             .map(|demand| (demand.digest, demand.amount as u32))
             .collect();
         published.sort_by_key(|(_, amount)| std::cmp::Reverse(*amount));
-        published.truncate(MAX_DEMANDS);
+        published.truncate(MAX_PUBLISHED_ACCOUNTS);
         view.publish_demand(published);
         set_shares(&entry, &view, &own);
     }
