--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -58,8 +58,8 @@
     considered.min_by(|a, b| score(a, hall, now).total_cmp(&score(b, hall, now)))
 }
 
-// Load dominates. Hall and prefix decide only between targets of similar load, so an outdated prefix
-// entry does not outweigh a queue. Lower is better.
+// Load dominates. Hall and prefix decide only between targets of similar load, so an outdated
+// prefix entry does not outweigh a queue. Lower is better.
 fn score(candidate: &TargetCandidate<'_>, hall: &str, now: Instant) -> f64 {
     let state = candidate.state;
     let hall_penalty = if state.hall == hall {
--- a/crates/dispatch/src/context.rs
+++ b/crates/dispatch/src/context.rs
@@ -108,8 +108,8 @@
             target.window.restart(now);
             change.listed.push(listing.name.clone());
         } else if listed == ListedState::Leaving && target.listed == ListedState::Live {
-            // Only this direction: an outdated list must not revive a target that has announced that
-            // it is leaving.
+            // Only this direction: an outdated list must not revive a target that has announced
+            // that it is leaving.
             target.listed = ListedState::Leaving;
             change.leaving.push(listing.name.clone());
         }
@@ -359,8 +359,8 @@
         }
     }
 
-    // If most targets of a pool fail, the cause is likely elsewhere, and the remaining targets could
-    // not carry the load.
+    // If most targets of a pool fail, the cause is likely elsewhere, and the remaining targets
+    // could not carry the load.
     fn can_eject(&self, pool: PoolId, now: Instant) -> bool {
         let targets = self.pools[pool].targets.iter().map(|id| &self.targets[*id]);
         let live: Vec<_> = targets
--- a/crates/dispatch/src/estimate.rs
+++ b/crates/dispatch/src/estimate.rs
@@ -5,8 +5,8 @@
 /// The weight of a new sample in the moving mean.
 const MEAN_WEIGHT: f64 = 0.1;
 
-/// The relative increase of the floor with each sample above it. An exceptionally short sample loses
-/// its effect after some thousands of samples.
+/// The relative increase of the floor with each sample above it. An exceptionally short sample
+/// loses its effect after some thousands of samples.
 const FLOOR_GROWTH: f64 = 0.0005;
 
 /// The duration of a stage at a target, without the wait in the queue of this host.
--- a/crates/dispatch/src/quota.rs
+++ b/crates/dispatch/src/quota.rs
@@ -211,8 +211,8 @@
 }
 
 impl QuotaGuard {
-    /// Charges generated tokens. The balance may become negative; later requests are refused until it
-    /// has recovered.
+    /// Charges generated tokens. The balance may become negative; later requests are refused until
+    /// it has recovered.
     pub fn charge_tokens(&self, count: u64) {
         let mut usages = self.table.lock();
         for (scope, _) in &self.scopes {
--- a/crates/dispatch/src/refusal.rs
+++ b/crates/dispatch/src/refusal.rs
@@ -43,8 +43,8 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 impl DispatchRefusal {
-    /// Creates a refusal. `wait` is the expected drain time; jitter of up to a half is added so that
-    /// callers do not retry at the same time.
+    /// Creates a refusal. `wait` is the expected drain time; jitter of up to a half is added so
+    /// that callers do not retry at the same time.
     pub fn new(cause: RefusalCause, wait: Duration) -> Self {
         let wait = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Self {
--- a/crates/entry/src/control_link.rs
+++ b/crates/entry/src/control_link.rs
@@ -56,7 +56,8 @@
 struct SendToken(Arc<AtomicBool>);
 
 impl SendToken {
-    /// Takes the token in order to send or withdraw the call. Returns false if it was already taken.
+    /// Takes the token in order to send or withdraw the call. Returns false if it was already
+    /// taken.
     fn try_take(&self) -> bool {
         !self.0.swap(true, Ordering::AcqRel)
     }
@@ -217,8 +218,8 @@
     }
 }
 
-/// Receives the replies to calls that were sent to a host before it refused one. It refuses these as
-/// well; without its reply it would be unknown whether they were applied.
+/// Receives the replies to calls that were sent to a host before it refused one. It refuses these
+/// as well; without its reply it would be unknown whether they were applied.
 async fn receive_last_replies(open: &OpenCalls, mut reader: PeerReader) -> Result<(), WireError> {
     let deadline = Instant::now() + LAST_REPLIES_TIMEOUT;
     while !lock_open(open).is_empty() {
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -225,8 +225,9 @@
         .run())
 }
 
-/// Stops without interrupting requests: first the host reports that it is not ready, long enough for
-/// the load balancer to notice, then it refuses new requests, then it waits for those in flight.
+/// Stops without interrupting requests: first the host reports that it is not ready, long enough
+/// for the load balancer to notice, then it refuses new requests, then it waits for those in
+/// flight.
 async fn drain(entry: &Arc<EntryContext>, settings: &EntrySettings) {
     entry.recorder.record(EventCode::StopRequested, "", "");
     entry.flow.begin_draining();
--- a/crates/entry/src/run/stream.rs
+++ b/crates/entry/src/run/stream.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Attempts a stream until its end mark is received or no retry is allowed. An interrupted stream is
-/// resumed at another engine from the next token.
+/// Attempts a stream until its end mark is received or no retry is allowed. An interrupted stream
+/// is resumed at another engine from the next token.
 pub(crate) async fn try_stream(
     execution: &mut StageExecution<'_>,
     input: &Value,
--- a/crates/entry/src/shares.rs
+++ b/crates/entry/src/shares.rs
@@ -11,14 +11,15 @@
 use crate::context::EntryContext;
 use crate::hall::{HEARTBEAT_INTERVAL, HallView};
 
-/// The maximum number of accounts whose demand is published to the hall; those with the most demand.
+/// The maximum number of accounts whose demand is published to the hall; those with the most
+/// demand.
 const MAX_PUBLISHED_ACCOUNTS: usize = 32;
 
 /// The maximum age of a heartbeat whose demand counts, unless the timeout of peers is longer.
 pub(crate) const DEMAND_LIFETIME: Duration = Duration::from_secs(3);
 
-/// The recent demand of one account at one host, as a digest of the account name and the demand. The
-/// index of an account differs between hosts.
+/// The recent demand of one account at one host, as a digest of the account name and the demand.
+/// The index of an account differs between hosts.
 pub(crate) type AccountDemand = (u32, u32);
 
 /// The demand published by the other hosts of the hall.
