--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -4,16 +4,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{ClaimAnswer, ClaimCommand, ClaimKey, ClaimOutcome};
+use crate::{ClaimCommand, ClaimKey, ClaimOutcome, ClaimReply};
 
-/// How long the end of a claim is kept, in milliseconds. A resend after that may run again, so
-/// callers must not resend later than this.
-pub const CLAIM_KEEP_MS: u64 = 24 * 3_600 * 1_000;
+/// How long a claim is retained after it was opened. A resend after that may run again, so callers
+/// must not resend later than this.
+pub const CLAIM_RETENTION_MS: u64 = 24 * 3_600 * 1_000;
 
-/// Bytes of answers that are kept with claims; past it the oldest answers go, not the claims.
-pub const MAX_CLAIM_BYTES: usize = 64 * 1024 * 1024;
+/// The size limit for response bodies of all claims. Beyond it the oldest bodies are dropped; their
+/// claims stay.
+pub const MAX_CLAIM_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Claims that are kept at one time.
+/// The maximum number of stored claims.
 pub const MAX_CLAIMS: usize = 200_000;
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,8 +25,8 @@
     opened_ms: u64,
     until_ms: u64,
     outcome: Option<ClaimOutcome>,
-    /// The place of the outcome in the order of all outcomes; 0 while there is none.
-    ended: u64,
+    /// The sequence number of the outcome among all outcomes; 0 if there is none.
+    outcome_number: u64,
 }
 
 impl ClaimEntry {
@@ -38,30 +39,31 @@
     }
 }
 
-/// Every claim that is kept. Equal commands in equal order give equal tables and answers.
+/// All stored claims. Deterministic: the same commands in the same order produce the same table and
+/// replies.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ClaimTable {
     claims: HashMap<ClaimKey, ClaimEntry>,
-    /// Claims in order of opening, for forgetting the oldest; may name claims already gone.
-    order: VecDeque<(u64, ClaimKey, u64)>,
-    /// Outcomes with a body in order of ending, as place and key; may name some already gone.
-    bodies: VecDeque<(u64, ClaimKey)>,
-    /// Bytes of all bodies.
+    /// Claims in order of opening, for the removal of the oldest. May contain removed claims.
+    open_order: VecDeque<(u64, ClaimKey, u64)>,
+    /// Outcomes with a body as sequence number and key, oldest first. May contain removed claims.
+    body_order: VecDeque<(u64, ClaimKey)>,
+    /// The total size of all bodies.
     body_bytes: usize,
-    /// Outcomes recorded so far.
-    ended: u64,
-    /// The latest time that any command carried.
+    /// The number of outcomes recorded so far.
+    outcome_count: u64,
+    /// The latest time carried by any command.
     now_ms: u64,
 }
 
 impl ClaimTable {
-    /// Creates a table without claims.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a step and returns its answer.
-    pub fn apply(&mut self, command: ClaimCommand) -> ClaimAnswer {
+    /// Applies a command and returns its reply.
+    pub fn apply(&mut self, command: ClaimCommand) -> ClaimReply {
         match command {
             ClaimCommand::Open {
                 key,
@@ -72,7 +74,7 @@
                 until_ms,
             } => {
                 self.now_ms = self.now_ms.max(now_ms);
-                self.forget_old();
+                self.remove_expired();
                 let entry = ClaimEntry {
                     runner,
                     claim,
@@ -80,7 +82,7 @@
                     opened_ms: self.now_ms,
                     until_ms,
                     outcome: None,
-                    ended: 0,
+                    outcome_number: 0,
                 };
                 self.open(key, entry)
             }
@@ -98,7 +100,7 @@
         self.claims.len()
     }
 
-    /// Says whether there is no claim.
+    /// Returns whether there is no claim.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
@@ -111,54 +113,54 @@
             .collect();
         ClaimImage {
             now_ms: self.now_ms,
-            ended: self.ended,
+            outcome_count: self.outcome_count,
             rows: rows.into_iter().collect(),
         }
     }
 
-    fn open(&mut self, key: ClaimKey, entry: ClaimEntry) -> ClaimAnswer {
-        if let Some(held) = self.claims.get(&key) {
-            return answer_holder(held, &entry);
+    fn open(&mut self, key: ClaimKey, entry: ClaimEntry) -> ClaimReply {
+        if let Some(existing) = self.claims.get(&key) {
+            return reply_from_entry(existing, &entry);
         }
         if self.claims.len() >= MAX_CLAIMS {
-            return ClaimAnswer::Full;
+            return ClaimReply::Full;
         }
-        self.order
+        self.open_order
             .push_back((entry.opened_ms, key.clone(), entry.claim));
         self.claims.insert(key, entry);
-        ClaimAnswer::Granted
+        ClaimReply::Granted
     }
 
-    fn finish(&mut self, key: ClaimKey, claim: u64, outcome: ClaimOutcome) -> ClaimAnswer {
+    fn finish(&mut self, key: ClaimKey, claim: u64, outcome: ClaimOutcome) -> ClaimReply {
         let Some(entry) = self
             .claims
             .get_mut(&key)
             .filter(|entry| entry.claim == claim)
         else {
-            return ClaimAnswer::NoSuchClaim;
+            return ClaimReply::NoSuchClaim;
         };
-        // The first end counts; a repeated step changes nothing.
+        // The first outcome is final; a repeated command has no effect.
         if entry.outcome.is_none() {
-            self.ended += 1;
-            entry.ended = self.ended;
+            self.outcome_count += 1;
+            entry.outcome_number = self.outcome_count;
             entry.outcome = Some(outcome);
             self.body_bytes += entry.body_bytes();
-            self.bodies.push_back((self.ended, key));
-            self.drop_old_bodies();
+            self.body_order.push_back((self.outcome_count, key));
+            self.drop_oldest_bodies();
         }
-        ClaimAnswer::Recorded
+        ClaimReply::Recorded
     }
 
-    // A claim whose answer is gone still says that the request has run.
-    fn drop_old_bodies(&mut self) {
-        while self.body_bytes > MAX_CLAIM_BYTES {
-            let Some((ended, key)) = self.bodies.pop_front() else {
+    // A claim without its body still records that the request has run.
+    fn drop_oldest_bodies(&mut self) {
+        while self.body_bytes > MAX_CLAIM_BODY_BYTES {
+            let Some((number, key)) = self.body_order.pop_front() else {
                 return;
             };
             let entry = self
                 .claims
                 .get_mut(&key)
-                .filter(|entry| entry.ended == ended);
+                .filter(|entry| entry.outcome_number == number);
             if let Some(entry) = entry {
                 self.body_bytes -= entry.body_bytes();
                 if let Some(outcome) = &mut entry.outcome {
@@ -174,22 +176,22 @@
         }
     }
 
-    fn release(&mut self, key: &ClaimKey, claim: u64) -> ClaimAnswer {
+    fn release(&mut self, key: &ClaimKey, claim: u64) -> ClaimReply {
         match self.claims.get(key) {
             Some(entry) if entry.claim == claim && entry.outcome.is_none() => {
                 self.remove(key);
-                ClaimAnswer::Recorded
+                ClaimReply::Recorded
             }
-            _ => ClaimAnswer::NoSuchClaim,
+            _ => ClaimReply::NoSuchClaim,
         }
     }
 
-    fn forget_old(&mut self) {
-        while let Some((opened_ms, ..)) = self.order.front() {
-            if opened_ms + CLAIM_KEEP_MS > self.now_ms {
+    fn remove_expired(&mut self) {
+        while let Some((opened_ms, ..)) = self.open_order.front() {
+            if opened_ms + CLAIM_RETENTION_MS > self.now_ms {
                 return;
             }
-            let Some((_, key, claim)) = self.order.pop_front() else {
+            let Some((_, key, claim)) = self.open_order.pop_front() else {
                 return;
             };
             let same = self
@@ -203,17 +205,17 @@
     }
 }
 
-fn answer_holder(held: &ClaimEntry, asked: &ClaimEntry) -> ClaimAnswer {
-    if held.content != asked.content {
-        return ClaimAnswer::OtherContent;
+fn reply_from_entry(existing: &ClaimEntry, requested: &ClaimEntry) -> ClaimReply {
+    if existing.content != requested.content {
+        return ClaimReply::OtherContent;
     }
-    match &held.outcome {
-        Some(outcome) => ClaimAnswer::Finished(outcome.clone()),
-        // The same asking again: its first answer was lost on the way.
-        None if held.claim == asked.claim => ClaimAnswer::Granted,
-        None => ClaimAnswer::Held {
-            runner: held.runner.clone(),
-            until_ms: held.until_ms,
+    match &existing.outcome {
+        Some(outcome) => ClaimReply::Finished(outcome.clone()),
+        // A resend of the same command whose first reply was lost.
+        None if existing.claim == requested.claim => ClaimReply::Granted,
+        None => ClaimReply::Held {
+            runner: existing.runner.clone(),
+            until_ms: existing.until_ms,
         },
     }
 }
@@ -221,34 +223,34 @@
 #[derive(Serialize, Deserialize)]
 struct ClaimImage {
     now_ms: u64,
-    ended: u64,
+    outcome_count: u64,
     rows: Vec<(ClaimKey, ClaimEntry)>,
 }
 
 impl<'de> Deserialize<'de> for ClaimTable {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let image = ClaimImage::deserialize(deserializer)?;
-        let mut order: Vec<_> = image
+        let mut open_order: Vec<_> = image
             .rows
             .iter()
             .map(|(key, entry)| (entry.opened_ms, key.clone(), entry.claim))
             .collect();
-        order.sort();
+        open_order.sort();
         let with_body = image
             .rows
             .iter()
             .filter(|(_, entry)| entry.body_bytes() > 0);
-        let mut bodies: Vec<_> = with_body
-            .map(|(key, entry)| (entry.ended, key.clone()))
+        let mut body_order: Vec<_> = with_body
+            .map(|(key, entry)| (entry.outcome_number, key.clone()))
             .collect();
-        bodies.sort();
+        body_order.sort();
         let body_bytes = image.rows.iter().map(|(_, entry)| entry.body_bytes()).sum();
         Ok(Self {
             claims: image.rows.into_iter().collect(),
-            order: order.into(),
-            bodies: bodies.into(),
+            open_order: open_order.into(),
+            body_order: body_order.into(),
             body_bytes,
-            ended: image.ended,
+            outcome_count: image.outcome_count,
             now_ms: image.now_ms,
         })
     }
