--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -153,7 +153,7 @@
         let table = self.feed.read();
         let image = MachineImage {
             version: table.version(),
-            rows: table.image_rows(),
+            rows: table.snapshot_rows(),
             tombstones: table.tombstones(),
             ledger: state.ledger.clone(),
             claims: state.claims.clone(),
@@ -173,8 +173,8 @@
             }
         };
         let mut table = TableStore::new();
-        table.put_image_rows(image.rows);
-        table.finish_image(image.version, image.tombstones);
+        table.add_snapshot_rows(image.rows);
+        table.finish_snapshot(image.version, image.tombstones);
         let mut state = self.lock();
         state.ledger = image.ledger;
         state.claims = image.claims;
--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -43,7 +43,7 @@
 
 /// An order to misbehave for a number of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FaultOrder {
+pub struct FaultInjection {
     /// How.
     pub kind: FaultKind,
     /// For how many requests; 0 ends all faults.
--- a/crates/fakes/src/host_list.rs
+++ b/crates/fakes/src/host_list.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::http::plain_answer;
+use crate::http::fixed_length_response;
 use crate::read_request;
 
 /// One host of the list.
@@ -80,9 +80,9 @@
                 "POST" => match serde_json::from_slice(&request.body) {
                     Ok(body) => {
                         self.set(body);
-                        plain_answer(200, &[], b"ok\n")
+                        fixed_length_response(200, &[], b"ok\n")
                     }
-                    Err(error) => plain_answer(400, &[], error.to_string().as_bytes()),
+                    Err(error) => fixed_length_response(400, &[], error.to_string().as_bytes()),
                 },
                 _ => {
                     let body = self
@@ -91,7 +91,7 @@
                         .unwrap_or_else(PoisonError::into_inner)
                         .clone();
                     let text = serde_json::to_string(&body).unwrap_or_default();
-                    plain_answer(
+                    fixed_length_response(
                         200,
                         &[("content-type", "application/json")],
                         text.as_bytes(),
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -88,8 +88,8 @@
 }
 
 /// Returns the bytes of an answer with a body of known length.
-pub(crate) fn plain_answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut answer = answer_head(status, headers);
+pub(crate) fn fixed_length_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    let mut answer = response_head(status, headers);
     answer.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
     answer.extend_from_slice(body);
     answer
@@ -97,7 +97,7 @@
 
 /// Returns the head of an answer that goes on in chunks.
 pub(crate) fn chunked_head(headers: &[(&str, &str)]) -> Vec<u8> {
-    let mut answer = answer_head(200, headers);
+    let mut answer = response_head(200, headers);
     answer.extend_from_slice(b"transfer-encoding: chunked\r\n\r\n");
     answer
 }
@@ -110,7 +110,7 @@
     bytes
 }
 
-fn answer_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
+fn response_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
     let mut head = format!("HTTP/1.1 {status} Fake\r\n");
     for (name, value) in headers {
         head.push_str(&format!("{name}: {value}\r\n"));
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -2,22 +2,22 @@
 //!
 //! - [`FakeTarget`] stands in for a stage pool, a model engine or a plain service.
 //! - [`FakeHostList`] stands in for the platform's list of hosts.
-//! - [`FaultOrder`] makes a target misbehave; [`RunRecord`]s tell what it ran.
-//! - [`expected_answer`] computes what a pipeline must give, so that a mixed-up answer shows.
+//! - [`FaultInjection`] makes a target misbehave; [`RunRecord`]s tell what it ran.
+//! - [`expected_tokens`] computes what a pipeline must give, so that a mixed-up answer shows.
 //!
 //! They speak plain HTTP/1.1 over sockets of their own, because a fault such as a body cut short
 //! is nothing that a well-behaved server library lets one do.
 
-mod answer;
 mod fault;
 mod host_list;
 mod http;
+mod response;
 mod settings;
 mod target;
 
-pub use answer::{engine_tokens, expected_answer, stage_output};
-pub use fault::{FaultKind, FaultOrder};
+pub use fault::{FaultInjection, FaultKind};
 pub use host_list::{FakeHostList, HostEntry, HostListBody};
 pub use http::{FakeRequest, read_request};
+pub use response::{engine_tokens, expected_tokens, stage_output};
 pub use settings::{FakeSettings, TargetSpec, run_fakes};
 pub use target::{FakeTarget, RunRecord, TargetBehaviour, TargetKind};
--- a/crates/fakes/src/answer.rs
+++ b/crates/fakes/src/response.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns the tokens that a pipeline of stages before one engine must give for an input.
-pub fn expected_answer(stages: &[&str], input: &Value) -> Vec<String> {
+pub fn expected_tokens(stages: &[&str], input: &Value) -> Vec<String> {
     let mut value = input.clone();
     for stage in stages {
         value = stage_output(stage, &value);
--- a/crates/fakes/src/target.rs
+++ b/crates/fakes/src/target.rs
@@ -13,9 +13,9 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-use crate::answer::{engine_tokens, stage_output};
-use crate::http::{chunk, chunked_head, plain_answer};
-use crate::{FakeRequest, FaultKind, FaultOrder, read_request};
+use crate::http::{chunk, chunked_head, fixed_length_response};
+use crate::response::{engine_tokens, stage_output};
+use crate::{FakeRequest, FaultInjection, FaultKind, read_request};
 
 /// How much later a late answer comes.
 const LATE_BY: Duration = Duration::from_secs(1);
@@ -78,7 +78,7 @@
 
 struct TargetState {
     behaviour: TargetBehaviour,
-    fault: Option<FaultOrder>,
+    fault: Option<FaultInjection>,
     running: u32,
     ledger: Vec<RunRecord>,
 }
@@ -109,7 +109,7 @@
     }
 
     /// Orders faults.
-    pub fn order_fault(&self, order: FaultOrder) {
+    pub fn inject_fault(&self, order: FaultInjection) {
         self.lock().fault = (order.count > 0).then_some(order);
     }
 
@@ -163,7 +163,7 @@
             match (request.method.as_str(), request.path.as_str()) {
                 ("GET", "/ledger") => {
                     let body = json!({ "runs": self.ledger() });
-                    let bytes = plain_answer(200, &[], body.to_string().as_bytes());
+                    let bytes = fixed_length_response(200, &[], body.to_string().as_bytes());
                     socket.write_all(&bytes).await?;
                 }
                 ("POST", "/control") => {
@@ -187,14 +187,14 @@
     }
 
     fn take_order(&self, body: &[u8]) -> Vec<u8> {
-        if let Ok(order) = serde_json::from_slice::<FaultOrder>(body) {
-            self.order_fault(order);
+        if let Ok(order) = serde_json::from_slice::<FaultInjection>(body) {
+            self.inject_fault(order);
         } else if let Ok(behaviour) = serde_json::from_slice::<TargetBehaviour>(body) {
             self.set_behaviour(behaviour);
         } else {
-            return plain_answer(400, &[], b"neither a fault order nor a behaviour\n");
+            return fixed_length_response(400, &[], b"neither a fault order nor a behaviour\n");
         }
-        plain_answer(200, &[], b"ok\n")
+        fixed_length_response(200, &[], b"ok\n")
     }
 
     /// Answers one request; false when the connection is to be closed.
@@ -233,7 +233,7 @@
                 return Ok(false);
             }
             Some(FaultKind::Error) => {
-                let bytes = plain_answer(500, &[("x-attempt-id", &shown)], b"{}");
+                let bytes = fixed_length_response(500, &[("x-attempt-id", &shown)], b"{}");
                 socket.write_all(&bytes).await?;
                 return Ok(true);
             }
@@ -309,7 +309,7 @@
             ("x-load-in-flight", &running),
             ("x-load-slots", &slots),
         ];
-        let mut answer = plain_answer(200, &headers, body);
+        let mut answer = fixed_length_response(200, &headers, body);
         match fault {
             Some(FaultKind::Short) => {
                 answer.truncate(answer.len() - body.len().div_ceil(2));
@@ -441,7 +441,7 @@
         Some(FaultKind::Leaving) => headers.push(("x-leaving", "yes")),
         _ => return None,
     }
-    Some(plain_answer(503, &headers, b"{}"))
+    Some(fixed_length_response(503, &headers, b"{}"))
 }
 
 fn draw_time(behaviour: &TargetBehaviour, running: u32) -> Duration {
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -173,7 +173,7 @@
         {
             return image;
         }
-        let rows = table.image_rows();
+        let rows = table.snapshot_rows();
         let image = Arc::new(TableImage {
             version: table.version(),
             parts: rows
--- a/crates/feed/src/follow.rs
+++ b/crates/feed/src/follow.rs
@@ -92,7 +92,7 @@
             }
             FeedMessage::ImageStart => image = Some(TableStore::new()),
             FeedMessage::ImageRows(rows) => match &mut image {
-                Some(image) => image.put_image_rows(rows),
+                Some(image) => image.add_snapshot_rows(rows),
                 None => return Err(FollowError::OutOfOrder),
             },
             FeedMessage::ImageEnd {
@@ -100,7 +100,7 @@
                 tombstones,
             } => {
                 let mut whole = image.take().ok_or(FollowError::OutOfOrder)?;
-                whole.finish_image(version, tombstones);
+                whole.finish_snapshot(version, tombstones);
                 feed.take_image(whole);
                 heard(version);
             }
--- a/crates/linnetdale/tests/deferred.rs
+++ b/crates/linnetdale/tests/deferred.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use linnetdale::fakes::{FaultKind, expected_answer};
+use linnetdale::fakes::{FaultKind, expected_tokens};
 use support::cluster::{Cluster, ClusterPlan};
 use support::http::{CallerAnswer, CallerRequest};
 use support::ledger::{marked_input, marked_request};
@@ -41,7 +41,7 @@
 }
 
 fn check_whole(marker: &str, answer: &CallerAnswer) {
-    let wanted = expected_answer(&["encode", "retrieve", "rerank"], &marked_input(marker));
+    let wanted = expected_tokens(&["encode", "retrieve", "rerank"], &marked_input(marker));
     assert_eq!(answer.tokens(), Some(wanted), "{answer:?}");
 }
 
--- a/crates/linnetdale/tests/random_run.rs
+++ b/crates/linnetdale/tests/random_run.rs
@@ -14,7 +14,7 @@
 
 use clap::ValueEnum;
 use linnetdale::control::ChangeReply;
-use linnetdale::fakes::{FaultKind, FaultOrder};
+use linnetdale::fakes::{FaultInjection, FaultKind};
 use support::cluster::{Cluster, ClusterPlan};
 use support::daemon::Daemon;
 use support::ledger::{Told, differences, marked_request};
@@ -147,7 +147,7 @@
                 let count = chance.u64(1..20);
                 cluster.world.targets[target]
                     .fake
-                    .order_fault(FaultOrder { kind, count });
+                    .inject_fault(FaultInjection { kind, count });
             }
             std::thread::sleep(pause / 4);
             "target fault"
--- a/crates/linnetdale/tests/support/ledger.rs
+++ b/crates/linnetdale/tests/support/ledger.rs
@@ -1,6 +1,6 @@
 //! Compares what callers were told with what targets really ran.
 
-use linnetdale::fakes::expected_answer;
+use linnetdale::fakes::expected_tokens;
 use serde_json::{Value, json};
 
 use super::http::{CallerAnswer, CallerRequest};
@@ -40,7 +40,7 @@
     match answer.ran().as_str() {
         "whole" => {
             let stages = ["encode", "retrieve", "rerank"];
-            let wanted = expected_answer(&stages, &marked_input(&told.marker));
+            let wanted = expected_tokens(&stages, &marked_input(&told.marker));
             if answer.tokens().as_ref() != Some(&wanted) {
                 note(format!("not its own whole answer: {answer:?}"));
             }
--- a/crates/linnetdale/tests/support/world.rs
+++ b/crates/linnetdale/tests/support/world.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use linnetdale::fakes::{
-    FakeHostList, FakeTarget, FaultKind, FaultOrder, HostEntry, HostListBody, TargetBehaviour,
+    FakeHostList, FakeTarget, FaultInjection, FaultKind, HostEntry, HostListBody, TargetBehaviour,
     TargetKind,
 };
 use tokio::runtime::Handle;
@@ -134,7 +134,7 @@
             .iter()
             .filter(|target| target.name.starts_with(prefix))
         {
-            target.fake.order_fault(FaultOrder { kind, count });
+            target.fake.inject_fault(FaultInjection { kind, count });
         }
     }
 
--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -14,11 +14,11 @@
 const SEARCH_SHARE: f64 = 0.15;
 
 /// Deadlines by pipeline, in milliseconds.
-pub(crate) const YARD_DEADLINE_MS: u64 = 2_000;
+pub(crate) const DEFAULT_DEADLINE_MS: u64 = 2_000;
 pub(crate) const REPORT_DEADLINE_MS: u64 = 8_000;
 
 /// Tokens of an answer and of a long report.
-pub(crate) const YARD_TOKENS: u64 = 20;
+pub(crate) const DEFAULT_TOKENS: u64 = 20;
 pub(crate) const REPORT_TOKENS: u64 = 200;
 
 /// One request that is to be sent.
@@ -40,7 +40,7 @@
 
 /// Draws the arrivals of a run. Up to `warm` the load is calm, so that what is learned is learned
 /// before the scenario begins.
-pub fn draw_arrivals(
+pub fn generate_arrivals(
     scenario: &Scenario,
     capacity: f64,
     warm: Duration,
@@ -63,7 +63,7 @@
             let rate = capacity * share * part;
             let calm = rate * scenario.load.min(0.6);
             let full = rate * scenario.load * burst * factor;
-            draw_flow(
+            generate_flow(
                 &mut chance,
                 calm,
                 Duration::ZERO,
@@ -72,7 +72,7 @@
                 pipeline,
                 &mut arrivals,
             );
-            draw_flow(
+            generate_flow(
                 &mut chance,
                 full,
                 warm,
@@ -90,7 +90,7 @@
     arrivals
 }
 
-fn draw_flow(
+fn generate_flow(
     chance: &mut fastrand::Rng,
     rate: f64,
     from: Duration,
@@ -116,9 +116,13 @@
             deadline_ms: if report {
                 REPORT_DEADLINE_MS
             } else {
-                YARD_DEADLINE_MS
+                DEFAULT_DEADLINE_MS
+            },
+            tokens: if report {
+                REPORT_TOKENS
+            } else {
+                DEFAULT_TOKENS
             },
-            tokens: if report { REPORT_TOKENS } else { YARD_TOKENS },
             marker: String::new(),
         });
     }
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 
 use crate::Arrival;
-use crate::world::account_key;
+use crate::testbed::account_key;
 
 /// Threads that send.
 const SENDER_THREADS: usize = 2;
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallerOutcome {
     /// The whole answer within the deadline.
-    Whole,
+    Complete,
     /// The whole answer, too late.
     Late,
     /// Refused: nothing ran.
@@ -32,7 +32,7 @@
 
 /// One request with what became of it.
 #[derive(Debug, Clone)]
-pub(crate) struct Sent {
+pub(crate) struct SentRequest {
     pub(crate) arrival: Arrival,
     pub(crate) outcome: CallerOutcome,
     pub(crate) elapsed: Duration,
@@ -42,11 +42,11 @@
 
 /// Sends every arrival, spread over the hosts, each on a connection of its own, and returns what
 /// became of each.
-pub(crate) fn drive(
+pub(crate) fn send_arrivals(
     hosts: &[SocketAddr],
     arrivals: Vec<Arrival>,
     begin: Instant,
-) -> io::Result<Vec<Sent>> {
+) -> io::Result<Vec<SentRequest>> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(SENDER_THREADS)
         .enable_all()
@@ -67,13 +67,13 @@
     })
 }
 
-async fn send_one(host: SocketAddr, arrival: Arrival) -> Sent {
+async fn send_one(host: SocketAddr, arrival: Arrival) -> SentRequest {
     let started = Instant::now();
     let deadline = Duration::from_millis(arrival.deadline_ms);
     let answer = tokio::time::timeout(deadline + GRACE, ask(host, &arrival)).await;
     let elapsed = started.elapsed();
     let (outcome, detail) = match answer {
-        Ok(Ok((CallerOutcome::Whole, detail))) if elapsed > deadline => {
+        Ok(Ok((CallerOutcome::Complete, detail))) if elapsed > deadline => {
             (CallerOutcome::Late, detail)
         }
         Ok(Ok(answered)) => answered,
@@ -83,7 +83,7 @@
         ),
         Err(_) => (CallerOutcome::Failed, "no answer".to_owned()),
     };
-    Sent {
+    SentRequest {
         arrival,
         outcome,
         elapsed,
@@ -114,7 +114,7 @@
 fn judge_answer(text: &str) -> (CallerOutcome, String) {
     let status = text.split_whitespace().nth(1).unwrap_or_default();
     if status == "200" && (text.contains("\"end\":true") || text.contains("\"output\":")) {
-        return (CallerOutcome::Whole, String::new());
+        return (CallerOutcome::Complete, String::new());
     }
     let lines = text.lines().rev();
     let error = lines
--- a/crates/load/src/policy.rs
+++ b/crates/load/src/policy.rs
@@ -5,12 +5,12 @@
 
 use linnet_dispatch::PolicyChoice;
 
-use crate::driver::drive;
+use crate::driver::send_arrivals;
 use crate::report::{ScoreRow, write_report};
 use crate::score::score_run;
 use crate::settings::PolicyArgs;
-use crate::world::{CAPACITY, LoadWorld};
-use crate::{Scenario, draw_arrivals, find_scenario, scenario_names};
+use crate::testbed::{CAPACITY, LoadTestbed};
+use crate::{Scenario, find_scenario, generate_arrivals, scenario_names};
 
 /// Runs every policy over every scenario, interleaved, and writes the results.
 pub(crate) fn run_policies(args: &PolicyArgs) -> io::Result<()> {
@@ -52,17 +52,17 @@
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let world = LoadWorld::start(policy, runtime.handle())?;
+    let testbed = LoadTestbed::start(policy, runtime.handle())?;
     let measured = Duration::from_secs(args.seconds);
     let warm = measured / 2;
-    let arrivals = draw_arrivals(scenario, CAPACITY, warm, measured, seed);
+    let arrivals = generate_arrivals(scenario, CAPACITY, warm, measured, seed);
     let begin = Instant::now() + Duration::from_millis(50);
     let sent = std::thread::scope(|scope| {
         scope.spawn(|| {
             std::thread::sleep((begin + warm).saturating_duration_since(Instant::now()));
-            world.act(scenario);
+            testbed.apply_action(scenario);
         });
-        drive(&world.callers, arrivals.clone(), begin)
+        send_arrivals(&testbed.callers, arrivals.clone(), begin)
     })?;
     if sent.len() != arrivals.len() {
         let text = format!(
@@ -72,7 +72,7 @@
         );
         return Err(io::Error::other(text));
     }
-    let score = score_run(scenario, &sent, &world.spent(), warm, measured);
+    let score = score_run(scenario, &sent, &testbed.run_times(), warm, measured);
     runtime.shutdown_background();
     Ok(ScoreRow {
         scenario: scenario.name.to_owned(),
--- a/crates/load/src/rate.rs
+++ b/crates/load/src/rate.rs
@@ -13,7 +13,7 @@
 
 use crate::Arrival;
 use crate::settings::RateArgs;
-use crate::world::{account_key, free_address, serve_table, start_entry, wait_ready, write_keys};
+use crate::testbed::{account_key, free_address, serve_table, start_entry, wait_ready, write_keys};
 
 /// Requests in flight while the most that a host carries is measured.
 const BUSY_STREAMS: usize = 64;
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -6,21 +6,21 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ScenarioAction {
     /// Targets of a stage get slower by a factor.
-    Slow {
+    SlowStage {
         /// The stage.
         stage: &'static str,
         /// How many times slower.
         factor: f64,
     },
     /// A share of the targets of a stage answers nothing any more.
-    Lose {
+    FreezeTargets {
         /// The stage.
         stage: &'static str,
         /// The share, from 0 to 1.
         share: f64,
     },
     /// Every target of one hall answers nothing any more.
-    LoseHall(usize),
+    FreezeHall(usize),
 }
 
 /// A scenario: load by account and pipeline, and what happens.
@@ -41,7 +41,7 @@
 }
 
 /// The fault that a lost target shows.
-pub(crate) const LOST: FaultKind = FaultKind::Freeze;
+pub(crate) const LOST_TARGET_FAULT: FaultKind = FaultKind::Freeze;
 
 const CALM: Scenario = Scenario {
     name: "calm",
@@ -53,11 +53,11 @@
 };
 
 fn all_scenarios() -> Vec<Scenario> {
-    let slow = ScenarioAction::Slow {
+    let slow = ScenarioAction::SlowStage {
         stage: "rerank",
         factor: 8.0,
     };
-    let lose = ScenarioAction::Lose {
+    let lose = ScenarioAction::FreezeTargets {
         stage: "generate",
         share: 0.34,
     };
@@ -91,7 +91,7 @@
         },
         Scenario {
             name: "hall-lost",
-            action: Some(ScenarioAction::LoseHall(2)),
+            action: Some(ScenarioAction::FreezeHall(2)),
             ..CALM
         },
         Scenario {
--- a/crates/load/src/score.rs
+++ b/crates/load/src/score.rs
@@ -7,7 +7,7 @@
 
 use crate::Scenario;
 use crate::arrival::ACCOUNT_SHARES;
-use crate::driver::{CallerOutcome, Sent};
+use crate::driver::{CallerOutcome, SentRequest};
 
 /// The figures of one run.
 #[derive(Debug, Clone, Default)]
@@ -17,7 +17,7 @@
     /// Share answered whole within the deadline.
     pub attainment: f64,
     /// The same over the accounts that did not ask for more than their share.
-    pub behaving: f64,
+    pub attainment_without_burst: f64,
     /// The same for the account that fared worst among those.
     pub worst_account: f64,
     /// Jain's index of the accounts' attainment.
@@ -29,11 +29,11 @@
     /// Share failed.
     pub failed: f64,
     /// Whole answers a second within the deadline.
-    pub goodput: f64,
+    pub goodput_per_s: f64,
     /// Target-seconds in all, and those spent on requests that were not answered in time.
-    pub cost: f64,
+    pub cost_s: f64,
     /// Target-seconds spent on requests that were not answered in time.
-    pub wasted: f64,
+    pub wasted_s: f64,
     /// Target-seconds by stage.
     pub stage_cost: BTreeMap<&'static str, f64>,
     /// The time of whole answers, in milliseconds: half and 99 of 100 below.
@@ -59,14 +59,14 @@
 /// Scores the requests that arrived after the warm time.
 pub(crate) fn score_run(
     scenario: &Scenario,
-    sent: &[Sent],
+    sent: &[SentRequest],
     spent: &[(&'static str, String, u64)],
     warm: Duration,
     measured: Duration,
 ) -> RunScore {
-    let counted: Vec<&Sent> = sent.iter().filter(|one| one.arrival.at >= warm).collect();
+    let counted: Vec<&SentRequest> = sent.iter().filter(|one| one.arrival.at >= warm).collect();
     let share = |outcome: CallerOutcome| ratio(&counted, |one| one.outcome == outcome);
-    let whole = |one: &Sent| one.outcome == CallerOutcome::Whole;
+    let whole = |one: &SentRequest| one.outcome == CallerOutcome::Complete;
     let bursting = scenario.burst.map(|(account, _)| account);
     let by_account: Vec<f64> = (0..ACCOUNT_SHARES.len())
         .filter(|account| Some(*account) != bursting)
@@ -88,13 +88,13 @@
     let mut score = RunScore {
         sent: counted.len(),
         attainment: ratio(&counted, whole),
-        behaving: ratio(&behaving, whole),
+        attainment_without_burst: ratio(&behaving, whole),
         worst_account: by_account.iter().copied().fold(1.0, f64::min),
         fairness: jain_index(&by_account),
         refused: share(CallerOutcome::Refused),
         late: share(CallerOutcome::Late),
         failed: share(CallerOutcome::Failed),
-        goodput: wholes as f64 / measured.as_secs_f64(),
+        goodput_per_s: wholes as f64 / measured.as_secs_f64(),
         ..RunScore::default()
     };
     for one in counted.iter().filter(|one| !one.detail.is_empty()) {
@@ -105,21 +105,25 @@
     score
 }
 
-fn ratio(of: &[&Sent], holds: impl Fn(&Sent) -> bool) -> f64 {
+fn ratio(of: &[&SentRequest], holds: impl Fn(&SentRequest) -> bool) -> f64 {
     if of.is_empty() {
         return 1.0;
     }
     of.iter().filter(|one| holds(one)).count() as f64 / of.len() as f64
 }
 
-fn add_costs(score: &mut RunScore, counted: &[&Sent], spent: &[(&'static str, String, u64)]) {
+fn add_costs(
+    score: &mut RunScore,
+    counted: &[&SentRequest],
+    spent: &[(&'static str, String, u64)],
+) {
     let all: HashSet<&str> = counted
         .iter()
         .map(|one| one.arrival.marker.as_str())
         .collect();
     let in_time: HashSet<&str> = counted
         .iter()
-        .filter(|one| one.outcome == CallerOutcome::Whole)
+        .filter(|one| one.outcome == CallerOutcome::Complete)
         .map(|one| one.arrival.marker.as_str())
         .collect();
     for (stage, marker, micros) in spent {
@@ -127,15 +131,15 @@
             continue;
         }
         let seconds = *micros as f64 / 1e6;
-        score.cost += seconds;
+        score.cost_s += seconds;
         *score.stage_cost.entry(*stage).or_default() += seconds;
         if !in_time.contains(marker.as_str()) {
-            score.wasted += seconds;
+            score.wasted_s += seconds;
         }
     }
 }
 
-fn add_times(score: &mut RunScore, counted: &[&Sent]) {
+fn add_times(score: &mut RunScore, counted: &[&SentRequest]) {
     let quantile = |outcome: CallerOutcome, at: f64| {
         let Ok(mut times) = Histogram::<u64>::new(3) else {
             return 0.0;
@@ -146,7 +150,7 @@
         }
         times.value_at_quantile(at) as f64 / 1_000.0
     };
-    score.p50_ms = quantile(CallerOutcome::Whole, 0.5);
-    score.p99_ms = quantile(CallerOutcome::Whole, 0.99);
+    score.p50_ms = quantile(CallerOutcome::Complete, 0.5);
+    score.p99_ms = quantile(CallerOutcome::Complete, 0.99);
     score.refusal_p99_ms = quantile(CallerOutcome::Refused, 0.99);
 }
--- a/crates/load/src/world.rs
+++ b/crates/load/src/testbed.rs
@@ -8,7 +8,7 @@
 
 use linnet_entry::EntrySettings;
 use linnet_fakes::{
-    FakeHostList, FakeTarget, FaultOrder, HostEntry, HostListBody, TargetBehaviour, TargetKind,
+    FakeHostList, FakeTarget, FaultInjection, HostEntry, HostListBody, TargetBehaviour, TargetKind,
 };
 use linnet_feed::{TableFeed, serve_follower};
 use linnet_table::{KeyDigest, TableChange, parse_csv};
@@ -16,8 +16,8 @@
 use linnet_wire::{PeerGreeting, PeerIdentity, PeerKeyRing, accept_peer};
 use tokio::runtime::Handle;
 
-use crate::arrival::{ACCOUNT_WEIGHTS, REPORT_DEADLINE_MS, YARD_DEADLINE_MS};
-use crate::scenario::LOST;
+use crate::arrival::{ACCOUNT_WEIGHTS, DEFAULT_DEADLINE_MS, REPORT_DEADLINE_MS};
+use crate::scenario::LOST_TARGET_FAULT;
 use crate::{Scenario, ScenarioAction};
 
 /// Halls, and entry hosts in them.
@@ -79,12 +79,12 @@
 pub(crate) const CAPACITY: f64 = 340.0;
 
 /// Everything that one run needs.
-pub(crate) struct LoadWorld {
+pub(crate) struct LoadTestbed {
     pub(crate) callers: Vec<SocketAddr>,
     targets: Vec<(HostEntry, &'static str, FakeTarget)>,
 }
 
-impl LoadWorld {
+impl LoadTestbed {
     /// Starts targets, a feed and entry hosts that follow a policy.
     pub(crate) fn start(policy: &str, runtime: &Handle) -> io::Result<Self> {
         let (ip, _claim) = free_address()?;
@@ -120,11 +120,11 @@
     }
 
     /// Lets happen what the scenario says.
-    pub(crate) fn act(&self, scenario: &Scenario) {
+    pub(crate) fn apply_action(&self, scenario: &Scenario) {
         let stages = stage_plans();
         match scenario.action {
             None => {}
-            Some(ScenarioAction::Slow { stage, factor }) => {
+            Some(ScenarioAction::SlowStage { stage, factor }) => {
                 for (_, _, fake) in self.targets.iter().filter(|(_, of, _)| *of == stage) {
                     if let Some(plan) = stages.iter().find(|plan| plan.stage == stage) {
                         fake.set_behaviour(TargetBehaviour {
@@ -134,7 +134,7 @@
                     }
                 }
             }
-            Some(ScenarioAction::Lose { stage, share }) => {
+            Some(ScenarioAction::FreezeTargets { stage, share }) => {
                 let of_stage: Vec<_> = self
                     .targets
                     .iter()
@@ -146,7 +146,7 @@
                     .take(lost)
                     .for_each(|(_, _, fake)| lose(fake));
             }
-            Some(ScenarioAction::LoseHall(hall)) => {
+            Some(ScenarioAction::FreezeHall(hall)) => {
                 let hall = format!("hall-{hall}");
                 let of_hall = self.targets.iter().filter(|(entry, ..)| entry.hall == hall);
                 of_hall.for_each(|(_, _, fake)| lose(fake));
@@ -155,7 +155,7 @@
     }
 
     /// Returns what targets spent, as stage, marker and microseconds.
-    pub(crate) fn spent(&self) -> Vec<(&'static str, String, u64)> {
+    pub(crate) fn run_times(&self) -> Vec<(&'static str, String, u64)> {
         let runs = self.targets.iter().flat_map(|(_, stage, fake)| {
             let ledger = fake.ledger();
             ledger
@@ -167,8 +167,8 @@
 }
 
 fn lose(fake: &FakeTarget) {
-    fake.order_fault(FaultOrder {
-        kind: LOST,
+    fake.inject_fault(FaultInjection {
+        kind: LOST_TARGET_FAULT,
         count: u64::MAX,
     });
 }
@@ -237,19 +237,19 @@
 fn table_csv() -> String {
     let mut text = format!(
         "kind,account,pipeline,stage,position,pool,weight,rate,in_flight,tokens,deadline_ms,repeatable,streams,key_digest
-pipeline,,yard-desk,,,,,,,,{YARD_DEADLINE_MS},yes,,
+pipeline,,yard-desk,,,,,,,,{DEFAULT_DEADLINE_MS},yes,,
 stage,,yard-desk,encode,1,encoders,,,,,,,no,
 stage,,yard-desk,retrieve,2,retrievers,,,,,,,no,
 stage,,yard-desk,rerank,3,rerankers,,,,,,,no,
 stage,,yard-desk,generate,4,linnet-pool,,,,,,,yes,
-pipeline,,search,,,,,,,,{YARD_DEADLINE_MS},yes,,
+pipeline,,search,,,,,,,,{DEFAULT_DEADLINE_MS},yes,,
 stage,,search,encode,1,encoders,,,,,,,no,
 stage,,search,retrieve,2,retrievers,,,,,,,no,
 stage,,search,rerank,3,rerankers,,,,,,,no,
 pipeline,,report,,,,,,,,{REPORT_DEADLINE_MS},yes,,
 stage,,report,retrieve,1,retrievers,,,,,,,no,
 stage,,report,generate,2,linnet-pool,,,,,,,yes,
-pipeline,,one-stage,,,,,,,,{YARD_DEADLINE_MS},yes,,
+pipeline,,one-stage,,,,,,,,{DEFAULT_DEADLINE_MS},yes,,
 stage,,one-stage,encode,1,encoders,,,,,,,no,
 "
     );
--- a/crates/table/src/csv_form.rs
+++ b/crates/table/src/csv_format.rs
@@ -222,7 +222,7 @@
     fn digests(&mut self) -> Vec<KeyDigest> {
         let cell = self.cell("key_digest");
         if cell.is_empty() {
-            self.fault("key_digest", FaultCause::Missing);
+            self.fault("key_digest", FaultCause::EmptyCell);
         }
         let mut digests = Vec::new();
         for text in cell.split_whitespace() {
@@ -237,7 +237,7 @@
     fn name(&mut self, column: &str) -> Option<String> {
         let cell = self.cell(column);
         if cell.is_empty() {
-            self.fault(column, FaultCause::Missing);
+            self.fault(column, FaultCause::EmptyCell);
             return None;
         }
         if !is_name(cell) {
@@ -249,7 +249,7 @@
 
     fn number(&mut self, column: &str, low: u32, high: u32) -> u32 {
         if self.cell(column).is_empty() {
-            self.fault(column, FaultCause::Missing);
+            self.fault(column, FaultCause::EmptyCell);
             return low;
         }
         self.optional_number(column, low, high).unwrap_or(low)
@@ -275,7 +275,7 @@
             "yes" => true,
             "no" => false,
             "" => {
-                self.fault(column, FaultCause::Missing);
+                self.fault(column, FaultCause::EmptyCell);
                 true
             }
             other => {
@@ -297,7 +297,7 @@
         for (index, column) in COLUMNS.iter().enumerate() {
             let cell = self.cells.get(index).unwrap_or_default();
             if !cell.is_empty() && !self.used.contains(&index) {
-                self.fault(column, FaultCause::Unused(cell.to_owned()));
+                self.fault(column, FaultCause::UnexpectedCell(cell.to_owned()));
             }
         }
     }
--- a/crates/table/src/fault.rs
+++ b/crates/table/src/fault.rs
@@ -18,10 +18,12 @@
     UnknownKind(String),
     /// A cell that the kind needs is empty.
     #[display("the cell is empty, and this kind of row needs it")]
-    Missing,
+    #[serde(rename = "Missing")]
+    EmptyCell,
     /// A cell that the kind does not have is filled.
     #[display("this kind of row has no such cell, but it holds {_0:?}")]
-    Unused(String),
+    #[serde(rename = "Unused")]
+    UnexpectedCell(String),
     /// A name has other than the allowed characters or length.
     #[display("{_0:?} is no name; want 1 to 64 of a-z, 0-9, '-', '_' and '.'")]
     BadName(String),
@@ -43,29 +45,34 @@
     BadDigest(String),
     /// Two rows have the same key.
     #[display("the same row stands twice")]
-    Twice,
+    #[serde(rename = "Twice")]
+    DuplicateRow,
     /// A row refers to another that is not there.
     #[display("there is no {_0}")]
-    NoSuch(String),
+    #[serde(rename = "NoSuch")]
+    UnknownReference(String),
     /// A row is to be deleted while others refer to it.
     #[display("{_0} still refers to it")]
-    StillUsed(String),
+    #[serde(rename = "StillUsed")]
+    StillReferenced(String),
     /// The positions of a pipeline's stages are not 1, 2, 3 and so on.
     #[display("the stages of {_0} do not stand at 1, 2, 3 and so on")]
     BadPositions(String),
     /// A pipeline has no stage, or more than the limit.
-    #[display("{pipeline} has {count} stages; want 1 to {most}")]
+    #[display("{pipeline} has {count} stages; want 1 to {max}")]
     BadStageCount {
         /// The pipeline.
         pipeline: String,
         /// The stages that it would have.
         count: usize,
         /// The most it may have.
-        most: usize,
+        #[serde(rename = "most")]
+        max: usize,
     },
     /// A stage streams although another stage follows it.
     #[display("only the last stage may stream")]
-    StreamsTooEarly,
+    #[serde(rename = "StreamsTooEarly")]
+    StreamsBeforeLastStage,
     /// Two accounts would share a key.
     #[display("account {_0} has the same key")]
     SharedKey(String),
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`diff_rows`] gives the change between two tables.
 
 mod change;
-mod csv_form;
+mod csv_format;
 mod diff;
 mod fault;
 mod row;
@@ -16,7 +16,7 @@
 mod verify;
 
 pub use change::{ChangeConflict, ChangeRefusal, TableChange};
-pub use csv_form::{COLUMNS, ParsedTable, parse_csv, write_csv};
+pub use csv_format::{COLUMNS, ParsedTable, parse_csv, write_csv};
 pub use diff::{RowDiff, diff_rows};
 pub use fault::{FaultCause, RowFault};
 pub use row::{
--- a/crates/table/src/store.rs
+++ b/crates/table/src/store.rs
@@ -102,22 +102,22 @@
         Self::default()
     }
 
-    /// Rebuilds a table from an image, part by part; [`TableStore::finish_image`] ends it.
-    pub fn put_image_rows(&mut self, rows: Vec<VersionedRow>) {
+    /// Rebuilds a table from an image, part by part; [`TableStore::finish_snapshot`] ends it.
+    pub fn add_snapshot_rows(&mut self, rows: Vec<VersionedRow>) {
         for VersionedRow { row, version } in rows {
             self.put_row(row, version);
         }
     }
 
     /// Sets version and deletions after the last part of an image.
-    pub fn finish_image(&mut self, version: u64, tombstones: Vec<(RowKey, u64)>) {
+    pub fn finish_snapshot(&mut self, version: u64, tombstones: Vec<(RowKey, u64)>) {
         self.version = version;
         self.tombstones = tombstones.into();
     }
 
     /// Returns every row with the version that wrote it; together with
     /// [`TableStore::tombstones`] this is all that a replica needs to decide as this one does.
-    pub fn image_rows(&self) -> Vec<VersionedRow> {
+    pub fn snapshot_rows(&self) -> Vec<VersionedRow> {
         let rows = self.rows().into_iter().map(|row| VersionedRow {
             version: self.row_version(&row.key()),
             row,
@@ -201,7 +201,7 @@
     }
 
     /// Returns the keys of the limit rows that refer to an account or route.
-    pub fn limits_of(&self, account: Option<&str>, route: Option<&str>) -> Vec<RowKey> {
+    pub fn limit_keys_of(&self, account: Option<&str>, route: Option<&str>) -> Vec<RowKey> {
         let account = account.and_then(|name| self.account_names.get(name));
         let route = route.and_then(|name| self.route_names.get(name));
         self.limits
--- a/crates/table/src/verify.rs
+++ b/crates/table/src/verify.rs
@@ -45,7 +45,7 @@
     let mut put = HashSet::with_capacity(upserts.len());
     for row in upserts {
         if !put.insert(row.key()) {
-            faults.push(RowFault::new(row.key(), "kind", FaultCause::Twice));
+            faults.push(RowFault::new(row.key(), "kind", FaultCause::DuplicateRow));
         }
     }
     put
@@ -87,12 +87,12 @@
             ));
         }
         if view.put.contains(key) {
-            faults.push(RowFault::new(key.clone(), "kind", FaultCause::Twice));
+            faults.push(RowFault::new(key.clone(), "kind", FaultCause::DuplicateRow));
         }
         let users = match key {
-            RowKey::Account(name) => view.store.limits_of(Some(name), None),
+            RowKey::Account(name) => view.store.limit_keys_of(Some(name), None),
             RowKey::Pipeline(name) | RowKey::Service(name) if !view.has_route(name) => {
-                view.store.limits_of(None, Some(name))
+                view.store.limit_keys_of(None, Some(name))
             }
             _ => Vec::new(),
         };
@@ -100,7 +100,7 @@
             continue;
         }
         for user in users.iter().filter(|user| view.will_exist(user)) {
-            let cause = FaultCause::StillUsed(user.to_string());
+            let cause = FaultCause::StillReferenced(user.to_string());
             faults.push(RowFault::new(key.clone(), "kind", cause));
         }
     }
@@ -112,19 +112,21 @@
             TableRow::Stage(stage) => {
                 let pipeline = RowKey::Pipeline(stage.pipeline.clone());
                 if !view.will_exist(&pipeline) {
-                    let cause = FaultCause::NoSuch(pipeline.to_string());
+                    let cause = FaultCause::UnknownReference(pipeline.to_string());
                     faults.push(RowFault::new(row.key(), "pipeline", cause));
                 }
             }
             TableRow::Limit(limit) => {
                 let account = RowKey::Account(limit.account.clone());
                 if !view.will_exist(&account) {
-                    let cause = FaultCause::NoSuch(account.to_string());
+                    let cause = FaultCause::UnknownReference(account.to_string());
                     faults.push(RowFault::new(row.key(), "account", cause));
                 }
                 if !view.has_route(&limit.pipeline) {
-                    let cause =
-                        FaultCause::NoSuch(format!("pipeline or service {}", limit.pipeline));
+                    let cause = FaultCause::UnknownReference(format!(
+                        "pipeline or service {}",
+                        limit.pipeline
+                    ));
                     faults.push(RowFault::new(row.key(), "pipeline", cause));
                 }
             }
@@ -185,7 +187,7 @@
     chain.sort_by_key(|stage| stage.position);
     if !view.will_exist(&key) {
         for stage in chain.iter().filter(|stage| !put.contains(stage)) {
-            let cause = FaultCause::StillUsed(format!("stage {}/{}", pipeline, stage.stage));
+            let cause = FaultCause::StillReferenced(format!("stage {}/{}", pipeline, stage.stage));
             faults.push(RowFault::new(key.clone(), "kind", cause));
         }
         return;
@@ -194,7 +196,7 @@
         let cause = FaultCause::BadStageCount {
             pipeline: pipeline.to_owned(),
             count: chain.len(),
-            most: MAX_STAGES,
+            max: MAX_STAGES,
         };
         faults.push(RowFault::new(key, "stage", cause));
         return;
@@ -210,7 +212,11 @@
     for stage in &chain[..chain.len() - 1] {
         if stage.streams {
             let key = RowKey::Stage(pipeline.to_owned(), stage.stage.clone());
-            faults.push(RowFault::new(key, "streams", FaultCause::StreamsTooEarly));
+            faults.push(RowFault::new(
+                key,
+                "streams",
+                FaultCause::StreamsBeforeLastStage,
+            ));
         }
     }
 }
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -204,9 +204,9 @@
             }
             prop_assert_eq!(follower.rows(), store.rows());
             let mut rebuilt = TableStore::new();
-            rebuilt.put_image_rows(store.image_rows());
-            rebuilt.finish_image(store.version(), store.tombstones());
-            prop_assert_eq!(rebuilt.image_rows(), store.image_rows());
+            rebuilt.add_snapshot_rows(store.snapshot_rows());
+            rebuilt.finish_snapshot(store.version(), store.tombstones());
+            prop_assert_eq!(rebuilt.snapshot_rows(), store.snapshot_rows());
             prop_assert_eq!(rebuilt.tombstones(), store.tombstones());
         }
     }
