--- a/crates/table/src/change.rs
+++ b/crates/table/src/change.rs
@@ -1,55 +1,55 @@
-//! A change of the table, taken as a whole or refused as a whole.
+//! A change to the table, applied or refused atomically.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::{RowFault, RowKey, TableRow};
 
-/// Rows to put and rows to delete, from a stated version on.
+/// Rows to insert or replace and rows to delete, based on a stated version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChange {
-    /// Names the change; the same key sent again is answered as the first time.
+    /// Idempotency key of the change; a repeated key gets the same reply as the first time.
     pub change_key: String,
-    /// The operator that sent it, for the time line.
+    /// The operator who sent the change, shown in the timeline.
     pub author: String,
-    /// The version that the operator saw.
+    /// The version on which the operator based the change.
     pub base_version: u64,
-    /// Whether the change may be taken on a later version when none of its rows changed since.
+    /// Whether the change may be applied to a later version if none of its rows has changed since.
     pub rebase: bool,
-    /// Rows that are new or take the place of the one with the same key.
+    /// Rows to insert, or to replace where a row with the same key exists.
     pub upserts: Vec<TableRow>,
-    /// Rows that go.
+    /// Keys of the rows to delete.
     pub deletes: Vec<RowKey>,
 }
 
 impl TableChange {
-    /// Returns the keys of every row that the change touches.
+    /// Returns the keys of all rows that the change writes or deletes.
     pub fn touched_keys(&self) -> impl Iterator<Item = RowKey> + '_ {
         let upserted = self.upserts.iter().map(TableRow::key);
         upserted.chain(self.deletes.iter().cloned())
     }
 }
 
-/// A change from a version that is no longer the newest.
+/// A conflict: the change is based on a version that is not the current one.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[display("the table is at version {current}; rows changed on both sides: {}", clashing.len())]
 pub struct ChangeConflict {
-    /// The version in force.
+    /// The current version.
     pub current: u64,
-    /// Rows of the change that others changed since its base version.
+    /// Rows of the change that other changes have modified since its base version.
     pub clashing: Vec<RowKey>,
 }
 
-/// Why a change was refused; nothing of it was taken.
+/// Why a change was refused; no part of it was applied.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum ChangeRefusal {
-    /// It is from an older version and may not be rebased.
+    /// The base version is not the current one, and the change cannot be rebased.
     #[display("{_0}")]
     Conflict(ChangeConflict),
-    /// Rows are at fault; all of them are listed.
-    #[display("{} rows are at fault", _0.len())]
+    /// Rows are invalid; all faults are listed.
+    #[display("the change has {} invalid cells or rows", _0.len())]
     Faults(Vec<RowFault>),
-    /// Another change was taken under the same key.
-    #[display("the change key was used for another change, taken as version {_0}")]
+    /// The change key was already used for another change.
+    #[display("the change key was already used for another change, applied as version {_0}")]
     KeyReused(u64),
 }
--- a/crates/table/src/csv_format.rs
+++ b/crates/table/src/csv_format.rs
@@ -1,11 +1,11 @@
-//! The spreadsheet form of the table: one CSV file, one header, a kind in the first column.
+//! The CSV format of the table: one header line, and the kind of each row in the first column.
 
 use crate::{
     AccountRow, FaultCause, KeyDigest, LimitRow, PipelineRow, RowFault, RowKey, RowLimits,
     ServiceRow, StageRow, TableRow,
 };
 
-/// The columns, in order.
+/// The columns of the file, in order.
 pub const COLUMNS: [&str; 14] = [
     "kind",
     "account",
@@ -23,47 +23,48 @@
     "key_digest",
 ];
 
-/// The greatest weight.
+/// The maximum weight of an account.
 const MAX_WEIGHT: u32 = 10_000;
-/// The greatest limit of any kind.
+/// The maximum value of a rate, in-flight or token limit.
 const MAX_LIMIT: u32 = 100_000_000;
-/// The greatest deadline: one day, in milliseconds.
+/// The maximum deadline, in milliseconds: one day.
 const MAX_DEADLINE_MS: u32 = 86_400_000;
-/// The greatest position of a stage.
+/// The maximum position of a stage.
 const MAX_POSITION: u32 = 1_000;
-/// The longest name, in characters.
-const MAX_NAME_LENGTH: usize = 64;
-/// The most keys that an account may have at one time.
-const MAX_KEYS: usize = 4;
+/// The maximum length of a name, in bytes; the allowed characters are ASCII.
+const MAX_NAME_BYTES: usize = 64;
+/// The maximum number of keys of an account.
+const MAX_KEY_DIGESTS: usize = 4;
 
-/// What a CSV file holds. Where `faults` is not empty the rows serve only to find more faults.
+/// The parsed contents of a CSV file. If `faults` is not empty, the rows must only be used to
+/// find more faults.
 #[derive(Debug, Clone, Default)]
 pub struct ParsedTable {
-    /// The rows whose keys could be read.
+    /// The rows whose keys could be parsed.
     pub rows: Vec<TableRow>,
-    /// The line of each row, from 1.
+    /// The line of each row, starting at 1.
     pub lines: Vec<u64>,
-    /// Every fault of a cell.
+    /// All faults in the file and its cells.
     pub faults: Vec<RowFault>,
 }
 
 impl ParsedTable {
-    /// Returns the line of a row, for faults that are found later.
+    /// Returns the line of a row, to locate faults that are found after parsing.
     pub fn line_of(&self, key: &RowKey) -> Option<u64> {
         let index = self.rows.iter().rposition(|row| row.key() == *key)?;
         self.lines.get(index).copied()
     }
 }
 
-/// One line while it is read: its cells, and the faults found in them.
-struct LineReader<'a> {
+/// Parses one line and collects the faults in its cells.
+struct LineParser<'a> {
     line: u64,
     cells: &'a csv::StringRecord,
-    used: Vec<usize>,
+    read_columns: Vec<usize>,
     faults: Vec<RowFault>,
 }
 
-/// Reads a CSV file; all faults of all cells are collected, none hides another.
+/// Parses a CSV file and collects the faults in all cells.
 pub fn parse_csv(text: &str) -> ParsedTable {
     let mut parsed = ParsedTable::default();
     let mut reader = csv::ReaderBuilder::new()
@@ -76,7 +77,7 @@
     }
     for record in reader.records() {
         match record {
-            Ok(cells) => read_line(&cells, &mut parsed),
+            Ok(cells) => parse_line(&cells, &mut parsed),
             Err(error) => {
                 let line = error.position().map(csv::Position::line);
                 parsed.faults.push(file_fault(line, error.to_string()));
@@ -91,7 +92,10 @@
         Ok(header) if header.iter().eq(COLUMNS) => None,
         Ok(header) => {
             let given: Vec<_> = header.iter().collect();
-            let text = format!("the header is {given:?}; want {}", COLUMNS.join(","));
+            let text = format!(
+                "unexpected header {given:?}; expected {}",
+                COLUMNS.join(",")
+            );
             Some(file_fault(Some(1), text))
         }
         Err(error) => Some(file_fault(Some(1), error.to_string())),
@@ -107,49 +111,49 @@
     }
 }
 
-fn read_line(cells: &csv::StringRecord, parsed: &mut ParsedTable) {
+fn parse_line(cells: &csv::StringRecord, parsed: &mut ParsedTable) {
     let line = cells.position().map_or(0, csv::Position::line);
     if cells.len() != COLUMNS.len() {
         let text = format!("{} cells; want {}", cells.len(), COLUMNS.len());
         parsed.faults.push(file_fault(Some(line), text));
         return;
     }
-    let mut reader = LineReader {
+    let mut parser = LineParser {
         line,
         cells,
-        used: vec![0],
+        read_columns: vec![0],
         faults: Vec::new(),
     };
-    let row = reader.read_row();
-    reader.check_unused();
-    parsed.faults.append(&mut reader.faults);
+    let row = parser.parse_row();
+    parser.check_unexpected_cells();
+    parsed.faults.append(&mut parser.faults);
     if let Some(row) = row {
         parsed.rows.push(row);
         parsed.lines.push(line);
     }
 }
 
-impl<'a> LineReader<'a> {
-    fn read_row(&mut self) -> Option<TableRow> {
+impl<'a> LineParser<'a> {
+    fn parse_row(&mut self) -> Option<TableRow> {
         match self.cells.get(0).unwrap_or_default() {
-            "pipeline" => self.read_pipeline(),
-            "stage" => self.read_stage(),
-            "service" => self.read_service(),
-            "account" => self.read_account(),
-            "limit" => self.read_limit(),
+            "pipeline" => self.parse_pipeline(),
+            "stage" => self.parse_stage(),
+            "service" => self.parse_service(),
+            "account" => self.parse_account(),
+            "limit" => self.parse_limit(),
             other => {
                 let cause = FaultCause::UnknownKind(other.to_owned());
-                self.fault("kind", cause);
-                self.used = (0..COLUMNS.len()).collect();
+                self.add_fault("kind", cause);
+                self.read_columns = (0..COLUMNS.len()).collect();
                 None
             }
         }
     }
 
-    fn read_pipeline(&mut self) -> Option<TableRow> {
-        let pipeline = self.name("pipeline");
-        let deadline_ms = self.number("deadline_ms", 1, MAX_DEADLINE_MS);
-        let repeatable = self.flag("repeatable");
+    fn parse_pipeline(&mut self) -> Option<TableRow> {
+        let pipeline = self.parse_name("pipeline");
+        let deadline_ms = self.parse_number("deadline_ms", 1, MAX_DEADLINE_MS);
+        let repeatable = self.parse_flag("repeatable");
         Some(TableRow::Pipeline(PipelineRow {
             pipeline: pipeline?,
             deadline_ms,
@@ -157,12 +161,12 @@
         }))
     }
 
-    fn read_stage(&mut self) -> Option<TableRow> {
-        let pipeline = self.name("pipeline");
-        let stage = self.name("stage");
-        let position = self.number("position", 1, MAX_POSITION);
-        let pool = self.name("pool");
-        let streams = self.flag("streams");
+    fn parse_stage(&mut self) -> Option<TableRow> {
+        let pipeline = self.parse_name("pipeline");
+        let stage = self.parse_name("stage");
+        let position = self.parse_number("position", 1, MAX_POSITION);
+        let pool = self.parse_name("pool");
+        let streams = self.parse_flag("streams");
         Some(TableRow::Stage(StageRow {
             pipeline: pipeline?,
             stage: stage?,
@@ -172,11 +176,11 @@
         }))
     }
 
-    fn read_service(&mut self) -> Option<TableRow> {
-        let service = self.name("pipeline");
-        let pool = self.name("pool");
-        let deadline_ms = self.number("deadline_ms", 1, MAX_DEADLINE_MS);
-        let repeatable = self.flag("repeatable");
+    fn parse_service(&mut self) -> Option<TableRow> {
+        let service = self.parse_name("pipeline");
+        let pool = self.parse_name("pool");
+        let deadline_ms = self.parse_number("deadline_ms", 1, MAX_DEADLINE_MS);
+        let repeatable = self.parse_flag("repeatable");
         Some(TableRow::Service(ServiceRow {
             service: service?,
             pool: pool.unwrap_or_default(),
@@ -185,11 +189,11 @@
         }))
     }
 
-    fn read_account(&mut self) -> Option<TableRow> {
-        let account = self.name("account");
-        let weight = self.number("weight", 1, MAX_WEIGHT);
-        let limits = self.limits();
-        let key_digests = self.digests();
+    fn parse_account(&mut self) -> Option<TableRow> {
+        let account = self.parse_name("account");
+        let weight = self.parse_number("weight", 1, MAX_WEIGHT);
+        let limits = self.parse_limits();
+        let key_digests = self.parse_digests();
         Some(TableRow::Account(AccountRow {
             account: account?,
             weight,
@@ -198,11 +202,11 @@
         }))
     }
 
-    fn read_limit(&mut self) -> Option<TableRow> {
-        let account = self.name("account");
-        let pipeline = self.name("pipeline");
-        let weight = self.optional_number("weight", 1, MAX_WEIGHT);
-        let limits = self.limits();
+    fn parse_limit(&mut self) -> Option<TableRow> {
+        let account = self.parse_name("account");
+        let pipeline = self.parse_name("pipeline");
+        let weight = self.parse_optional_number("weight", 1, MAX_WEIGHT);
+        let limits = self.parse_limits();
         Some(TableRow::Limit(LimitRow {
             account: account?,
             pipeline: pipeline?,
@@ -211,51 +215,51 @@
         }))
     }
 
-    fn limits(&mut self) -> RowLimits {
+    fn parse_limits(&mut self) -> RowLimits {
         RowLimits {
-            rate: self.optional_number("rate", 0, MAX_LIMIT),
-            in_flight: self.optional_number("in_flight", 0, MAX_LIMIT),
-            tokens: self.optional_number("tokens", 0, MAX_LIMIT),
+            rate: self.parse_optional_number("rate", 0, MAX_LIMIT),
+            in_flight: self.parse_optional_number("in_flight", 0, MAX_LIMIT),
+            tokens: self.parse_optional_number("tokens", 0, MAX_LIMIT),
         }
     }
 
-    fn digests(&mut self) -> Vec<KeyDigest> {
+    fn parse_digests(&mut self) -> Vec<KeyDigest> {
         let cell = self.cell("key_digest");
         if cell.is_empty() {
-            self.fault("key_digest", FaultCause::EmptyCell);
+            self.add_fault("key_digest", FaultCause::EmptyCell);
         }
         let mut digests = Vec::new();
         for text in cell.split_whitespace() {
             match KeyDigest::from_hex(text) {
-                Some(digest) if digests.len() < MAX_KEYS => digests.push(digest),
-                _ => self.fault("key_digest", FaultCause::BadDigest(text.to_owned())),
+                Some(digest) if digests.len() < MAX_KEY_DIGESTS => digests.push(digest),
+                _ => self.add_fault("key_digest", FaultCause::BadDigest(text.to_owned())),
             }
         }
         digests
     }
 
-    fn name(&mut self, column: &str) -> Option<String> {
+    fn parse_name(&mut self, column: &str) -> Option<String> {
         let cell = self.cell(column);
         if cell.is_empty() {
-            self.fault(column, FaultCause::EmptyCell);
+            self.add_fault(column, FaultCause::EmptyCell);
             return None;
         }
-        if !is_name(cell) {
-            self.fault(column, FaultCause::BadName(cell.to_owned()));
+        if !is_valid_name(cell) {
+            self.add_fault(column, FaultCause::BadName(cell.to_owned()));
             return None;
         }
         Some(cell.to_owned())
     }
 
-    fn number(&mut self, column: &str, low: u32, high: u32) -> u32 {
+    fn parse_number(&mut self, column: &str, low: u32, high: u32) -> u32 {
         if self.cell(column).is_empty() {
-            self.fault(column, FaultCause::EmptyCell);
+            self.add_fault(column, FaultCause::EmptyCell);
             return low;
         }
-        self.optional_number(column, low, high).unwrap_or(low)
+        self.parse_optional_number(column, low, high).unwrap_or(low)
     }
 
-    fn optional_number(&mut self, column: &str, low: u32, high: u32) -> Option<u32> {
+    fn parse_optional_number(&mut self, column: &str, low: u32, high: u32) -> Option<u32> {
         let cell = self.cell(column);
         if cell.is_empty() {
             return None;
@@ -264,45 +268,45 @@
             Ok(number) if (low..=high).contains(&number) => Some(number),
             _ => {
                 let given = cell.to_owned();
-                self.fault(column, FaultCause::BadNumber { given, low, high });
+                self.add_fault(column, FaultCause::BadNumber { given, low, high });
                 None
             }
         }
     }
 
-    fn flag(&mut self, column: &str) -> bool {
+    fn parse_flag(&mut self, column: &str) -> bool {
         match self.cell(column) {
             "yes" => true,
             "no" => false,
             "" => {
-                self.fault(column, FaultCause::EmptyCell);
+                self.add_fault(column, FaultCause::EmptyCell);
                 true
             }
             other => {
                 let cause = FaultCause::BadFlag(other.to_owned());
-                self.fault(column, cause);
+                self.add_fault(column, cause);
                 true
             }
         }
     }
 
-    /// Returns a cell and notes that this kind of row has it.
+    /// Returns a cell and records that this kind of row uses its column.
     fn cell(&mut self, column: &str) -> &'a str {
         let index = COLUMNS.iter().position(|name| *name == column).unwrap_or(0);
-        self.used.push(index);
+        self.read_columns.push(index);
         self.cells.get(index).unwrap_or_default()
     }
 
-    fn check_unused(&mut self) {
+    fn check_unexpected_cells(&mut self) {
         for (index, column) in COLUMNS.iter().enumerate() {
             let cell = self.cells.get(index).unwrap_or_default();
-            if !cell.is_empty() && !self.used.contains(&index) {
-                self.fault(column, FaultCause::UnexpectedCell(cell.to_owned()));
+            if !cell.is_empty() && !self.read_columns.contains(&index) {
+                self.add_fault(column, FaultCause::UnexpectedCell(cell.to_owned()));
             }
         }
     }
 
-    fn fault(&mut self, column: &str, cause: FaultCause) {
+    fn add_fault(&mut self, column: &str, cause: FaultCause) {
         self.faults.push(RowFault {
             line: Some(self.line),
             key: None,
@@ -312,15 +316,15 @@
     }
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
-    text.len() <= MAX_NAME_LENGTH && text.chars().all(allowed)
+    text.len() <= MAX_NAME_BYTES && text.chars().all(allowed)
 }
 
-/// Writes rows as a CSV file that [`parse_csv`] reads back to the same rows.
+/// Writes rows as a CSV file that [`parse_csv`] parses back to the same rows.
 pub fn write_csv(rows: &[TableRow]) -> String {
     let mut writer = csv::WriterBuilder::new().from_writer(Vec::new());
-    // Writing into memory cannot fail, and every record has the columns of the header.
+    // Writing to memory does not fail, and each record has the same number of fields as the header.
     let _ = writer.write_record(COLUMNS);
     for row in rows {
         let _ = writer.write_record(row_cells(row));
--- a/crates/table/src/diff.rs
+++ b/crates/table/src/diff.rs
@@ -1,4 +1,4 @@
-//! The change between two tables.
+//! The difference between two tables.
 
 use std::collections::HashMap;
 
@@ -7,14 +7,14 @@
 /// Rows that turn one table into another.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RowDiff {
-    /// Rows that are new or differ.
+    /// Rows that are new or changed.
     pub upserts: Vec<TableRow>,
-    /// Rows that are gone.
+    /// Keys of the rows that are removed.
     pub deletes: Vec<RowKey>,
 }
 
 impl RowDiff {
-    /// Says whether both tables are the same.
+    /// Returns whether both tables are the same.
     pub fn is_empty(&self) -> bool {
         self.upserts.is_empty() && self.deletes.is_empty()
     }
--- a/crates/table/src/fault.rs
+++ b/crates/table/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a row, and where.
+//! Faults in rows of the table and their locations.
 
 use std::fmt;
 
@@ -7,34 +7,34 @@
 
 use crate::RowKey;
 
-/// What is wrong with a cell or a row.
+/// Why a cell or a row is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize, Deserialize)]
 pub enum FaultCause {
-    /// The file is not CSV with the columns of the table.
+    /// The file is not CSV, or does not have the columns of the table.
     #[display("{_0}")]
     NotCsv(String),
-    /// The kind is none of the table's.
+    /// The cell `kind` names no kind of row.
     #[display("{_0:?} is no kind; want pipeline, stage, service, account or limit")]
     UnknownKind(String),
-    /// A cell that the kind needs is empty.
+    /// A cell that this kind of row requires is empty.
     #[display("the cell is empty, and this kind of row needs it")]
     #[serde(rename = "Missing")]
     EmptyCell,
-    /// A cell that the kind does not have is filled.
+    /// A cell that this kind of row does not use is not empty.
     #[display("this kind of row has no such cell, but it holds {_0:?}")]
     #[serde(rename = "Unused")]
     UnexpectedCell(String),
-    /// A name has other than the allowed characters or length.
+    /// A name contains characters that are not allowed, or is too long.
     #[display("{_0:?} is no name; want 1 to 64 of a-z, 0-9, '-', '_' and '.'")]
     BadName(String),
-    /// A number is none, or outside its bounds.
+    /// A cell does not hold a whole number within the bounds.
     #[display("{given:?} is not a whole number from {low} to {high}")]
     BadNumber {
-        /// What the cell holds.
+        /// The text of the cell.
         given: String,
-        /// The least allowed.
+        /// The minimum allowed.
         low: u32,
-        /// The greatest allowed.
+        /// The maximum allowed.
         high: u32,
     },
     /// A cell is neither yes nor no.
@@ -47,58 +47,58 @@
     #[display("the same row stands twice")]
     #[serde(rename = "Twice")]
     DuplicateRow,
-    /// A row refers to another that is not there.
+    /// A row refers to a row that does not exist.
     #[display("there is no {_0}")]
     #[serde(rename = "NoSuch")]
     UnknownReference(String),
-    /// A row is to be deleted while others refer to it.
+    /// A row to be deleted is still referenced by another row.
     #[display("{_0} still refers to it")]
     #[serde(rename = "StillUsed")]
     StillReferenced(String),
     /// The positions of a pipeline's stages are not 1, 2, 3 and so on.
     #[display("the stages of {_0} do not stand at 1, 2, 3 and so on")]
     BadPositions(String),
-    /// A pipeline has no stage, or more than the limit.
-    #[display("{pipeline} has {count} stages; want 1 to {max}")]
+    /// A pipeline has no stages or too many.
+    #[display("{pipeline} has {count} stages; expected 1 to {max}")]
     BadStageCount {
         /// The pipeline.
         pipeline: String,
-        /// The stages that it would have.
+        /// The number of stages after the change.
         count: usize,
-        /// The most it may have.
+        /// The maximum number of stages.
         #[serde(rename = "most")]
         max: usize,
     },
-    /// A stage streams although another stage follows it.
+    /// A stage that is not the last one streams.
     #[display("only the last stage may stream")]
     #[serde(rename = "StreamsTooEarly")]
     StreamsBeforeLastStage,
-    /// Two accounts would share a key.
+    /// Another account has the same key.
     #[display("account {_0} has the same key")]
     SharedKey(String),
-    /// A pipeline and a service would share a name.
+    /// A pipeline and a service have the same name.
     #[display("a pipeline and a service share this name")]
     SharedName,
-    /// A row to be deleted is not there.
-    #[display("there is no such row to delete")]
+    /// A row to be deleted does not exist.
+    #[display("the row to be deleted does not exist")]
     NothingToDelete,
 }
 
-/// A fault with its place.
+/// A fault and its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowFault {
-    /// The line of the file, from 1, where the row came from a file.
+    /// The line of the file, starting at 1, if the row comes from a file.
     pub line: Option<u64>,
-    /// The row, where its key could be read.
+    /// The key of the row, if it could be read.
     pub key: Option<RowKey>,
-    /// The column at fault.
+    /// The column of the invalid cell.
     pub column: String,
-    /// What is wrong.
+    /// Why it is invalid.
     pub cause: FaultCause,
 }
 
 impl RowFault {
-    /// Creates a fault of a row whose key is known.
+    /// Creates a fault in a row whose key is known.
     pub fn new(key: RowKey, column: &str, cause: FaultCause) -> Self {
         Self {
             line: None,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sets the line of the file.
+    /// Sets the line of the file from which the row comes.
     pub fn with_line(mut self, line: Option<u64>) -> Self {
         self.line = line;
         self
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operators' table: pipelines, plain services, client accounts and their limits.
+//! The configuration table: pipelines, plain services, client accounts and their limits.
 //!
-//! - [`TableRow`] is one row, [`RowKey`] what names it; [`parse_csv`] and [`write_csv`] are its
-//!   spreadsheet form.
-//! - [`TableStore`] holds a version of the whole table in compact maps.
-//! - [`TableChange`] is a set of rows taken as a whole; [`verify_change`] finds every fault of it
-//!   and [`TableStore::apply`] takes it.
-//! - [`diff_rows`] gives the change between two tables.
+//! - [`TableRow`] is one row and [`RowKey`] identifies it; [`parse_csv`] and [`write_csv`] convert
+//!   rows from and to CSV.
+//! - [`TableStore`] stores one version of the complete table in compact maps.
+//! - [`TableChange`] is a set of rows that is applied atomically; [`verify_change`] finds all
+//!   faults in it and [`TableStore::apply`] applies it.
+//! - [`diff_rows`] computes the difference between two tables.
 
 mod change;
 mod csv_format;
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -1,4 +1,4 @@
-//! Rows of the table and the keys that name them.
+//! Rows of the table and the keys that identify them.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 pub struct KeyDigest(pub [u8; 32]);
 
 impl KeyDigest {
-    /// Returns the digest of a key as a caller shows it.
+    /// Computes the digest of an account key as a caller presents it.
     pub fn of_key(key: &[u8]) -> Self {
         Self(*blake3::hash(key).as_bytes())
     }
 
-    /// Reads a digest of 64 hexadecimal digits.
+    /// Parses a digest of 64 hexadecimal digits.
     pub fn from_hex(text: &str) -> Option<Self> {
         let hash = blake3::Hash::from_hex(text).ok()?;
         Some(Self(*hash.as_bytes()))
@@ -38,14 +38,14 @@
     }
 }
 
-/// Limits that hold for the whole fleet; nothing means no limit of its own.
+/// Limits that apply across all entry hosts together; `None` sets no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RowLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: Option<u32>,
-    /// Requests in flight at one time.
+    /// Concurrent requests.
     pub in_flight: Option<u32>,
-    /// Generated tokens a second.
+    /// Generated tokens per second.
     pub tokens: Option<u32>,
 }
 
@@ -54,9 +54,9 @@
 pub struct PipelineRow {
     /// The name that callers use.
     pub pipeline: String,
-    /// The longest deadline that a caller may ask for, in milliseconds.
+    /// The longest deadline that a caller may request, in milliseconds.
     pub deadline_ms: u32,
-    /// Whether a request may run twice where the caller says nothing.
+    /// Whether a request may run more than once, unless the caller states otherwise.
     pub repeatable: bool,
 }
 
@@ -67,24 +67,24 @@
     pub pipeline: String,
     /// The name of the stage.
     pub stage: String,
-    /// Its place in the chain, from 1.
+    /// Its position in the chain, starting at 1.
     pub position: u32,
-    /// The pool of targets that takes it.
+    /// The pool of targets that runs the stage.
     pub pool: String,
-    /// Whether its answer is a stream of tokens; only the last stage may stream.
+    /// Whether its response is a stream of tokens; only the last stage may stream.
     pub streams: bool,
 }
 
-/// A plain service that calls are routed to.
+/// A plain service to which requests are routed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRow {
     /// The name that callers use.
     pub service: String,
-    /// The pool of targets that takes its calls.
+    /// The pool of targets that serves its requests.
     pub pool: String,
-    /// The longest deadline that a caller may ask for, in milliseconds.
+    /// The longest deadline that a caller may request, in milliseconds.
     pub deadline_ms: u32,
-    /// Whether a call may run twice where the caller says nothing.
+    /// Whether a request may run more than once, unless the caller states otherwise.
     pub repeatable: bool,
 }
 
@@ -93,24 +93,24 @@
 pub struct AccountRow {
     /// The name of the account.
     pub account: String,
-    /// Its share of a contended stage, relative to other accounts.
+    /// Its weight relative to other accounts when a stage is contended.
     pub weight: u32,
-    /// Limits over all pipelines and services together.
+    /// Limits on all pipelines and services together.
     pub limits: RowLimits,
-    /// Digests of the keys that the account may show; several while a key rolls.
+    /// Digests of the valid account keys; more than one during key rotation.
     pub key_digests: Vec<KeyDigest>,
 }
 
-/// What one account may do on one pipeline or plain service.
+/// Weight and limits of one account on one pipeline or plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRow {
     /// The account.
     pub account: String,
     /// The pipeline or plain service.
     pub pipeline: String,
-    /// The weight of the account there, in place of its own.
+    /// The weight that replaces the account's own one on this route.
     pub weight: Option<u32>,
-    /// Limits beside those of the account.
+    /// Limits that apply in addition to those of the account.
     pub limits: RowLimits,
 }
 
@@ -129,18 +129,18 @@
     Limit(LimitRow),
 }
 
-/// What names a row: its kind and its key cells.
+/// The key of a row: its kind and its key cells.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RowKey {
-    /// A pipeline by its name.
+    /// The name of a pipeline.
     Pipeline(String),
-    /// A stage by pipeline and stage name.
+    /// The pipeline and name of a stage.
     Stage(String, String),
-    /// A plain service by its name.
+    /// The name of a plain service.
     Service(String),
-    /// An account by its name.
+    /// The name of a client account.
     Account(String),
-    /// A limit by account and pipeline or service.
+    /// The account and the pipeline or service of a limit row.
     Limit(String, String),
 }
 
@@ -157,7 +157,7 @@
 }
 
 impl TableRow {
-    /// Returns the key that names the row.
+    /// Returns the key of the row.
     pub fn key(&self) -> RowKey {
         match self {
             TableRow::Pipeline(row) => RowKey::Pipeline(row.pipeline.clone()),
--- a/crates/table/src/store.rs
+++ b/crates/table/src/store.rs
@@ -1,7 +1,7 @@
-//! A version of the whole table in compact maps.
+//! One version of the complete table in compact maps.
 //!
-//! Names are kept once and referred to by `u32` keys, because a table of the design size has
-//! 204,000 limit rows and every entry host holds it.
+//! Names are stored once and referred to by `u32` ids, because a table of the design size has
+//! 204,000 limit rows and every entry host keeps it in memory.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,55 +13,55 @@
     ServiceRow, StageRow, TableChange, TableRow, verify_change,
 };
 
-/// Deleted rows that are remembered to find clashes of late changes.
+/// The maximum number of deletions kept to detect conflicts with changes based on older versions.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// A client account of a [`TableStore`].
+/// The id of a client account in a [`TableStore`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AccountId(u32);
 entity_impl!(AccountId, "account");
 
-/// A pipeline or plain service of a [`TableStore`].
+/// The id of a pipeline or plain service in a [`TableStore`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RouteId(u32);
 entity_impl!(RouteId, "route");
 
-/// An account as the store holds it.
+/// An account in the store.
 #[derive(Debug, Clone)]
 pub struct AccountEntry {
     /// The name.
     pub name: String,
-    /// Its share of a contended stage.
+    /// Its weight relative to other accounts when a stage is contended.
     pub weight: u32,
-    /// Limits over all routes.
+    /// Limits on all routes together.
     pub limits: RowLimits,
     /// Digests of its keys.
     pub key_digests: Vec<KeyDigest>,
-    /// The version that wrote the row; 0 when the row is deleted.
+    /// The version that wrote the row, or 0 if the row is deleted.
     version: u64,
 }
 
-/// What a route is.
+/// The kind of a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteKind {
     /// A chain of stages, in order of position.
     Pipeline(Vec<StageRow>),
-    /// A plain service on a pool.
+    /// A plain service, with the name of its pool.
     Service(String),
 }
 
-/// A pipeline or plain service as the store holds it.
+/// A pipeline or plain service in the store.
 #[derive(Debug, Clone)]
 pub struct RouteEntry {
     /// The name.
     pub name: String,
-    /// What it is.
+    /// The kind of the route.
     pub kind: RouteKind,
-    /// The longest deadline, in milliseconds.
+    /// The longest deadline that a caller may request, in milliseconds.
     pub deadline_ms: u32,
-    /// Whether a request may run twice where the caller says nothing.
+    /// Whether a request may run more than once, unless the caller states otherwise.
     pub repeatable: bool,
-    /// The version that wrote the row; 0 when the row is deleted.
+    /// The version that wrote the row, or 0 if the row is deleted.
     version: u64,
     /// The version that last wrote each stage.
     stage_versions: Vec<(String, u64)>,
@@ -83,7 +83,7 @@
     pub version: u64,
 }
 
-/// A version of the table.
+/// One version of the table.
 #[derive(Debug, Clone, Default)]
 pub struct TableStore {
     version: u64,
@@ -102,21 +102,21 @@
         Self::default()
     }
 
-    /// Rebuilds a table from an image, part by part; [`TableStore::finish_snapshot`] ends it.
+    /// Adds rows of one part of a snapshot; [`TableStore::finish_snapshot`] completes the table.
     pub fn add_snapshot_rows(&mut self, rows: Vec<VersionedRow>) {
         for VersionedRow { row, version } in rows {
             self.put_row(row, version);
         }
     }
 
-    /// Sets version and deletions after the last part of an image.
+    /// Sets the version and the tombstones after the last part of a snapshot.
     pub fn finish_snapshot(&mut self, version: u64, tombstones: Vec<(RowKey, u64)>) {
         self.version = version;
         self.tombstones = tombstones.into();
     }
 
-    /// Returns every row with the version that wrote it; together with
-    /// [`TableStore::tombstones`] this is all that a replica needs to decide as this one does.
+    /// Returns all rows with the versions that wrote them. Together with
+    /// [`TableStore::tombstones`] they let a replica decide on changes exactly as this one does.
     pub fn snapshot_rows(&self) -> Vec<VersionedRow> {
         let rows = self.rows().into_iter().map(|row| VersionedRow {
             version: self.row_version(&row.key()),
@@ -125,25 +125,26 @@
         rows.collect()
     }
 
-    /// Returns the deletions that are remembered to find clashes, oldest first.
+    /// Returns the recorded deletions and their versions, oldest first; they serve to detect
+    /// conflicts.
     pub fn tombstones(&self) -> Vec<(RowKey, u64)> {
         self.tombstones.iter().cloned().collect()
     }
 
-    /// Returns the version; it only rises.
+    /// Returns the version, which never decreases.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Finds the account whose key has this digest.
+    /// Finds the account that has a key with this digest.
     pub fn find_account(&self, digest: &KeyDigest) -> Option<AccountId> {
         let id = *self.digests.get(digest)?;
         let account = &self.accounts[id];
-        let shown = account.key_digests.iter().any(|own| own.matches(digest));
-        (shown && account.version > 0).then_some(id)
+        let matches = account.key_digests.iter().any(|own| own.matches(digest));
+        (matches && account.version > 0).then_some(id)
     }
 
-    /// Finds an account by its name.
+    /// Finds an account by name.
     pub fn account_id(&self, name: &str) -> Option<AccountId> {
         let id = *self.account_names.get(name)?;
         (self.accounts[id].version > 0).then_some(id)
@@ -154,14 +155,14 @@
         &self.accounts[id]
     }
 
-    /// Returns every account in force.
+    /// Returns all accounts that are not deleted.
     pub fn accounts(&self) -> impl Iterator<Item = (AccountId, &AccountEntry)> {
         self.accounts
             .iter()
             .filter(|(_, account)| account.version > 0)
     }
 
-    /// Finds a pipeline or service by its name.
+    /// Finds a pipeline or service by name.
     pub fn route_id(&self, name: &str) -> Option<RouteId> {
         let id = *self.route_names.get(name)?;
         (self.routes[id].version > 0).then_some(id)
@@ -172,7 +173,7 @@
         &self.routes[id]
     }
 
-    /// Returns every pipeline and service in force.
+    /// Returns all pipelines and services that are not deleted.
     pub fn routes(&self) -> impl Iterator<Item = (RouteId, &RouteEntry)> {
         self.routes.iter().filter(|(_, route)| route.version > 0)
     }
@@ -186,13 +187,13 @@
         own.unwrap_or(self.accounts[account].weight)
     }
 
-    /// Returns the limits of an account on a route, beside those of the account as a whole.
+    /// Returns the limits of an account on a route, which apply in addition to those of the account.
     pub fn route_limits(&self, account: AccountId, route: RouteId) -> RowLimits {
         let limit = self.limits.get(&(account, route));
         limit.map(|limit| limit.limits).unwrap_or_default()
     }
 
-    /// Says whether a limit row is there.
+    /// Returns whether a limit row exists.
     pub fn has_limit(&self, account: &str, route: &str) -> bool {
         match (self.account_names.get(account), self.route_names.get(route)) {
             (Some(account), Some(route)) => self.limits.contains_key(&(*account, *route)),
@@ -206,11 +207,13 @@
         let route = route.and_then(|name| self.route_names.get(name));
         self.limits
             .keys()
-            .filter(|(of, on)| account == Some(of) || route == Some(on))
-            .map(|(of, on)| {
+            .filter(|(limit_account, limit_route)| {
+                account == Some(limit_account) || route == Some(limit_route)
+            })
+            .map(|(limit_account, limit_route)| {
                 RowKey::Limit(
-                    self.accounts[*of].name.clone(),
-                    self.routes[*on].name.clone(),
+                    self.accounts[*limit_account].name.clone(),
+                    self.routes[*limit_route].name.clone(),
                 )
             })
             .collect()
@@ -228,7 +231,8 @@
         self.accounts().count() + self.routes().count() + stages + self.limits.len()
     }
 
-    /// Returns every row: pipelines with their stages, services, accounts, limits, each by name.
+    /// Returns all rows in a fixed order: pipelines (each followed by its stages) and services by
+    /// name, accounts by name, limits by account and route.
     pub fn rows(&self) -> Vec<TableRow> {
         let mut rows = Vec::with_capacity(self.row_count());
         let mut routes: Vec<_> = self.routes().map(|(_, route)| route).collect();
@@ -254,25 +258,25 @@
         rows
     }
 
-    /// Checks a change against this version and, when it is whole, takes it as the next version.
+    /// Checks a change against this version and, if it is valid, applies it as the next version.
     ///
     /// # Errors
     ///
-    /// [`ChangeRefusal`]; the table is as it was.
+    /// Returns the [`ChangeRefusal`]; the table is unchanged.
     pub fn apply(&mut self, change: &TableChange) -> Result<u64, ChangeRefusal> {
         self.check(change)?;
         self.apply_checked(change, self.version + 1);
         Ok(self.version)
     }
 
-    /// Checks a change against this version without taking it.
+    /// Checks a change against this version without applying it.
     ///
     /// # Errors
     ///
-    /// As [`TableStore::apply`].
+    /// The same as for [`TableStore::apply`].
     pub fn check(&self, change: &TableChange) -> Result<(), ChangeRefusal> {
         if change.base_version != self.version {
-            let clashing = self.clashing_rows(change);
+            let clashing = self.conflicting_keys(change);
             if !change.rebase || !clashing.is_empty() || change.base_version > self.version {
                 return Err(ChangeRefusal::Conflict(ChangeConflict {
                     current: self.version,
@@ -288,7 +292,7 @@
         }
     }
 
-    /// Takes a change that another process has checked, as `version`.
+    /// Applies a change as `version`, without checks; another process has checked it.
     pub fn apply_checked(&mut self, change: &TableChange, version: u64) {
         for key in &change.deletes {
             self.delete_row(key, version);
@@ -299,17 +303,17 @@
         self.version = version;
     }
 
-    fn clashing_rows(&self, change: &TableChange) -> Vec<RowKey> {
+    fn conflicting_keys(&self, change: &TableChange) -> Vec<RowKey> {
         let base = change.base_version;
-        // Past the oldest tombstone a deletion may have been forgotten, so every row may clash.
-        let forgot = self.tombstones.len() == MAX_TOMBSTONES
+        // Deletions before the oldest tombstone may have been discarded, so any row may conflict.
+        let discarded = self.tombstones.len() == MAX_TOMBSTONES
             && self
                 .tombstones
                 .front()
                 .is_some_and(|(_, version)| *version > base);
         change
             .touched_keys()
-            .filter(|key| forgot || self.row_version(key) > base)
+            .filter(|key| discarded || self.row_version(key) > base)
             .collect()
     }
 
@@ -335,13 +339,13 @@
                     .map(|limit| limit.version)
             }
         };
-        let deleted = || {
+        let deletion_version = || {
             let mut tombstones = self.tombstones.iter().rev();
             tombstones
-                .find(|(gone, _)| gone == key)
+                .find(|(deleted, _)| deleted == key)
                 .map(|(_, version)| *version)
         };
-        present.or_else(deleted).unwrap_or(0)
+        present.or_else(deletion_version).unwrap_or(0)
     }
 
     fn put_row(&mut self, row: TableRow, version: u64) {
@@ -389,7 +393,7 @@
     fn put_account(&mut self, row: AccountRow, version: u64) {
         let id = self.intern_account(&row.account);
         for digest in std::mem::take(&mut self.accounts[id].key_digests) {
-            self.forget_digest(&digest, id);
+            self.remove_digest(&digest, id);
         }
         for digest in &row.key_digests {
             self.digests.insert(*digest, id);
@@ -412,9 +416,9 @@
         self.limits.insert((account, route), entry);
     }
 
-    // A key that moves from one account to another inside one change must not be dropped when
-    // the old owner is written after the new one.
-    fn forget_digest(&mut self, digest: &KeyDigest, owner: AccountId) {
+    // Removes a digest only if it still belongs to `owner`: if one change moves a key to another
+    // account and writes the old owner last, the key must stay with the new owner.
+    fn remove_digest(&mut self, digest: &KeyDigest, owner: AccountId) {
         if self.digests.get(digest) == Some(&owner) {
             self.digests.remove(digest);
         }
@@ -459,7 +463,7 @@
             return;
         };
         for digest in std::mem::take(&mut self.accounts[id].key_digests) {
-            self.forget_digest(&digest, id);
+            self.remove_digest(&digest, id);
         }
         self.accounts[id].version = 0;
     }
--- a/crates/table/src/verify.rs
+++ b/crates/table/src/verify.rs
@@ -1,63 +1,63 @@
-//! Finds every fault of a change before any of it is taken.
+//! Finds all faults in a change before any part of it is applied.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::{FaultCause, KeyDigest, RouteKind, RowFault, RowKey, StageRow, TableRow, TableStore};
 
-/// The most stages that a pipeline may have.
+/// The maximum number of stages of a pipeline.
 pub const MAX_STAGES: usize = 16;
 
-/// What the table would hold after a change, as far as the change touches it.
+/// A view of the rows that a change touches, as they would be after the change.
 struct ChangeView<'a> {
     store: &'a TableStore,
     upserts: &'a [TableRow],
     deleted: HashSet<&'a RowKey>,
-    put: HashSet<RowKey>,
+    upserted: HashSet<RowKey>,
 }
 
-/// Verifies a whole table given as rows, as if taken from blank.
+/// Verifies a complete table given as rows, as a change to an empty table.
 pub fn verify_rows(rows: &[TableRow]) -> Vec<RowFault> {
     verify_change(&TableStore::new(), rows, &[])
 }
 
-/// Returns every fault that the table would have after a change; empty when it is whole.
+/// Returns all faults that the table would have after a change; empty if the change is valid.
 pub fn verify_change(
     store: &TableStore,
     upserts: &[TableRow],
     deletes: &[RowKey],
 ) -> Vec<RowFault> {
     let mut faults = Vec::new();
-    let put = collect_put_keys(upserts, &mut faults);
+    let upserted = collect_upserted_keys(upserts, &mut faults);
     let view = ChangeView {
         store,
         upserts,
         deleted: deletes.iter().collect(),
-        put,
+        upserted,
     };
     verify_deletes(&view, deletes, &mut faults);
     verify_references(&view, &mut faults);
     verify_stage_chains(&view, &mut faults);
-    verify_keys(&view, &mut faults);
+    verify_key_digests(&view, &mut faults);
     faults
 }
 
-fn collect_put_keys(upserts: &[TableRow], faults: &mut Vec<RowFault>) -> HashSet<RowKey> {
-    let mut put = HashSet::with_capacity(upserts.len());
+fn collect_upserted_keys(upserts: &[TableRow], faults: &mut Vec<RowFault>) -> HashSet<RowKey> {
+    let mut upserted = HashSet::with_capacity(upserts.len());
     for row in upserts {
-        if !put.insert(row.key()) {
+        if !upserted.insert(row.key()) {
             faults.push(RowFault::new(row.key(), "kind", FaultCause::DuplicateRow));
         }
     }
-    put
+    upserted
 }
 
 impl ChangeView<'_> {
-    /// Says whether a row will be there after the change.
+    /// Returns whether a row will exist after the change.
     fn will_exist(&self, key: &RowKey) -> bool {
-        self.put.contains(key) || (exists(self.store, key) && !self.deleted.contains(key))
+        self.upserted.contains(key) || (exists(self.store, key) && !self.deleted.contains(key))
     }
 
-    fn has_route(&self, name: &str) -> bool {
+    fn will_have_route(&self, name: &str) -> bool {
         self.will_exist(&RowKey::Pipeline(name.to_owned()))
             || self.will_exist(&RowKey::Service(name.to_owned()))
     }
@@ -86,21 +86,24 @@
                 FaultCause::NothingToDelete,
             ));
         }
-        if view.put.contains(key) {
+        if view.upserted.contains(key) {
             faults.push(RowFault::new(key.clone(), "kind", FaultCause::DuplicateRow));
         }
-        let users = match key {
+        let referrers = match key {
             RowKey::Account(name) => view.store.limit_keys_of(Some(name), None),
-            RowKey::Pipeline(name) | RowKey::Service(name) if !view.has_route(name) => {
+            RowKey::Pipeline(name) | RowKey::Service(name) if !view.will_have_route(name) => {
                 view.store.limit_keys_of(None, Some(name))
             }
             _ => Vec::new(),
         };
-        if view.put.contains(key) {
+        if view.upserted.contains(key) {
             continue;
         }
-        for user in users.iter().filter(|user| view.will_exist(user)) {
-            let cause = FaultCause::StillReferenced(user.to_string());
+        for referrer in referrers
+            .iter()
+            .filter(|referrer| view.will_exist(referrer))
+        {
+            let cause = FaultCause::StillReferenced(referrer.to_string());
             faults.push(RowFault::new(key.clone(), "kind", cause));
         }
     }
@@ -122,7 +125,7 @@
                     let cause = FaultCause::UnknownReference(account.to_string());
                     faults.push(RowFault::new(row.key(), "account", cause));
                 }
-                if !view.has_route(&limit.pipeline) {
+                if !view.will_have_route(&limit.pipeline) {
                     let cause = FaultCause::UnknownReference(format!(
                         "pipeline or service {}",
                         limit.pipeline
@@ -130,14 +133,21 @@
                     faults.push(RowFault::new(row.key(), "pipeline", cause));
                 }
             }
-            TableRow::Pipeline(pipeline) => verify_sole_name(view, row, &pipeline.pipeline, faults),
-            TableRow::Service(service) => verify_sole_name(view, row, &service.service, faults),
+            TableRow::Pipeline(pipeline) => {
+                verify_unique_name(view, row, &pipeline.pipeline, faults)
+            }
+            TableRow::Service(service) => verify_unique_name(view, row, &service.service, faults),
             TableRow::Account(_) => {}
         }
     }
 }
 
-fn verify_sole_name(view: &ChangeView<'_>, row: &TableRow, name: &str, faults: &mut Vec<RowFault>) {
+fn verify_unique_name(
+    view: &ChangeView<'_>,
+    row: &TableRow,
+    name: &str,
+    faults: &mut Vec<RowFault>,
+) {
     let both = view.will_exist(&RowKey::Pipeline(name.to_owned()))
         && view.will_exist(&RowKey::Service(name.to_owned()));
     if both {
@@ -145,14 +155,17 @@
     }
 }
 
-/// Checks the chain of every pipeline that the change touches.
+/// Verifies the stage chain of every pipeline that the change touches.
 fn verify_stage_chains(view: &ChangeView<'_>, faults: &mut Vec<RowFault>) {
-    let mut put_stages: HashMap<&str, Vec<&StageRow>> = HashMap::new();
+    let mut upserted_stages: HashMap<&str, Vec<&StageRow>> = HashMap::new();
     let mut touched: Vec<&str> = Vec::new();
     for row in view.upserts {
         match row {
             TableRow::Stage(stage) => {
-                put_stages.entry(&stage.pipeline).or_default().push(stage);
+                upserted_stages
+                    .entry(&stage.pipeline)
+                    .or_default()
+                    .push(stage);
                 touched.push(&stage.pipeline);
             }
             TableRow::Pipeline(pipeline) => touched.push(&pipeline.pipeline),
@@ -167,26 +180,26 @@
     touched.sort_unstable();
     touched.dedup();
     for pipeline in touched {
-        let put = put_stages
+        let upserted = upserted_stages
             .get(pipeline)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        verify_chain(view, pipeline, put, faults);
+        verify_stage_chain(view, pipeline, upserted, faults);
     }
 }
 
-fn verify_chain(
+fn verify_stage_chain(
     view: &ChangeView<'_>,
     pipeline: &str,
-    put: &[&StageRow],
+    upserted: &[&StageRow],
     faults: &mut Vec<RowFault>,
 ) {
     let key = RowKey::Pipeline(pipeline.to_owned());
-    let mut chain: Vec<&StageRow> = put.to_vec();
-    chain.extend(kept_stages(view, pipeline));
+    let mut chain: Vec<&StageRow> = upserted.to_vec();
+    chain.extend(unchanged_stages(view, pipeline));
     chain.sort_by_key(|stage| stage.position);
     if !view.will_exist(&key) {
-        for stage in chain.iter().filter(|stage| !put.contains(stage)) {
+        for stage in chain.iter().filter(|stage| !upserted.contains(stage)) {
             let cause = FaultCause::StillReferenced(format!("stage {}/{}", pipeline, stage.stage));
             faults.push(RowFault::new(key.clone(), "kind", cause));
         }
@@ -221,7 +234,7 @@
     }
 }
 
-fn kept_stages<'a>(view: &'a ChangeView<'_>, pipeline: &'a str) -> Vec<&'a StageRow> {
+fn unchanged_stages<'a>(view: &'a ChangeView<'_>, pipeline: &'a str) -> Vec<&'a StageRow> {
     let Some(id) = view.store.route_id(pipeline) else {
         return Vec::new();
     };
@@ -232,13 +245,13 @@
         .iter()
         .filter(|stage| {
             let key = RowKey::Stage(pipeline.to_owned(), stage.stage.clone());
-            !view.put.contains(&key) && !view.deleted.contains(&key)
+            !view.upserted.contains(&key) && !view.deleted.contains(&key)
         })
         .collect()
 }
 
-/// Checks that no two accounts would have the same key, which would let one act as the other.
-fn verify_keys(view: &ChangeView<'_>, faults: &mut Vec<RowFault>) {
+/// Verifies that no two accounts share a key; otherwise one could act as the other.
+fn verify_key_digests(view: &ChangeView<'_>, faults: &mut Vec<RowFault>) {
     let mut owners: HashMap<KeyDigest, &str> = HashMap::new();
     for row in view.upserts {
         let TableRow::Account(account) = row else {
@@ -252,7 +265,7 @@
                 .map(|id| view.store.account(id).name.as_str())
                 .filter(|name| {
                     let key = RowKey::Account((*name).to_owned());
-                    !view.put.contains(&key) && !view.deleted.contains(&key)
+                    !view.upserted.contains(&key) && !view.deleted.contains(&key)
                 });
             let other = in_change
                 .or(in_store)
--- a/crates/table/tests/table.rs
+++ b/crates/table/tests/table.rs
@@ -1,4 +1,4 @@
-//! CSV, verification, conflicts and deltas of the table.
+//! Tests of the CSV format, verification, conflicts and incremental changes of the table.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn csv_comes_back_the_same_through_store_and_file() {
+fn rows_survive_a_round_trip_through_store_and_csv() {
     let store = loaded_store();
     let text = write_csv(&store.rows());
-    let again = parse_csv(&text);
-    assert_eq!(again.faults, []);
-    assert!(diff_rows(&good_rows(), &again.rows).is_empty());
+    let reparsed = parse_csv(&text);
+    assert_eq!(reparsed.faults, []);
+    assert!(diff_rows(&good_rows(), &reparsed.rows).is_empty());
     assert_eq!(store.row_count(), 7);
     let acme = store.find_account(&KeyDigest::of_key(b"key-a")).unwrap();
     let yard = store.route_id("yard").unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn all_faults_of_a_file_are_told_at_once() {
+fn all_faults_of_a_file_are_reported_at_once() {
     let digest = KeyDigest::of_key(b"key-a");
     let text = format!(
         "{HEADER}pipeline,,yard,,,,,,,,0,maybe,,
@@ -91,14 +91,14 @@
 }
 
 #[test]
-fn files_that_are_no_table_are_refused() {
+fn files_without_the_table_header_are_refused() {
     for text in ["", "kind,account\n", "a,b\n1,2\n", "\u{0}\u{ff}"] {
         assert_eq!(parse_csv(text).faults.len(), 1, "{text:?}");
     }
 }
 
 #[test]
-fn racing_changes_are_told_version_and_clashing_rows() {
+fn conflicts_state_the_current_version_and_the_clashing_rows() {
     let mut store = loaded_store();
     let mut acme = good_rows()[4].clone();
     let mut birch = good_rows()[5].clone();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_deleted_row_clashes_with_a_late_edit_of_it() {
+fn a_deleted_row_conflicts_with_a_later_edit_based_on_an_older_version() {
     let mut store = loaded_store();
     let limit = RowKey::Limit("acme".to_owned(), "yard".to_owned());
     store
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn deletes_are_refused_while_rows_refer_to_them() {
+fn deletes_are_refused_while_other_rows_refer_to_the_row() {
     let stage = |name: &str| RowKey::Stage("yard".to_owned(), name.to_owned());
     let account = RowKey::Account("acme".to_owned());
     let pipeline = RowKey::Pipeline("yard".to_owned());
@@ -175,16 +175,17 @@
 }
 
 proptest! {
-    /// A replica that takes deltas holds the same rows as one that takes the whole table.
+    /// A replica that applies each change has the same rows as the original, and so has one that
+    /// is rebuilt from a snapshot.
     #[test]
-    fn deltas_and_whole_tables_agree(steps in prop::collection::vec(small_change(), 1..20)) {
+    fn replicas_that_apply_changes_or_load_snapshots_agree(steps in prop::collection::vec(small_change(), 1..20)) {
         let mut store = loaded_store();
         let mut follower = store.clone();
         for (number, step) in steps.into_iter().enumerate() {
             let mut next = change(store.version(), vec![], vec![]);
             next.change_key = number.to_string();
-            for (who, weight, delete) in step {
-                let name = format!("account-{who}");
+            for (account, weight, delete) in step {
+                let name = format!("account-{account}");
                 let digest = KeyDigest::of_key(name.as_bytes());
                 if delete {
                     next.deletes.push(RowKey::Account(name));
@@ -211,9 +212,9 @@
         }
     }
 
-    /// Whatever bytes a file holds, reading it ends with rows or faults.
+    /// Parsing returns rows or faults for any text after the header.
     #[test]
-    fn no_file_crashes_the_reader(body in ".{0,200}") {
+    fn the_csv_parser_does_not_panic_on_any_text(body in ".{0,200}") {
         let parsed = parse_csv(&format!("{HEADER}{body}"));
         let _ = verify_rows(&parsed.rows);
     }
