--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -1,51 +1,51 @@
-//! Faults that a fake target can be ordered to show.
+//! Faults that can be injected into a fake target.
 
 use clap::ValueEnum;
 use serde::{Deserialize, Serialize};
 
-/// A way to misbehave.
+/// The kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Closes the connection before the request is read; nothing runs.
+    /// Closes the connection before it reads the request; nothing runs.
     CloseBefore,
-    /// Runs the request and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     CloseAfterRun,
-    /// Runs the request and never answers.
+    /// Runs the request and sends no response.
     Freeze,
-    /// Answers after an extra second.
+    /// Delays the response by one second.
     Late,
-    /// Answers in the name of another attempt.
+    /// Sends the response of another attempt, with its attempt id and result.
     Foreign,
-    /// Answers twice on the same connection.
+    /// Sends the response twice on the same connection.
     Twice,
-    /// Says a greater length than the body has, and closes.
+    /// Sends only a part of the body that `content-length` announces, and closes the connection.
     Short,
-    /// Answers bytes that are no HTTP.
+    /// Sends bytes that are not HTTP and closes the connection.
     Garbage,
-    /// Answers 200 with a body that is no JSON.
+    /// Responds with status 200 and a body that is not JSON.
     BadBody,
-    /// Runs the request and answers 500.
+    /// Runs the request and responds with status 500.
     Error,
-    /// Says that it has no room; nothing runs.
+    /// Refuses the request as overloaded, with status 503; nothing runs.
     Busy,
-    /// Says that it is leaving; nothing runs.
+    /// Refuses the request with status 503 and states that it is leaving; nothing runs.
     Leaving,
-    /// Closes a stream after two tokens.
+    /// Closes the connection after two tokens of a stream.
     CutStream,
-    /// Sends a token of a stream twice.
+    /// Sends one token of a stream twice.
     DoubleToken,
-    /// Leaves a token of a stream out.
+    /// Omits one token of a stream.
     SkipToken,
-    /// Ends a stream properly but without its end mark.
+    /// Ends the body of a stream properly, but without the line that marks its end.
     NoEndMark,
 }
 
-/// An order to misbehave for a number of requests.
+/// A fault to inject into a number of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultInjection {
-    /// How.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// For how many requests; 0 ends all faults.
+    /// The number of requests that fail; 0 ends an injected fault.
     pub count: u64,
 }
--- a/crates/fakes/src/host_list.rs
+++ b/crates/fakes/src/host_list.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's host list, which lags and may be partial.
+//! A fake of the platform's host list, which may be outdated and incomplete.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use crate::http::fixed_length_response;
 use crate::read_request;
 
-/// One host of the list.
+/// One target in the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Its name.
+    /// The name of the target.
     pub name: String,
-    /// The pool it belongs to.
+    /// The pool to which it belongs.
     pub pool: String,
-    /// Where it is reached, as IP:PORT.
+    /// The address on which it listens, as IP:PORT.
     pub address: String,
     /// Its data hall.
     pub hall: String,
@@ -26,23 +26,23 @@
     pub state: String,
 }
 
-/// The list as it is served.
+/// The body of the host list response.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HostListBody {
-    /// Whether the list names every host.
+    /// Whether the list contains all targets.
     pub complete: bool,
-    /// The hosts.
+    /// The targets.
     pub hosts: Vec<HostEntry>,
 }
 
-/// A host list; clones share it. `GET /hosts` reads it, `POST /hosts` replaces it.
+/// A host list server; clones share the list. `GET /hosts` returns it, `POST /hosts` replaces it.
 #[derive(Clone, Default)]
 pub struct FakeHostList {
     body: Arc<Mutex<HostListBody>>,
 }
 
 impl FakeHostList {
-    /// Creates a list.
+    /// Creates a server with a list.
     pub fn new(body: HostListBody) -> Self {
         Self {
             body: Arc::new(Mutex::new(body)),
@@ -54,11 +54,11 @@
         *self.body.lock().unwrap_or_else(PoisonError::into_inner) = body;
     }
 
-    /// Binds an address and serves it on this runtime; returns the address.
+    /// Binds an address, serves the list on this runtime and returns the bound address.
     ///
     /// # Errors
     ///
-    /// The socket's error.
+    /// Returns the error of the socket.
     pub async fn spawn(self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address).await?;
         let bound = listener.local_addr()?;
@@ -76,7 +76,7 @@
     async fn serve_connection(&self, mut socket: TcpStream) -> io::Result<()> {
         let mut buffer = Vec::new();
         while let Some(request) = read_request(&mut socket, &mut buffer).await? {
-            let answer = match request.method.as_str() {
+            let response = match request.method.as_str() {
                 "POST" => match serde_json::from_slice(&request.body) {
                     Ok(body) => {
                         self.set(body);
@@ -98,7 +98,7 @@
                     )
                 }
             };
-            socket.write_all(&answer).await?;
+            socket.write_all(&response).await?;
         }
         Ok(())
     }
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,28 +1,29 @@
-//! Just enough HTTP/1.1 to answer well, and to answer badly on purpose.
+//! A minimal HTTP/1.1 server side that can also send invalid responses.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The largest head and body that a fake reads, in bytes.
+/// The maximum size of the request line and headers.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// The maximum size of a request body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// A request as a fake sees it.
+/// A request that a fake has received.
 #[derive(Debug, Clone, Default)]
 pub struct FakeRequest {
     /// The method.
     pub method: String,
-    /// The path with its query.
+    /// The path, including the query.
     pub path: String,
-    /// The headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl FakeRequest {
-    /// Returns a header, or an empty string.
+    /// Returns the value of a header, or an empty string if the request has none of this name.
     pub fn header(&self, name: &str) -> &str {
         let mut headers = self.headers.iter();
         headers
@@ -31,11 +32,12 @@
     }
 }
 
-/// Reads one request; nothing when the connection ended before one began.
+/// Reads one request; returns `None` if the connection closes before the headers are complete.
 ///
 /// # Errors
 ///
-/// The socket's error, or `InvalidData` for what is no request.
+/// Returns the error of the socket, `InvalidData` if the data is not a valid request or too large,
+/// and `UnexpectedEof` if the connection closes within the body.
 pub async fn read_request<R: AsyncRead + Unpin>(
     socket: &mut R,
     buffer: &mut Vec<u8>,
@@ -87,23 +89,23 @@
     Ok(Some((request, used)))
 }
 
-/// Returns the bytes of an answer with a body of known length.
+/// Encodes a response with a `content-length` header.
 pub(crate) fn fixed_length_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut answer = response_head(status, headers);
-    answer.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
-    answer.extend_from_slice(body);
-    answer
+    let mut response = response_head(status, headers);
+    response.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
+    response.extend_from_slice(body);
+    response
 }
 
-/// Returns the head of an answer that goes on in chunks.
-pub(crate) fn chunked_head(headers: &[(&str, &str)]) -> Vec<u8> {
-    let mut answer = response_head(200, headers);
-    answer.extend_from_slice(b"transfer-encoding: chunked\r\n\r\n");
-    answer
+/// Encodes the head of a response with a chunked body.
+pub(crate) fn chunked_response_head(headers: &[(&str, &str)]) -> Vec<u8> {
+    let mut response = response_head(200, headers);
+    response.extend_from_slice(b"transfer-encoding: chunked\r\n\r\n");
+    response
 }
 
-/// Returns one chunk; an empty one ends the body.
-pub(crate) fn chunk(body: &[u8]) -> Vec<u8> {
+/// Encodes one chunk; an empty one ends the body.
+pub(crate) fn encode_chunk(body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{:x}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
     bytes.extend_from_slice(b"\r\n");
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,12 +1,14 @@
-//! Stand-ins for what linnetdale talks to, with faults to order and a ledger of what really ran.
+//! Fakes of the services that linnetdale calls, with fault injection and a ledger of the requests
+//! that ran.
 //!
-//! - [`FakeTarget`] stands in for a stage pool, a model engine or a plain service.
-//! - [`FakeHostList`] stands in for the platform's list of hosts.
-//! - [`FaultInjection`] makes a target misbehave; [`RunRecord`]s tell what it ran.
-//! - [`expected_tokens`] computes what a pipeline must give, so that a mixed-up answer shows.
+//! - [`FakeTarget`] replaces a stage target, a model engine or a plain service.
+//! - [`FakeHostList`] replaces the platform's list of targets.
+//! - [`FaultInjection`] makes a target misbehave; [`RunRecord`]s state what it ran.
+//! - [`expected_tokens`] computes the tokens that a pipeline must return, so that tests detect the
+//!   response of another request.
 //!
-//! They speak plain HTTP/1.1 over sockets of their own, because a fault such as a body cut short
-//! is nothing that a well-behaved server library lets one do.
+//! The fakes write HTTP/1.1 to sockets directly, because server libraries do not allow faults such
+//! as a truncated body.
 
 mod fault;
 mod host_list;
--- a/crates/fakes/src/response.rs
+++ b/crates/fakes/src/response.rs
@@ -1,11 +1,11 @@
-//! What fakes answer, as functions of what they are asked.
+//! Contents of responses, computed from the input of a request.
 
 use serde_json::{Value, json};
 
-/// Tokens that an engine generates where the request does not say.
-const DEFAULT_TOKENS: u64 = 8;
+/// The number of tokens that an engine generates if the input does not state one.
+const DEFAULT_TOKEN_COUNT: u64 = 8;
 
-/// Returns the output of a stage for an input: the input with the stage's name around it.
+/// Returns the output of a stage: the input with the name of the stage appended to its `trace`.
 pub fn stage_output(stage: &str, input: &Value) -> Value {
     let mut output = input.clone();
     let trace = input
@@ -27,19 +27,20 @@
 }
 
 /// Returns the tokens that an engine generates for an input. Equal inputs give equal tokens, so
-/// another engine can go on where one stopped.
+/// that another engine can resume an interrupted stream.
 pub fn engine_tokens(input: &Value) -> Vec<String> {
     let count = input
         .get("tokens")
         .and_then(Value::as_u64)
-        .unwrap_or(DEFAULT_TOKENS);
+        .unwrap_or(DEFAULT_TOKEN_COUNT);
     let seed = blake3::hash(input.to_string().as_bytes()).to_hex();
     (0..count)
         .map(|index| format!("{index}-{}", &seed[..12]))
         .collect()
 }
 
-/// Returns the tokens that a pipeline of stages before one engine must give for an input.
+/// Returns the tokens that a pipeline must return for an input: the stages run in order, then one
+/// engine.
 pub fn expected_tokens(stages: &[&str], input: &Value) -> Vec<String> {
     let mut value = input.clone();
     for stage in stages {
--- a/crates/fakes/src/settings.rs
+++ b/crates/fakes/src/settings.rs
@@ -1,4 +1,4 @@
-//! Runs many fakes in one process.
+//! Runs a host list and any number of fake targets in one process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -7,64 +7,68 @@
 
 use crate::{FakeHostList, FakeTarget, HostEntry, HostListBody, TargetBehaviour, TargetKind};
 
-/// Stand-ins for targets and the host list, for trying linnetdale out. Not for real work.
+/// Fake targets and a fake host list for trying out linnetdale. Not for production use.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "linnet-fakes", version)]
 pub struct FakeSettings {
-    /// Address of the host list, as IP:PORT
+    /// Listen address of the host list, as IP:PORT
     #[arg(long, env = "LINNET_FAKES_HOST_LIST")]
     pub host_list: SocketAddr,
     /// A target, as KIND:NAME:POOL:HALL:IP:PORT; KIND is stage, engine or service. Repeatable
     #[arg(long = "target", value_parser = parse_target)]
     pub targets: Vec<TargetSpec>,
-    /// Mean time of a request at each target, in milliseconds
+    /// Mean duration of a request at each target, in milliseconds
     #[arg(long, default_value_t = 2.0)]
     pub service_ms: f64,
     /// Time between two tokens of an engine, in milliseconds
     #[arg(long, default_value_t = 1.0)]
     pub token_ms: f64,
-    /// Requests that a target works on at one time
+    /// Requests that a target runs at the same time
     #[arg(long, default_value_t = 16)]
     pub slots: u32,
 }
 
-/// One target of the command line.
+/// One target from the command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetSpec {
-    /// What it stands in for.
+    /// The kind of target that it replaces.
     pub kind: TargetKind,
-    /// Its name.
+    /// The name of the target.
     pub name: String,
     /// Its pool.
     pub pool: String,
     /// Its data hall.
     pub hall: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
 fn parse_target(text: &str) -> Result<TargetSpec, String> {
     let mut parts = text.splitn(5, ':');
     let mut next = || parts.next().filter(|part| !part.is_empty());
-    let wrong = || "want KIND:NAME:POOL:HALL:IP:PORT".to_owned();
-    let kind = match next().ok_or_else(wrong)? {
+    let usage = || "expected KIND:NAME:POOL:HALL:IP:PORT".to_owned();
+    let kind = match next().ok_or_else(usage)? {
         "stage" => TargetKind::Stage,
         "engine" => TargetKind::Engine,
         "service" => TargetKind::Service,
-        other => return Err(format!("{other:?} is none of stage, engine, service")),
+        other => {
+            return Err(format!(
+                "unknown kind {other:?}; expected stage, engine or service"
+            ));
+        }
     };
     Ok(TargetSpec {
         kind,
-        name: next().ok_or_else(wrong)?.to_owned(),
-        pool: next().ok_or_else(wrong)?.to_owned(),
-        hall: next().ok_or_else(wrong)?.to_owned(),
+        name: next().ok_or_else(usage)?.to_owned(),
+        pool: next().ok_or_else(usage)?.to_owned(),
+        hall: next().ok_or_else(usage)?.to_owned(),
         address: next()
             .and_then(|address| address.parse().ok())
-            .ok_or_else(wrong)?,
+            .ok_or_else(usage)?,
     })
 }
 
-/// Runs the fakes until the process is ended; must run inside a tokio runtime.
+/// Runs the fakes until the process ends; must be called within a tokio runtime.
 pub async fn run_fakes(settings: FakeSettings) -> ExitCode {
     let behaviour = TargetBehaviour {
         service_ms: settings.service_ms,
@@ -77,7 +81,7 @@
         let target = FakeTarget::new(spec.kind, &spec.name, behaviour);
         if let Err(error) = target.spawn(spec.address).await {
             eprintln!(
-                "target {} cannot listen on {}: {error}",
+                "cannot start target {} on {}: {error}",
                 spec.name, spec.address
             );
             return ExitCode::FAILURE;
@@ -96,13 +100,13 @@
     });
     if let Err(error) = list.spawn(settings.host_list).await {
         eprintln!(
-            "the host list cannot listen on {}: {error}",
+            "cannot start the host list on {}: {error}",
             settings.host_list
         );
         return ExitCode::FAILURE;
     }
     println!(
-        "fakes: {} targets, host list on {}",
+        "serving {} fake targets, and the host list on {}",
         settings.targets.len(),
         settings.host_list
     );
--- a/crates/fakes/src/target.rs
+++ b/crates/fakes/src/target.rs
@@ -1,4 +1,4 @@
-//! A fake stage pool, model engine or plain service.
+//! A fake stage target, model engine or plain service.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,24 +13,24 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-use crate::http::{chunk, chunked_head, fixed_length_response};
+use crate::http::{chunked_response_head, encode_chunk, fixed_length_response};
 use crate::response::{engine_tokens, stage_output};
 use crate::{FakeRequest, FaultInjection, FaultKind, read_request};
 
-/// How much later a late answer comes.
-const LATE_BY: Duration = Duration::from_secs(1);
+/// The additional delay of a response with [`FaultKind::Late`].
+const LATE_RESPONSE_DELAY: Duration = Duration::from_secs(1);
 
-/// How long a frozen request is held before its connection is closed.
-const FREEZE_FOR: Duration = Duration::from_secs(600);
+/// The time after which the connection of a request with [`FaultKind::Freeze`] is closed.
+const FREEZE_DURATION: Duration = Duration::from_secs(600);
 
-/// Tokens that an engine sends before it cuts a stream.
+/// The number of tokens that an engine sends before [`FaultKind::CutStream`] closes the stream.
 const TOKENS_BEFORE_CUT: usize = 2;
 
-/// What a fake target stands in for.
+/// The kind of target that a fake replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
-    /// A pool of encoders, retrievers or rerankers.
+    /// A stage target, such as an encoder, retriever or reranker.
     Stage,
     /// A model engine that streams tokens.
     Engine,
@@ -38,18 +38,18 @@
     Service,
 }
 
-/// How fast a fake target is.
+/// The speed and capacity of a fake target.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct TargetBehaviour {
-    /// The mean time of a request, in milliseconds; for an engine, up to the first token.
+    /// The mean duration of a request, in milliseconds; for an engine, until the first token.
     pub service_ms: f64,
     /// The time between two tokens, in milliseconds.
     pub token_ms: f64,
-    /// Requests that are worked on at one time; more wait inside the target.
+    /// The number of requests that run at the same time; further ones wait in the target.
     pub slots: u32,
-    /// How much each request beside it slows a request, as a share.
+    /// The fraction by which each other running request prolongs a request.
     pub batch_cost: f64,
-    /// The share of the time that is drawn by chance, exponentially.
+    /// The fraction of the duration that is random, with an exponential distribution.
     pub spread: f64,
 }
 
@@ -68,11 +68,11 @@
 /// One run of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The attempt, as the caller of the target named it.
+    /// The attempt id that the request states.
     pub attempt: String,
-    /// The `marker` of the input, or the path of a call.
+    /// The `marker` of the input, or the path of the request if the input has none.
     pub marker: String,
-    /// How long it held its slot, in microseconds; 0 while it runs.
+    /// How long the run occupied its slot, in microseconds; 0 while it runs.
     pub held_us: u64,
 }
 
@@ -108,17 +108,17 @@
         }
     }
 
-    /// Orders faults.
-    pub fn inject_fault(&self, order: FaultInjection) {
-        self.lock().fault = (order.count > 0).then_some(order);
+    /// Injects a fault into the next requests, in place of any fault that is active.
+    pub fn inject_fault(&self, injection: FaultInjection) {
+        self.lock().fault = (injection.count > 0).then_some(injection);
     }
 
-    /// Changes how fast the target is, slots aside.
+    /// Changes the speed of the target, but not the number of requests that run at the same time.
     pub fn set_behaviour(&self, behaviour: TargetBehaviour) {
         self.lock().behaviour = behaviour;
     }
 
-    /// Returns every run so far.
+    /// Returns the records of all runs so far.
     pub fn ledger(&self) -> Vec<RunRecord> {
         self.lock().ledger.clone()
     }
@@ -134,11 +134,11 @@
         }
     }
 
-    /// Binds an address and serves it on this runtime; returns the address.
+    /// Binds an address, serves the target on this runtime and returns the bound address.
     ///
     /// # Errors
     ///
-    /// The socket's error.
+    /// Returns the error of the socket.
     pub async fn spawn(self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(address).await?;
         let bound = listener.local_addr()?;
@@ -154,7 +154,7 @@
                 return Ok(());
             }
             if self.next_fault_is(FaultKind::CloseBefore) {
-                self.take_fault();
+                self.consume_fault();
                 return Ok(());
             }
             let Some(request) = read_request(&mut socket, &mut buffer).await? else {
@@ -167,52 +167,52 @@
                     socket.write_all(&bytes).await?;
                 }
                 ("POST", "/control") => {
-                    let answer = self.take_order(&request.body);
-                    socket.write_all(&answer).await?;
+                    let response = self.apply_control_request(&request.body);
+                    socket.write_all(&response).await?;
                 }
                 _ => {
                     let (mut incoming, mut outgoing) = socket.split();
-                    // A caller that closes its connection lets the slot go, as engines do.
+                    // Like engines, a fake frees the slot when the client closes the connection.
                     tokio::select! {
-                        open = self.answer(&mut outgoing, &request) => {
-                            if !open? {
+                        keep_open = self.respond(&mut outgoing, &request) => {
+                            if !keep_open? {
                                 return Ok(());
                             }
                         }
-                        () = until_closed(&mut incoming, &mut buffer) => return Ok(()),
+                        () = wait_until_closed(&mut incoming, &mut buffer) => return Ok(()),
                     }
                 }
             }
         }
     }
 
-    fn take_order(&self, body: &[u8]) -> Vec<u8> {
-        if let Ok(order) = serde_json::from_slice::<FaultInjection>(body) {
-            self.inject_fault(order);
+    fn apply_control_request(&self, body: &[u8]) -> Vec<u8> {
+        if let Ok(injection) = serde_json::from_slice::<FaultInjection>(body) {
+            self.inject_fault(injection);
         } else if let Ok(behaviour) = serde_json::from_slice::<TargetBehaviour>(body) {
             self.set_behaviour(behaviour);
         } else {
-            return fixed_length_response(400, &[], b"neither a fault order nor a behaviour\n");
+            return fixed_length_response(400, &[], b"expected a fault injection or a behaviour\n");
         }
         fixed_length_response(200, &[], b"ok\n")
     }
 
-    /// Answers one request; false when the connection is to be closed.
-    async fn answer(&self, socket: &mut WriteHalf<'_>, request: &FakeRequest) -> io::Result<bool> {
-        let fault = self.take_fault();
+    /// Responds to one request; returns whether to keep the connection open.
+    async fn respond(&self, socket: &mut WriteHalf<'_>, request: &FakeRequest) -> io::Result<bool> {
+        let fault = self.consume_fault();
         let attempt = request.header("x-attempt-id").to_owned();
-        let shown = if fault == Some(FaultKind::Foreign) {
+        let response_attempt = if fault == Some(FaultKind::Foreign) {
             "somebody-else/0/0".to_owned()
         } else {
             attempt.clone()
         };
-        if let Some(refusal) = refusal_of(fault, &shown) {
+        if let Some(refusal) = refusal_response(fault, &response_attempt) {
             socket.write_all(&refusal).await?;
             return Ok(true);
         }
         let input: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
-        // Another attempt's answer is the answer to another input.
-        let answered = match fault {
+        // A foreign response also has the result of another input.
+        let response_input = match fault {
             Some(FaultKind::Foreign) => {
                 json!({ "stage": "foreign", "input": { "marker": "somebody-else" } })
             }
@@ -222,10 +222,10 @@
         match fault {
             Some(FaultKind::CloseAfterRun) => return Ok(false),
             Some(FaultKind::Freeze) => {
-                sleep(FREEZE_FOR).await;
+                sleep(FREEZE_DURATION).await;
                 return Ok(false);
             }
-            Some(FaultKind::Late) => sleep(LATE_BY).await,
+            Some(FaultKind::Late) => sleep(LATE_RESPONSE_DELAY).await,
             Some(FaultKind::Garbage) => {
                 socket
                     .write_all(b"\x00\x01 this is no http\r\n\r\n")
@@ -233,42 +233,52 @@
                 return Ok(false);
             }
             Some(FaultKind::Error) => {
-                let bytes = fixed_length_response(500, &[("x-attempt-id", &shown)], b"{}");
+                let bytes =
+                    fixed_length_response(500, &[("x-attempt-id", &response_attempt)], b"{}");
                 socket.write_all(&bytes).await?;
                 return Ok(true);
             }
             _ => {}
         }
         match self.kind {
-            TargetKind::Engine => self.stream_tokens(socket, &shown, &answered, fault).await,
+            TargetKind::Engine => {
+                self.stream_tokens(socket, &response_attempt, &response_input, fault)
+                    .await
+            }
             TargetKind::Stage => {
-                let inner = answered.get("input").cloned().unwrap_or(Value::Null);
-                let stage = answered
+                let inner = response_input.get("input").cloned().unwrap_or(Value::Null);
+                let stage = response_input
                     .get("stage")
                     .and_then(Value::as_str)
                     .unwrap_or_default();
                 let body = json!({ "output": stage_output(stage, &inner) });
-                self.send_body(socket, &shown, body.to_string().as_bytes(), fault)
-                    .await
+                self.send_body(
+                    socket,
+                    &response_attempt,
+                    body.to_string().as_bytes(),
+                    fault,
+                )
+                .await
             }
             TargetKind::Service => {
                 let text = format!("{} {} {}", request.method, request.path, self.name);
                 let mut body = text.into_bytes();
                 body.push(b'\n');
                 body.extend_from_slice(&request.body);
-                self.send_body(socket, &shown, &body, fault).await
+                self.send_body(socket, &response_attempt, &body, fault)
+                    .await
             }
         }
     }
 
-    /// Waits for a slot, notes the run and works for its time.
+    /// Waits for a slot, records the run and sleeps for its duration.
     async fn begin_run(&self, attempt: &str, input: &Value, request: &FakeRequest) -> RunGuard {
         let slot = self.slots.clone().acquire_owned().await.ok();
         let marker = input
             .pointer("/input/marker")
             .and_then(Value::as_str)
             .unwrap_or(request.path.as_str());
-        let (wait, place) = {
+        let (duration, index) = {
             let mut state = self.lock();
             state.running += 1;
             state.ledger.push(RunRecord {
@@ -276,17 +286,17 @@
                 marker: marker.to_owned(),
                 held_us: 0,
             });
-            let place = state.ledger.len() - 1;
-            (draw_time(&state.behaviour, state.running), place)
+            let index = state.ledger.len() - 1;
+            (sample_duration(&state.behaviour, state.running), index)
         };
         let guard = RunGuard {
             state: self.state.clone(),
-            place,
-            since: Instant::now(),
+            index,
+            started: Instant::now(),
             _slot: slot,
         };
-        if wait > Duration::ZERO {
-            sleep(wait).await;
+        if duration > Duration::ZERO {
+            sleep(duration).await;
         }
         guard
     }
@@ -309,21 +319,21 @@
             ("x-load-in-flight", &running),
             ("x-load-slots", &slots),
         ];
-        let mut answer = fixed_length_response(200, &headers, body);
+        let mut response = fixed_length_response(200, &headers, body);
         match fault {
             Some(FaultKind::Short) => {
-                answer.truncate(answer.len() - body.len().div_ceil(2));
-                socket.write_all(&answer).await?;
+                response.truncate(response.len() - body.len().div_ceil(2));
+                socket.write_all(&response).await?;
                 Ok(false)
             }
             Some(FaultKind::Twice) => {
-                let again = answer.clone();
-                answer.extend(again);
-                socket.write_all(&answer).await?;
+                let copy = response.clone();
+                response.extend(copy);
+                socket.write_all(&response).await?;
                 Ok(true)
             }
             _ => {
-                socket.write_all(&answer).await?;
+                socket.write_all(&response).await?;
                 Ok(true)
             }
         }
@@ -348,7 +358,7 @@
             ("x-load-in-flight", &running),
             ("x-load-slots", &slots),
         ];
-        socket.write_all(&chunked_head(&headers)).await?;
+        socket.write_all(&chunked_response_head(&headers)).await?;
         let token_ms = self.lock().behaviour.token_ms;
         for (index, token) in tokens.iter().enumerate().skip(resume_from) {
             let sent = index - resume_from;
@@ -365,9 +375,9 @@
                 "{}\n",
                 json!({ "attempt": attempt, "index": index, "token": token })
             );
-            socket.write_all(&chunk(line.as_bytes())).await?;
+            socket.write_all(&encode_chunk(line.as_bytes())).await?;
             if fault == Some(FaultKind::DoubleToken) && sent == 1 {
-                socket.write_all(&chunk(line.as_bytes())).await?;
+                socket.write_all(&encode_chunk(line.as_bytes())).await?;
             }
         }
         if fault != Some(FaultKind::NoEndMark) {
@@ -376,9 +386,9 @@
                 "{}\n",
                 json!({ "attempt": attempt, "end": true, "count": count })
             );
-            socket.write_all(&chunk(line.as_bytes())).await?;
+            socket.write_all(&encode_chunk(line.as_bytes())).await?;
         }
-        socket.write_all(&chunk(b"")).await?;
+        socket.write_all(&encode_chunk(b"")).await?;
         Ok(true)
     }
 
@@ -388,15 +398,17 @@
     }
 
     fn next_fault_is(&self, kind: FaultKind) -> bool {
-        self.lock().fault.is_some_and(|order| order.kind == kind)
+        self.lock()
+            .fault
+            .is_some_and(|injection| injection.kind == kind)
     }
 
-    fn take_fault(&self) -> Option<FaultKind> {
+    fn consume_fault(&self) -> Option<FaultKind> {
         let mut state = self.lock();
-        let order = state.fault.as_mut()?;
-        let kind = order.kind;
-        order.count -= 1;
-        if order.count == 0 {
+        let injection = state.fault.as_mut()?;
+        let kind = injection.kind;
+        injection.count -= 1;
+        if injection.count == 0 {
             state.fault = None;
         }
         Some(kind)
@@ -407,11 +419,11 @@
     }
 }
 
-/// Counts a run as running until it is dropped.
+/// Counts a run as running and, when dropped, records how long it occupied its slot.
 struct RunGuard {
     state: Arc<Mutex<TargetState>>,
-    place: usize,
-    since: Instant,
+    index: usize,
+    started: Instant,
     _slot: Option<tokio::sync::OwnedSemaphorePermit>,
 }
 
@@ -419,14 +431,14 @@
     fn drop(&mut self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.running -= 1;
-        let held = self.since.elapsed().as_micros() as u64;
-        if let Some(run) = state.ledger.get_mut(self.place) {
-            run.held_us = held.max(1);
+        let held_us = self.started.elapsed().as_micros() as u64;
+        if let Some(run) = state.ledger.get_mut(self.index) {
+            run.held_us = held_us.max(1);
         }
     }
 }
 
-async fn until_closed(incoming: &mut ReadHalf<'_>, buffer: &mut Vec<u8>) {
+async fn wait_until_closed(incoming: &mut ReadHalf<'_>, buffer: &mut Vec<u8>) {
     while incoming
         .read_buf(buffer)
         .await
@@ -434,7 +446,7 @@
     {}
 }
 
-fn refusal_of(fault: Option<FaultKind>, attempt: &str) -> Option<Vec<u8>> {
+fn refusal_response(fault: Option<FaultKind>, attempt: &str) -> Option<Vec<u8>> {
     let mut headers = vec![("x-attempt-id", attempt), ("x-not-run", "yes")];
     match fault {
         Some(FaultKind::Busy) => {}
@@ -444,10 +456,10 @@
     Some(fixed_length_response(503, &headers, b"{}"))
 }
 
-fn draw_time(behaviour: &TargetBehaviour, running: u32) -> Duration {
-    let beside = f64::from(running.saturating_sub(1));
-    let mean = behaviour.service_ms * (1.0 + behaviour.batch_cost * beside);
-    let chance = -(1.0 - fastrand::f64()).ln();
-    let drawn = mean * (1.0 - behaviour.spread) + mean * behaviour.spread * chance;
-    Duration::from_secs_f64(drawn / 1_000.0)
+fn sample_duration(behaviour: &TargetBehaviour, running: u32) -> Duration {
+    let others = f64::from(running.saturating_sub(1));
+    let mean = behaviour.service_ms * (1.0 + behaviour.batch_cost * others);
+    let exponential = -(1.0 - fastrand::f64()).ln();
+    let duration_ms = mean * (1.0 - behaviour.spread) + mean * behaviour.spread * exponential;
+    Duration::from_secs_f64(duration_ms / 1_000.0)
 }
