--- a/crates/load/src/arrival.rs
+++ b/crates/load/src/arrival.rs
@@ -1,30 +1,33 @@
-//! Who asks what and when: Poisson arrivals, seeded, the same for every policy.
+//! Generates the requests of a run: seeded Poisson arrivals, identical for every policy.
 
 use std::time::Duration;
 
 use crate::Scenario;
 
-/// Shares of the load by account, as both users have them: a few large, some small.
+/// Shares of the load by account: few large accounts and some small ones, as the two users of the
+/// project have them.
 pub(crate) const ACCOUNT_SHARES: [f64; 5] = [0.40, 0.25, 0.15, 0.12, 0.08];
 
 /// Weights of the accounts in the table.
 pub(crate) const ACCOUNT_WEIGHTS: [u32; 5] = [40, 25, 15, 12, 8];
 
-/// Share of requests that go to the retrieval pipeline, which has no generation.
+/// The fraction of requests that go to the retrieval pipeline, which has no generation stage.
 const SEARCH_SHARE: f64 = 0.15;
 
-/// Deadlines by pipeline, in milliseconds.
+/// The deadline of all pipelines other than `report`.
 pub(crate) const DEFAULT_DEADLINE_MS: u64 = 2_000;
+/// The deadline of the pipeline `report`.
 pub(crate) const REPORT_DEADLINE_MS: u64 = 8_000;
 
-/// Tokens of an answer and of a long report.
+/// The number of tokens of a response of all pipelines other than `report`.
 pub(crate) const DEFAULT_TOKENS: u64 = 20;
+/// The number of tokens of a long report.
 pub(crate) const REPORT_TOKENS: u64 = 200;
 
-/// One request that is to be sent.
+/// One request to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When, from the beginning of the run.
+    /// The time from the start of the run until the request is sent.
     pub at: Duration,
     /// The number of the account.
     pub account: usize,
@@ -32,22 +35,22 @@
     pub pipeline: &'static str,
     /// The deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Tokens that are asked for.
+    /// The number of requested tokens.
     pub tokens: u64,
-    /// Names the request in the ledgers.
+    /// Identifies the request in the ledgers of the targets.
     pub marker: String,
 }
 
-/// Draws the arrivals of a run. Up to `warm` the load is calm, so that what is learned is learned
-/// before the scenario begins.
+/// Generates the arrivals of a run. During the warm-up the load is moderate, so that the hosts have
+/// estimates before the scenario begins.
 pub fn generate_arrivals(
     scenario: &Scenario,
-    capacity: f64,
-    warm: Duration,
+    capacity_per_s: f64,
+    warm_up: Duration,
     measured: Duration,
     seed: u64,
 ) -> Vec<Arrival> {
-    let mut chance = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let mut arrivals = Vec::new();
     for (account, share) in ACCOUNT_SHARES.iter().enumerate() {
         let burst = match scenario.burst {
@@ -59,23 +62,23 @@
             ("search", SEARCH_SHARE, scenario.search_factor),
             ("report", scenario.report_share, 1.0),
         ];
-        for (pipeline, part, factor) in flows {
-            let rate = capacity * share * part;
-            let calm = rate * scenario.load.min(0.6);
-            let full = rate * scenario.load * burst * factor;
+        for (pipeline, fraction, factor) in flows {
+            let base_rate = capacity_per_s * share * fraction;
+            let warm_up_rate = base_rate * scenario.load.min(0.6);
+            let measured_rate = base_rate * scenario.load * burst * factor;
             generate_flow(
-                &mut chance,
-                calm,
+                &mut rng,
+                warm_up_rate,
                 Duration::ZERO,
-                warm,
+                warm_up,
                 account,
                 pipeline,
                 &mut arrivals,
             );
             generate_flow(
-                &mut chance,
-                full,
-                warm,
+                &mut rng,
+                measured_rate,
+                warm_up,
                 measured,
                 account,
                 pipeline,
@@ -91,9 +94,9 @@
 }
 
 fn generate_flow(
-    chance: &mut fastrand::Rng,
+    rng: &mut fastrand::Rng,
     rate: f64,
-    from: Duration,
+    start: Duration,
     length: Duration,
     account: usize,
     pipeline: &'static str,
@@ -104,21 +107,21 @@
     }
     let mut at = 0.0;
     loop {
-        at += -(1.0 - chance.f64()).ln() / rate;
+        at += -(1.0 - rng.f64()).ln() / rate;
         if at >= length.as_secs_f64() {
             return;
         }
-        let report = pipeline == "report";
+        let is_report = pipeline == "report";
         arrivals.push(Arrival {
-            at: from + Duration::from_secs_f64(at),
+            at: start + Duration::from_secs_f64(at),
             account,
             pipeline,
-            deadline_ms: if report {
+            deadline_ms: if is_report {
                 REPORT_DEADLINE_MS
             } else {
                 DEFAULT_DEADLINE_MS
             },
-            tokens: if report {
+            tokens: if is_report {
                 REPORT_TOKENS
             } else {
                 DEFAULT_TOKENS
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -1,4 +1,4 @@
-//! Sends the requests of a run at their times, whatever the system does.
+//! Sends the requests of a run at their scheduled times, independent of earlier responses.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,41 +11,41 @@
 use crate::Arrival;
 use crate::testbed::account_key;
 
-/// Threads that send.
+/// The number of threads that send requests.
 const SENDER_THREADS: usize = 2;
 
-/// How long past its deadline an answer is waited for.
-const GRACE: Duration = Duration::from_secs(3);
+/// How long to wait for a response after the deadline of its request.
+const RESPONSE_GRACE_PERIOD: Duration = Duration::from_secs(3);
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallerOutcome {
-    /// The whole answer within the deadline.
+    /// A complete response arrived within the deadline.
     Complete,
-    /// The whole answer, too late.
+    /// A complete response arrived after the deadline.
     Late,
-    /// Refused: nothing ran.
+    /// The request was refused, and no stage ran.
     Refused,
-    /// An error after something ran, or no answer.
+    /// An error after a stage may have run, or no response.
     Failed,
 }
 
-/// One request with what became of it.
+/// A request that was sent, and its outcome.
 #[derive(Debug, Clone)]
 pub(crate) struct SentRequest {
     pub(crate) arrival: Arrival,
     pub(crate) outcome: CallerOutcome,
     pub(crate) elapsed: Duration,
-    /// Code and step of an error, or an empty string.
+    /// Code and step of an error response, or the connection error; empty without an error.
     pub(crate) detail: String,
 }
 
-/// Sends every arrival, spread over the hosts, each on a connection of its own, and returns what
-/// became of each.
+/// Sends all requests, distributed over the hosts and each on a new connection, and returns their
+/// outcomes.
 pub(crate) fn send_arrivals(
     hosts: &[SocketAddr],
     arrivals: Vec<Arrival>,
-    begin: Instant,
+    run_start: Instant,
 ) -> io::Result<Vec<SentRequest>> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(SENDER_THREADS)
@@ -55,7 +55,7 @@
     runtime.block_on(async move {
         let mut tasks = Vec::with_capacity(arrivals.len());
         for (number, arrival) in arrivals.into_iter().enumerate() {
-            tokio::time::sleep_until((begin + arrival.at).into()).await;
+            tokio::time::sleep_until((run_start + arrival.at).into()).await;
             let host = hosts[number % hosts.len()];
             tasks.push(tokio::spawn(send_one(host, arrival)));
         }
@@ -70,18 +70,22 @@
 async fn send_one(host: SocketAddr, arrival: Arrival) -> SentRequest {
     let started = Instant::now();
     let deadline = Duration::from_millis(arrival.deadline_ms);
-    let answer = tokio::time::timeout(deadline + GRACE, ask(host, &arrival)).await;
+    let response = tokio::time::timeout(
+        deadline + RESPONSE_GRACE_PERIOD,
+        send_request(host, &arrival),
+    )
+    .await;
     let elapsed = started.elapsed();
-    let (outcome, detail) = match answer {
+    let (outcome, detail) = match response {
         Ok(Ok((CallerOutcome::Complete, detail))) if elapsed > deadline => {
             (CallerOutcome::Late, detail)
         }
-        Ok(Ok(answered)) => answered,
+        Ok(Ok(outcome)) => outcome,
         Ok(Err(error)) => (
             CallerOutcome::Failed,
             format!("connection: {}", error.kind()),
         ),
-        Err(_) => (CallerOutcome::Failed, "no answer".to_owned()),
+        Err(_) => (CallerOutcome::Failed, "no response".to_owned()),
     };
     SentRequest {
         arrival,
@@ -91,8 +95,8 @@
     }
 }
 
-/// Sends one request and reads its answer to the end.
-async fn ask(host: SocketAddr, arrival: &Arrival) -> io::Result<(CallerOutcome, String)> {
+/// Sends one request, reads the response to its end and returns outcome and error detail.
+async fn send_request(host: SocketAddr, arrival: &Arrival) -> io::Result<(CallerOutcome, String)> {
     let input = json!({ "marker": arrival.marker, "tokens": arrival.tokens }).to_string();
     let request = format!(
         "POST /v1/pipelines/{} HTTP/1.1\r\nhost: load\r\nconnection: close\r\nauthorization: Bearer {}\r\nx-deadline-ms: {}\r\ncontent-length: {}\r\n\r\n{input}",
@@ -104,14 +108,14 @@
     let mut socket = TcpStream::connect(host).await?;
     socket.set_nodelay(true)?;
     socket.write_all(request.as_bytes()).await?;
-    let mut answer = Vec::new();
-    socket.read_to_end(&mut answer).await?;
-    Ok(judge_answer(&String::from_utf8_lossy(&answer)))
+    let mut response = Vec::new();
+    socket.read_to_end(&mut response).await?;
+    Ok(classify_response(&String::from_utf8_lossy(&response)))
 }
 
-/// Says what an answer means. Chunk sizes between the lines of a stream do no harm, since only
-/// lines that are JSON count.
-fn judge_answer(text: &str) -> (CallerOutcome, String) {
+/// Returns the outcome and the error detail of a response. Chunk sizes between the lines of a
+/// stream are ignored, because only lines that are JSON are parsed.
+fn classify_response(text: &str) -> (CallerOutcome, String) {
     let status = text.split_whitespace().nth(1).unwrap_or_default();
     if status == "200" && (text.contains("\"end\":true") || text.contains("\"output\":")) {
         return (CallerOutcome::Complete, String::new());
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,9 +1,12 @@
-//! An open-loop load program: seeded arrivals against real entry hosts and fake targets.
+//! An open-loop load generator: seeded arrivals at real entry hosts with fake targets.
 //!
-//! - [`LoadSettings`] are its arguments; [`run_load`] runs it.
-//! - `scenario` says what befalls the system, `arrival` who asks when, `testbed` what stands behind.
-//! - `driver` sends the requests; `score` compares what callers got with what targets spent.
-//! - `report` writes CSV and a picture; `rate` measures what an entry host adds and carries.
+//! - [`LoadSettings`] are the command-line arguments; [`run_load`] runs the program.
+//! - `scenario` defines load and faults, `arrival` generates the requests, `testbed` starts the
+//!   system under test.
+//! - `driver` sends the requests; `score` computes the share answered in time and the target time
+//!   spent.
+//! - `report` writes a CSV file and a chart; `rate` measures the latency that an entry host adds
+//!   and its throughput.
 
 mod arrival;
 mod driver;
--- a/crates/load/src/rate.rs
+++ b/crates/load/src/rate.rs
@@ -1,4 +1,4 @@
-//! What an entry host adds to a stage, and how much it carries.
+//! Measures the latency that an entry host adds to a stage, and its throughput.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,32 +13,37 @@
 
 use crate::Arrival;
 use crate::settings::RateArgs;
-use crate::testbed::{account_key, free_address, serve_table, start_entry, wait_ready, write_keys};
+use crate::testbed::{
+    account_key, reserve_address, serve_table, start_entry_host, wait_until_ready, write_peer_keys,
+};
 
-/// Requests in flight while the most that a host carries is measured.
-const BUSY_STREAMS: usize = 64;
+/// The number of concurrent requests in the throughput measurements.
+const CONCURRENT_REQUESTS: usize = 64;
 
-/// Tokens of a stream while tokens a second are measured.
+/// The number of tokens per response in the measurement of tokens per second.
 const STREAM_TOKENS: u64 = 500;
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// The maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// A client with one request after another on each of some tasks.
-struct RateRun {
-    times: Histogram<u64>,
-    whole: u64,
-    cpu: Duration,
+/// The results of one phase, in which each task sends one request after another.
+struct PhaseResult {
+    /// Durations of complete requests, in microseconds.
+    durations: Histogram<u64>,
+    /// The number of complete requests.
+    completed: u64,
+    /// Processor time that the process used.
+    cpu_time: Duration,
     elapsed: Duration,
 }
 
-/// Measures and prints.
+/// Measures latency and throughput, and prints the results.
 pub(crate) fn run_rate(args: &RateArgs) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let (ip, _claim) = free_address()?;
+    let (ip, _reservation) = reserve_address()?;
     let fast = TargetBehaviour {
         service_ms: 0.0,
         token_ms: 0.0,
@@ -69,117 +74,133 @@
         hosts,
     });
     let host_list = runtime.block_on(list.spawn(SocketAddr::new(ip, 0)))?;
-    let keys = write_keys(ip)?;
+    let keys = write_peer_keys(ip)?;
     let control = runtime.block_on(serve_table(ip, &keys))?;
-    let entry = start_entry(ip, 0, "linnetdale", host_list, control, &keys);
-    wait_ready(&[entry])?;
-    let direct = direct.ok_or_else(|| io::Error::other("no target"))?;
-    let length = Duration::from_secs(args.seconds);
+    let entry = start_entry_host(ip, 0, "linnetdale", host_list, control, &keys);
+    wait_until_ready(&[entry])?;
+    let direct = direct.ok_or_else(|| io::Error::other("no target was started"))?;
+    let phase_time = Duration::from_secs(args.seconds);
 
-    // Interleaved, so that a change of the machine's speed meets both.
+    // Both measurements alternate, so that changes in the speed of the machine affect both.
     let mut pairs = Vec::new();
     for _ in 0..3 {
-        let straight = run_part(direct, "direct", 1, 0, length / 3)?;
-        let through = run_part(entry, "one-stage", 1, 0, length / 3)?;
-        pairs.push((straight, through));
+        let direct_run = run_phase(direct, "direct", 1, 0, phase_time / 3)?;
+        let proxied_run = run_phase(entry, "one-stage", 1, 0, phase_time / 3)?;
+        pairs.push((direct_run, proxied_run));
     }
-    for (straight, through) in &pairs {
-        let at = |run: &RateRun, q: f64| run.times.value_at_quantile(q) as f64 / 1_000.0;
+    for (direct_run, proxied_run) in &pairs {
+        let quantile_ms = |run: &PhaseResult, quantile: f64| {
+            run.durations.value_at_quantile(quantile) as f64 / 1_000.0
+        };
         println!(
             "one stage: direct p50 {:.3} ms p99 {:.3} ms; through an entry host p50 {:.3} ms p99 {:.3} ms; added p50 {:.3} ms p99 {:.3} ms, ratio {:.2}",
-            at(straight, 0.5),
-            at(straight, 0.99),
-            at(through, 0.5),
-            at(through, 0.99),
-            at(through, 0.5) - at(straight, 0.5),
-            at(through, 0.99) - at(straight, 0.99),
-            at(through, 0.5) / at(straight, 0.5)
+            quantile_ms(direct_run, 0.5),
+            quantile_ms(direct_run, 0.99),
+            quantile_ms(proxied_run, 0.5),
+            quantile_ms(proxied_run, 0.99),
+            quantile_ms(proxied_run, 0.5) - quantile_ms(direct_run, 0.5),
+            quantile_ms(proxied_run, 0.99) - quantile_ms(direct_run, 0.99),
+            quantile_ms(proxied_run, 0.5) / quantile_ms(direct_run, 0.5)
         );
     }
-    let busy = run_part(entry, "one-stage", BUSY_STREAMS, 0, length)?;
-    print_busy("one stage, small bodies", &busy, busy.whole as f64);
-    let busy = run_part(entry, "yard-desk", BUSY_STREAMS, 1, length)?;
-    print_busy("four stages", &busy, busy.whole as f64);
-    let busy = run_part(entry, "yard-desk", BUSY_STREAMS, STREAM_TOKENS, length)?;
-    print_busy(
+    let result = run_phase(entry, "one-stage", CONCURRENT_REQUESTS, 0, phase_time)?;
+    print_throughput("one stage, small bodies", &result, result.completed as f64);
+    let result = run_phase(entry, "yard-desk", CONCURRENT_REQUESTS, 1, phase_time)?;
+    print_throughput("four stages", &result, result.completed as f64);
+    let result = run_phase(
+        entry,
+        "yard-desk",
+        CONCURRENT_REQUESTS,
+        STREAM_TOKENS,
+        phase_time,
+    )?;
+    print_throughput(
         "tokens of streams",
-        &busy,
-        (busy.whole * STREAM_TOKENS) as f64,
+        &result,
+        (result.completed * STREAM_TOKENS) as f64,
     );
     runtime.shutdown_background();
     Ok(())
 }
 
-fn print_busy(what: &str, run: &RateRun, count: f64) {
+fn print_throughput(what: &str, run: &PhaseResult, count: f64) {
     let seconds = run.elapsed.as_secs_f64();
     println!(
-        "{what}: {:.0} a second, {:.0} a second of processor time (entry host, targets and sender in one process)",
+        "{what}: {:.0} per second, {:.0} per second of processor time (entry host, targets and sender in one process)",
         count / seconds,
-        count / run.cpu.as_secs_f64()
+        count / run.cpu_time.as_secs_f64()
     );
 }
 
-fn run_part(
+fn run_phase(
     host: SocketAddr,
     pipeline: &'static str,
-    streams: usize,
+    concurrency: usize,
     tokens: u64,
-    length: Duration,
-) -> io::Result<RateRun> {
+    phase_time: Duration,
+) -> io::Result<PhaseResult> {
     let thread = std::thread::spawn(move || {
         let system = ntex::rt::System::new("rate", ntex::rt::DefaultRuntime);
-        system.block_on(run_streams(host, pipeline, streams, tokens, length))
+        system.block_on(send_concurrently(
+            host,
+            pipeline,
+            concurrency,
+            tokens,
+            phase_time,
+        ))
     });
     thread
         .join()
-        .map_err(|_| io::Error::other("the sender ended early"))?
+        .map_err(|_| io::Error::other("the sender thread of the phase panicked"))?
 }
 
-async fn run_streams(
+async fn send_concurrently(
     host: SocketAddr,
     pipeline: &'static str,
-    streams: usize,
+    concurrency: usize,
     tokens: u64,
-    length: Duration,
-) -> io::Result<RateRun> {
-    let connector = Connector::new().limit(BUSY_STREAMS * 2);
+    phase_time: Duration,
+) -> io::Result<PhaseResult> {
+    let connector = Connector::new().limit(CONCURRENT_REQUESTS * 2);
     let client = Client::builder()
         .connector::<()>(connector)
         .disable_timeout()
         .build(SharedCfg::new("rate"))
         .await
         .map_err(io::Error::other)?;
-    let (cpu, begin) = (process_time()?, Instant::now());
-    let tasks: Vec<_> = (0..streams)
+    let (cpu_start, started) = (process_cpu_time()?, Instant::now());
+    let tasks: Vec<_> = (0..concurrency)
         .map(|_| {
             let client = client.clone();
-            ntex::rt::spawn(async move { ask_again(&client, host, pipeline, tokens, length).await })
+            ntex::rt::spawn(async move {
+                send_repeatedly(&client, host, pipeline, tokens, phase_time).await
+            })
         })
         .collect();
-    let mut times = Histogram::<u64>::new(3).map_err(io::Error::other)?;
+    let mut durations = Histogram::<u64>::new(3).map_err(io::Error::other)?;
     for task in tasks {
-        let own = task
+        let task_durations = task
             .await
-            .map_err(|_| io::Error::other("a sender was cancelled"))?;
-        for micros in own {
-            // The histogram grows as it needs to, so recording cannot fail.
-            let _ = times.record(micros);
+            .map_err(|_| io::Error::other("a sender task was cancelled"))?;
+        for micros in task_durations {
+            // The histogram resizes automatically, so recording does not fail.
+            let _ = durations.record(micros);
         }
     }
-    Ok(RateRun {
-        whole: times.len(),
-        times,
-        cpu: process_time()? - cpu,
-        elapsed: begin.elapsed(),
+    Ok(PhaseResult {
+        completed: durations.len(),
+        durations,
+        cpu_time: process_cpu_time()? - cpu_start,
+        elapsed: started.elapsed(),
     })
 }
 
-async fn ask_again(
+async fn send_repeatedly(
     client: &Client,
     host: SocketAddr,
     pipeline: &'static str,
     tokens: u64,
-    length: Duration,
+    phase_time: Duration,
 ) -> Vec<u64> {
     let arrival = Arrival {
         at: Duration::ZERO,
@@ -189,23 +210,23 @@
         tokens,
         marker: "rate".to_owned(),
     };
-    let until = Instant::now() + length;
-    let mut times = Vec::new();
-    while Instant::now() < until {
+    let deadline = Instant::now() + phase_time;
+    let mut durations = Vec::new();
+    while Instant::now() < deadline {
         let started = Instant::now();
-        let whole = if pipeline == "direct" {
-            ask_target(client, host).await
+        let is_complete = if pipeline == "direct" {
+            send_to_target(client, host).await
         } else {
-            ask_entry(client, host, &arrival).await
+            send_to_entry_host(client, host, &arrival).await
         };
-        if whole {
-            times.push(started.elapsed().as_micros() as u64);
+        if is_complete {
+            durations.push(started.elapsed().as_micros() as u64);
         }
     }
-    times
+    durations
 }
 
-async fn ask_entry(client: &Client, host: SocketAddr, arrival: &Arrival) -> bool {
+async fn send_to_entry_host(client: &Client, host: SocketAddr, arrival: &Arrival) -> bool {
     let input = serde_json::json!({ "marker": arrival.marker, "tokens": arrival.tokens });
     let request = client
         .post(format!("http://{host}/v1/pipelines/{}", arrival.pipeline))
@@ -217,14 +238,14 @@
     let Ok(response) = request.send_json(&input).await else {
         return false;
     };
-    let Ok(body) = response.body().limit(MAX_ANSWER_BYTES).await else {
+    let Ok(body) = response.body().limit(MAX_RESPONSE_BYTES).await else {
         return false;
     };
     let text = String::from_utf8_lossy(&body);
     text.contains("\"end\":true") || text.contains("\"output\":")
 }
 
-async fn ask_target(client: &Client, host: SocketAddr) -> bool {
+async fn send_to_target(client: &Client, host: SocketAddr) -> bool {
     let body = serde_json::json!({ "stage": "encode", "input": { "marker": "rate", "tokens": 0 } });
     let request = client
         .post(format!("http://{host}/v1/stage"))
@@ -235,9 +256,9 @@
     }
 }
 
-/// Returns the processor time of this process so far.
-fn process_time() -> io::Result<Duration> {
-    const TICKS_A_SECOND: f64 = 100.0;
+/// Returns the processor time that this process has used so far.
+fn process_cpu_time() -> io::Result<Duration> {
+    const TICKS_PER_SECOND: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat")?;
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -252,6 +273,6 @@
             .unwrap_or(0.0)
     };
     Ok(Duration::from_secs_f64(
-        (ticks(11) + ticks(12)) / TICKS_A_SECOND,
+        (ticks(11) + ticks(12)) / TICKS_PER_SECOND,
     ))
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! Writes the results as CSV and as a picture.
+//! Writes the results as a CSV file and a bar chart.
 
 use std::fmt;
 use std::io;
@@ -39,6 +39,7 @@
     }
 }
 
+/// The columns of `policy.csv`.
 const COLUMNS: [&str; 20] = [
     "scenario",
     "policy",
@@ -62,13 +63,13 @@
     "refusal_p99_ms",
 ];
 
-/// Writes `policy.csv` and `policy.svg` into a folder.
-pub(crate) fn write_report(folder: &Path, rows: &[ScoreRow]) -> io::Result<()> {
-    let mut writer = csv::Writer::from_path(folder.join("policy.csv"))?;
+/// Writes `policy.csv` and `policy.svg` to a directory.
+pub(crate) fn write_report(directory: &Path, rows: &[ScoreRow]) -> io::Result<()> {
+    let mut writer = csv::Writer::from_path(directory.join("policy.csv"))?;
     writer.write_record(COLUMNS)?;
     for row in rows {
         let score = &row.score;
-        let stage = |name: &str| score.stage_cost.get(name).copied().unwrap_or(0.0);
+        let stage_cost = |name: &str| score.stage_cost_s.get(name).copied().unwrap_or(0.0);
         let figures = [
             score.attainment,
             score.attainment_without_burst,
@@ -80,10 +81,10 @@
             score.goodput_per_s,
             score.cost_s,
             score.wasted_s,
-            stage("encode"),
-            stage("retrieve"),
-            stage("rerank"),
-            stage("generate"),
+            stage_cost("encode"),
+            stage_cost("retrieve"),
+            stage_cost("rerank"),
+            stage_cost("generate"),
             score.p99_ms,
             score.refusal_p99_ms,
         ];
@@ -97,10 +98,11 @@
         writer.write_record(&record)?;
     }
     writer.flush()?;
-    draw_bars(&folder.join("policy.svg"), rows).map_err(|error| io::Error::other(error.to_string()))
+    draw_bars(&directory.join("policy.svg"), rows)
+        .map_err(|error| io::Error::other(error.to_string()))
 }
 
-/// Draws one bar a run: its length is the attainment.
+/// Draws one bar per run; its length is the attainment.
 fn draw_bars(path: &Path, rows: &[ScoreRow]) -> Result<(), Box<dyn std::error::Error>> {
     const ROW_HEIGHT: i32 = 16;
     const LABEL_WIDTH: i32 = 320;
@@ -112,8 +114,8 @@
     for (number, row) in rows.iter().enumerate() {
         let top = (number as i32 + 1) * ROW_HEIGHT;
         let length = (row.score.attainment * f64::from(BAR_WIDTH)) as i32;
-        let own = row.policy == "linnetdale";
-        let style = BLACK.mix(if own { 0.8 } else { 0.35 }).filled();
+        let is_linnetdale = row.policy == "linnetdale";
+        let style = BLACK.mix(if is_linnetdale { 0.8 } else { 0.35 }).filled();
         let corners = [
             (LABEL_WIDTH, top + 2),
             (LABEL_WIDTH + length, top + ROW_HEIGHT - 2),
--- a/crates/load/src/scenario.rs
+++ b/crates/load/src/scenario.rs
@@ -1,46 +1,46 @@
-//! What befalls the system during a run.
+//! Load and target faults of a run.
 
 use linnet_fakes::FaultKind;
 
-/// Something that happens to targets at the beginning of the measured time.
+/// A change to targets at the beginning of the measured time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ScenarioAction {
-    /// Targets of a stage get slower by a factor.
+    /// Slows down all targets of a stage by a factor.
     SlowStage {
         /// The stage.
         stage: &'static str,
-        /// How many times slower.
+        /// The factor by which the duration of a request grows.
         factor: f64,
     },
-    /// A share of the targets of a stage answers nothing any more.
+    /// Stops a share of the targets of a stage from responding.
     FreezeTargets {
         /// The stage.
         stage: &'static str,
-        /// The share, from 0 to 1.
+        /// The share of targets, from 0 to 1.
         share: f64,
     },
-    /// Every target of one hall answers nothing any more.
+    /// Stops all targets of one data hall from responding; holds the number of the hall.
     FreezeHall(usize),
 }
 
-/// A scenario: load by account and pipeline, and what happens.
+/// A scenario: the load by account and pipeline, and a change to targets.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: &'static str,
-    /// The load as a whole, as a share of what the bottleneck carries.
+    /// The total load, as a fraction of the capacity of the bottleneck stage.
     pub load: f64,
-    /// The account that asks for more than its share, with how many times as much.
+    /// The number of an account that exceeds its share of the load, and the factor by which it does.
     pub burst: Option<(usize, f64)>,
-    /// How many times more requests go to the retrieval pipeline.
+    /// The factor by which requests to the retrieval pipeline increase.
     pub search_factor: f64,
-    /// The share of requests that are long reports.
+    /// The fraction of requests that are long reports.
     pub report_share: f64,
-    /// What happens to targets.
+    /// The change to targets, if any.
     pub action: Option<ScenarioAction>,
 }
 
-/// The fault that a lost target shows.
+/// The fault that is injected into targets that stop responding.
 pub(crate) const LOST_TARGET_FAULT: FaultKind = FaultKind::Freeze;
 
 const CALM: Scenario = Scenario {
@@ -113,7 +113,7 @@
     ]
 }
 
-/// Finds a scenario by its name.
+/// Finds a scenario by name.
 pub fn find_scenario(name: &str) -> Option<Scenario> {
     all_scenarios()
         .into_iter()
--- a/crates/load/src/score.rs
+++ b/crates/load/src/score.rs
@@ -1,4 +1,4 @@
-//! What a run was worth: attainment, and cost by stage.
+//! Scores a run: the share of requests answered in time, and the target time spent by stage.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -9,44 +9,44 @@
 use crate::arrival::ACCOUNT_SHARES;
 use crate::driver::{CallerOutcome, SentRequest};
 
-/// The figures of one run.
+/// The results of one run.
 #[derive(Debug, Clone, Default)]
 pub struct RunScore {
-    /// Requests of the measured time.
+    /// The number of requests sent in the measured time.
     pub sent: usize,
-    /// Share answered whole within the deadline.
+    /// The share of requests with a complete response within the deadline.
     pub attainment: f64,
-    /// The same over the accounts that did not ask for more than their share.
+    /// The attainment over all accounts except the one that bursts.
     pub attainment_without_burst: f64,
-    /// The same for the account that fared worst among those.
+    /// The lowest attainment of these accounts.
     pub worst_account: f64,
-    /// Jain's index of the accounts' attainment.
+    /// Jain's index of the attainment of these accounts.
     pub fairness: f64,
-    /// Shares refused, late, and failed.
+    /// The share of requests that were refused.
     pub refused: f64,
-    /// Share late.
+    /// The share of requests with a complete response after the deadline.
     pub late: f64,
-    /// Share failed.
+    /// The share of requests that failed.
     pub failed: f64,
-    /// Whole answers a second within the deadline.
+    /// Complete responses within the deadline, per second.
     pub goodput_per_s: f64,
-    /// Target-seconds in all, and those spent on requests that were not answered in time.
+    /// Target time spent on all counted requests, in seconds.
     pub cost_s: f64,
-    /// Target-seconds spent on requests that were not answered in time.
+    /// Target time spent on requests without a complete response in time, in seconds.
     pub wasted_s: f64,
-    /// Target-seconds by stage.
-    pub stage_cost: BTreeMap<&'static str, f64>,
-    /// The time of whole answers, in milliseconds: half and 99 of 100 below.
+    /// Target time by stage, in seconds.
+    pub stage_cost_s: BTreeMap<&'static str, f64>,
+    /// The median duration of complete responses in time, in milliseconds.
     pub p50_ms: f64,
-    /// 99 of 100 below.
+    /// The 99th percentile of the duration of complete responses in time, in milliseconds.
     pub p99_ms: f64,
-    /// Errors by code and step.
+    /// The number of errors by code and step.
     pub errors: BTreeMap<String, usize>,
-    /// The longest time in which a refusal came, in milliseconds.
+    /// The 99th percentile of the time until a refusal, in milliseconds.
     pub refusal_p99_ms: f64,
 }
 
-/// Returns Jain's index of fairness: 1 where all are equal, 1/n where one has all.
+/// Returns Jain's fairness index: 1 if all shares are equal, 1/n if one of n has everything.
 pub fn jain_index(shares: &[f64]) -> f64 {
     let sum: f64 = shares.iter().sum();
     let squares: f64 = shares.iter().map(|share| share * share).sum();
@@ -56,101 +56,108 @@
     sum * sum / (shares.len() as f64 * squares)
 }
 
-/// Scores the requests that arrived after the warm time.
+/// Scores the requests that were sent after the warm-up. `run_times` has the stage, marker and
+/// microseconds of each run at a target.
 pub(crate) fn score_run(
     scenario: &Scenario,
     sent: &[SentRequest],
-    spent: &[(&'static str, String, u64)],
-    warm: Duration,
+    run_times: &[(&'static str, String, u64)],
+    warm_up: Duration,
     measured: Duration,
 ) -> RunScore {
-    let counted: Vec<&SentRequest> = sent.iter().filter(|one| one.arrival.at >= warm).collect();
-    let share = |outcome: CallerOutcome| ratio(&counted, |one| one.outcome == outcome);
-    let whole = |one: &SentRequest| one.outcome == CallerOutcome::Complete;
+    let counted: Vec<&SentRequest> = sent
+        .iter()
+        .filter(|request| request.arrival.at >= warm_up)
+        .collect();
+    let share = |outcome: CallerOutcome| ratio(&counted, |request| request.outcome == outcome);
+    let is_complete = |request: &SentRequest| request.outcome == CallerOutcome::Complete;
     let bursting = scenario.burst.map(|(account, _)| account);
     let by_account: Vec<f64> = (0..ACCOUNT_SHARES.len())
         .filter(|account| Some(*account) != bursting)
         .map(|account| {
             let own: Vec<_> = counted
                 .iter()
-                .filter(|one| one.arrival.account == account)
+                .filter(|request| request.arrival.account == account)
                 .copied()
                 .collect();
-            ratio(&own, whole)
+            ratio(&own, is_complete)
         })
         .collect();
-    let behaving: Vec<_> = counted
+    let without_burst: Vec<_> = counted
         .iter()
-        .filter(|one| Some(one.arrival.account) != bursting)
+        .filter(|request| Some(request.arrival.account) != bursting)
         .copied()
         .collect();
-    let wholes = counted.iter().filter(|one| whole(one)).count();
+    let completed = counted
+        .iter()
+        .filter(|request| is_complete(request))
+        .count();
     let mut score = RunScore {
         sent: counted.len(),
-        attainment: ratio(&counted, whole),
-        attainment_without_burst: ratio(&behaving, whole),
+        attainment: ratio(&counted, is_complete),
+        attainment_without_burst: ratio(&without_burst, is_complete),
         worst_account: by_account.iter().copied().fold(1.0, f64::min),
         fairness: jain_index(&by_account),
         refused: share(CallerOutcome::Refused),
         late: share(CallerOutcome::Late),
         failed: share(CallerOutcome::Failed),
-        goodput_per_s: wholes as f64 / measured.as_secs_f64(),
+        goodput_per_s: completed as f64 / measured.as_secs_f64(),
         ..RunScore::default()
     };
-    for one in counted.iter().filter(|one| !one.detail.is_empty()) {
-        *score.errors.entry(one.detail.clone()).or_default() += 1;
+    for request in counted.iter().filter(|request| !request.detail.is_empty()) {
+        *score.errors.entry(request.detail.clone()).or_default() += 1;
     }
-    add_costs(&mut score, &counted, spent);
-    add_times(&mut score, &counted);
+    add_costs(&mut score, &counted, run_times);
+    add_durations(&mut score, &counted);
     score
 }
 
-fn ratio(of: &[&SentRequest], holds: impl Fn(&SentRequest) -> bool) -> f64 {
-    if of.is_empty() {
+fn ratio(requests: &[&SentRequest], matches: impl Fn(&SentRequest) -> bool) -> f64 {
+    if requests.is_empty() {
         return 1.0;
     }
-    of.iter().filter(|one| holds(one)).count() as f64 / of.len() as f64
+    requests.iter().filter(|request| matches(request)).count() as f64 / requests.len() as f64
 }
 
 fn add_costs(
     score: &mut RunScore,
     counted: &[&SentRequest],
-    spent: &[(&'static str, String, u64)],
+    run_times: &[(&'static str, String, u64)],
 ) {
     let all: HashSet<&str> = counted
         .iter()
-        .map(|one| one.arrival.marker.as_str())
+        .map(|request| request.arrival.marker.as_str())
         .collect();
     let in_time: HashSet<&str> = counted
         .iter()
-        .filter(|one| one.outcome == CallerOutcome::Complete)
-        .map(|one| one.arrival.marker.as_str())
+        .filter(|request| request.outcome == CallerOutcome::Complete)
+        .map(|request| request.arrival.marker.as_str())
         .collect();
-    for (stage, marker, micros) in spent {
+    for (stage, marker, micros) in run_times {
         if !all.contains(marker.as_str()) {
             continue;
         }
         let seconds = *micros as f64 / 1e6;
         score.cost_s += seconds;
-        *score.stage_cost.entry(*stage).or_default() += seconds;
+        *score.stage_cost_s.entry(*stage).or_default() += seconds;
         if !in_time.contains(marker.as_str()) {
             score.wasted_s += seconds;
         }
     }
 }
 
-fn add_times(score: &mut RunScore, counted: &[&SentRequest]) {
-    let quantile = |outcome: CallerOutcome, at: f64| {
-        let Ok(mut times) = Histogram::<u64>::new(3) else {
+fn add_durations(score: &mut RunScore, counted: &[&SentRequest]) {
+    let quantile_ms = |outcome: CallerOutcome, quantile: f64| {
+        let Ok(mut durations) = Histogram::<u64>::new(3) else {
             return 0.0;
         };
-        for one in counted.iter().filter(|one| one.outcome == outcome) {
-            // The histogram grows as it needs to, so recording cannot fail.
-            let _ = times.record(one.elapsed.as_micros() as u64);
+        for request in counted.iter().filter(|request| request.outcome == outcome) {
+            // The histogram resizes automatically, so recording does not fail.
+            let _ = durations.record(request.elapsed.as_micros() as u64);
         }
-        times.value_at_quantile(at) as f64 / 1_000.0
+        durations.value_at_quantile(quantile) as f64 / 1_000.0
     };
-    score.p50_ms = quantile(CallerOutcome::Complete, 0.5);
-    score.p99_ms = quantile(CallerOutcome::Complete, 0.99);
-    score.refusal_p99_ms = quantile(CallerOutcome::Refused, 0.99);
+    score.p50_ms = quantile_ms(CallerOutcome::Complete, 0.5);
+    score.p99_ms = quantile_ms(CallerOutcome::Complete, 0.99);
+    score.refusal_p99_ms = quantile_ms(CallerOutcome::Refused, 0.99);
 }
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -1,50 +1,50 @@
-//! Arguments of the load program.
+//! Command-line arguments of the load generator.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
 
-/// Loads entry hosts and measures what callers get. For measuring, not for real targets.
+/// Generates load on entry hosts with fake targets and measures the responses.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "linnet-load", version)]
 pub struct LoadSettings {
-    /// What to measure
+    /// The measurement to run
     #[command(subcommand)]
     command: LoadCommand,
 }
 
 #[derive(Debug, Clone, Subcommand)]
 enum LoadCommand {
-    /// Run policies over the same seeded scenarios, interleaved
+    /// Compare dispatch policies on the same seeded scenarios, in interleaved runs
     Policy(PolicyArgs),
-    /// Measure what an entry host adds to a stage, and how much it carries
+    /// Measure the latency that an entry host adds to a stage, and its throughput
     Rate(RateArgs),
 }
 
 /// Arguments of `policy`.
 #[derive(Debug, Clone, Args)]
 pub(crate) struct PolicyArgs {
-    /// Folder for the results
+    /// Directory for the results
     #[arg(long)]
     pub(crate) out: PathBuf,
-    /// Scenarios, parted by commas; all of them where none is named
+    /// Scenarios, separated by commas; default: all
     #[arg(long, value_delimiter = ',')]
     pub(crate) scenarios: Vec<String>,
-    /// Policies, parted by commas
+    /// Policies, separated by commas
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "linnetdale,random,least-in-flight,fifo"
     )]
     pub(crate) policies: Vec<String>,
-    /// Measured seconds of each run; half as many go before it, unmeasured
+    /// Measured seconds of each run, after a warm-up of half that time
     #[arg(long, default_value_t = 6)]
     pub(crate) seconds: u64,
-    /// Seed of arrivals
+    /// Seed of the arrivals in the first round; each further round adds 1
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Rounds over all scenarios and policies
+    /// Number of rounds over all scenarios and policies
     #[arg(long, default_value_t = 1)]
     pub(crate) rounds: u64,
 }
@@ -52,12 +52,12 @@
 /// Arguments of `rate`.
 #[derive(Debug, Clone, Args)]
 pub(crate) struct RateArgs {
-    /// Measured seconds of each part
+    /// Measured seconds of each phase
     #[arg(long, default_value_t = 4)]
     pub(crate) seconds: u64,
 }
 
-/// Runs one measurement; starts threads with runtimes of their own.
+/// Runs one measurement; the threads that it starts have their own runtimes.
 pub fn run_load(settings: LoadSettings) -> ExitCode {
     let result = match settings.command {
         LoadCommand::Policy(args) => crate::policy::run_policies(&args),
--- a/crates/load/src/testbed.rs
+++ b/crates/load/src/testbed.rs
@@ -1,4 +1,5 @@
-//! Real entry hosts on threads of this process, fake targets, and a feed that serves the table.
+//! Runs real entry hosts on threads of this process, with fake targets and a feed that serves the
+//! table.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -20,12 +21,16 @@
 use crate::scenario::LOST_TARGET_FAULT;
 use crate::{Scenario, ScenarioAction};
 
-/// Halls, and entry hosts in them.
-pub(crate) const HALLS: usize = 3;
+/// The number of data halls, each with one entry host.
+pub(crate) const HALL_COUNT: usize = 3;
 
+/// How long to wait until all entry hosts are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The targets of one stage.
+/// The port that a run binds to reserve its loopback address.
+const RESERVATION_PORT: u16 = 6998;
+
+/// The number and behaviour of the targets of one stage.
 struct StagePlan {
     kind: TargetKind,
     stage: &'static str,
@@ -74,20 +79,21 @@
     ]
 }
 
-/// Requests a second of the calm mix that generation, the bottleneck, carries: 20 replicas of 2
-/// slots, about 140 ms a request, 85 in 100 requests generate.
-pub(crate) const CAPACITY: f64 = 340.0;
+/// Requests per second, in the mix of the `calm` scenario, that generation, the bottleneck, can
+/// serve: 20 replicas with 2 slots, about 140 ms per request, 85 of 100 requests generate.
+pub(crate) const CAPACITY_PER_S: f64 = 340.0;
 
-/// Everything that one run needs.
+/// The system under test of one run.
 pub(crate) struct LoadTestbed {
-    pub(crate) callers: Vec<SocketAddr>,
+    /// The addresses on which the entry hosts serve callers.
+    pub(crate) caller_addresses: Vec<SocketAddr>,
     targets: Vec<(HostEntry, &'static str, FakeTarget)>,
 }
 
 impl LoadTestbed {
-    /// Starts targets, a feed and entry hosts that follow a policy.
+    /// Starts targets, a feed and entry hosts that use a dispatch policy.
     pub(crate) fn start(policy: &str, runtime: &Handle) -> io::Result<Self> {
-        let (ip, _claim) = free_address()?;
+        let (ip, _reservation) = reserve_address()?;
         let list = FakeHostList::default();
         let mut targets = Vec::new();
         for plan in stage_plans() {
@@ -99,7 +105,7 @@
                     name,
                     pool: plan.pool.to_owned(),
                     address: address.to_string(),
-                    hall: format!("hall-{}", number % HALLS),
+                    hall: format!("hall-{}", number % HALL_COUNT),
                     state: "live".to_owned(),
                 };
                 targets.push((entry, plan.stage, fake));
@@ -110,22 +116,29 @@
             hosts: targets.iter().map(|(entry, ..)| entry.clone()).collect(),
         });
         let host_list = runtime.block_on(list.spawn(SocketAddr::new(ip, 0)))?;
-        let keys = write_keys(ip)?;
+        let keys = write_peer_keys(ip)?;
         let control = runtime.block_on(serve_table(ip, &keys))?;
-        let callers: Vec<_> = (0..HALLS)
-            .map(|number| start_entry(ip, number, policy, host_list, control, &keys))
+        let caller_addresses: Vec<_> = (0..HALL_COUNT)
+            .map(|number| start_entry_host(ip, number, policy, host_list, control, &keys))
             .collect();
-        wait_ready(&callers)?;
-        Ok(Self { callers, targets })
+        wait_until_ready(&caller_addresses)?;
+        Ok(Self {
+            caller_addresses,
+            targets,
+        })
     }
 
-    /// Lets happen what the scenario says.
+    /// Applies the change to targets that the scenario defines.
     pub(crate) fn apply_action(&self, scenario: &Scenario) {
         let stages = stage_plans();
         match scenario.action {
             None => {}
             Some(ScenarioAction::SlowStage { stage, factor }) => {
-                for (_, _, fake) in self.targets.iter().filter(|(_, of, _)| *of == stage) {
+                for (_, _, fake) in self
+                    .targets
+                    .iter()
+                    .filter(|(_, target_stage, _)| *target_stage == stage)
+                {
                     if let Some(plan) = stages.iter().find(|plan| plan.stage == stage) {
                         fake.set_behaviour(TargetBehaviour {
                             service_ms: plan.behaviour.service_ms * factor,
@@ -138,23 +151,23 @@
                 let of_stage: Vec<_> = self
                     .targets
                     .iter()
-                    .filter(|(_, of, _)| *of == stage)
+                    .filter(|(_, target_stage, _)| *target_stage == stage)
                     .collect();
-                let lost = (of_stage.len() as f64 * share).round() as usize;
+                let count = (of_stage.len() as f64 * share).round() as usize;
                 of_stage
                     .iter()
-                    .take(lost)
-                    .for_each(|(_, _, fake)| lose(fake));
+                    .take(count)
+                    .for_each(|(_, _, fake)| freeze(fake));
             }
             Some(ScenarioAction::FreezeHall(hall)) => {
                 let hall = format!("hall-{hall}");
                 let of_hall = self.targets.iter().filter(|(entry, ..)| entry.hall == hall);
-                of_hall.for_each(|(_, _, fake)| lose(fake));
+                of_hall.for_each(|(_, _, fake)| freeze(fake));
             }
         }
     }
 
-    /// Returns what targets spent, as stage, marker and microseconds.
+    /// Returns stage, marker and duration in microseconds of all runs at targets.
     pub(crate) fn run_times(&self) -> Vec<(&'static str, String, u64)> {
         let runs = self.targets.iter().flat_map(|(_, stage, fake)| {
             let ledger = fake.ledger();
@@ -166,15 +179,16 @@
     }
 }
 
-fn lose(fake: &FakeTarget) {
+fn freeze(fake: &FakeTarget) {
     fake.inject_fault(FaultInjection {
         kind: LOST_TARGET_FAULT,
         count: u64::MAX,
     });
 }
 
-/// Returns a loopback address that no other run of this machine uses.
-pub(crate) fn free_address() -> io::Result<(IpAddr, TcpListener)> {
+/// Reserves a loopback address that no other run on this machine uses; the listener keeps it
+/// reserved.
+pub(crate) fn reserve_address() -> io::Result<(IpAddr, TcpListener)> {
     loop {
         let ip = Ipv4Addr::new(
             127,
@@ -182,25 +196,25 @@
             fastrand::u8(1..255),
             fastrand::u8(1..255),
         );
-        match TcpListener::bind((ip, 6998)) {
-            Ok(claim) => return Ok((IpAddr::V4(ip), claim)),
+        match TcpListener::bind((ip, RESERVATION_PORT)) {
+            Ok(listener) => return Ok((IpAddr::V4(ip), listener)),
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {}
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Writes a key file for the peers of one run.
-pub(crate) fn write_keys(ip: IpAddr) -> io::Result<PathBuf> {
+/// Writes the file with the peer key of a run and returns its path.
+pub(crate) fn write_peer_keys(ip: IpAddr) -> io::Result<PathBuf> {
     let path = std::env::temp_dir().join(format!("linnet-load-{}-{ip}.keys", std::process::id()));
     std::fs::write(&path, format!("k1 {}\n", "3c".repeat(32)))?;
     Ok(path)
 }
 
-/// Serves the table to followers, in the place of control hosts.
+/// Serves the table to entry hosts, in place of control hosts; returns the address.
 pub(crate) async fn serve_table(ip: IpAddr, keys: &Path) -> io::Result<SocketAddr> {
     let feed = Arc::new(TableFeed::new());
-    feed.set_fleet(HALLS as u32);
+    feed.set_fleet(HALL_COUNT as u32);
     let change = TableChange {
         change_key: "load".to_owned(),
         author: "load".to_owned(),
@@ -262,13 +276,14 @@
     text
 }
 
-/// Returns the key of an account.
+/// Returns the account key that callers of an account present.
 pub(crate) fn account_key(number: usize) -> String {
     format!("load-key-{number}")
 }
 
-/// Starts an entry host on a thread with a runtime of its own; returns its callers' address.
-pub(crate) fn start_entry(
+/// Starts an entry host on a thread with its own runtime; returns the address on which it serves
+/// callers.
+pub(crate) fn start_entry_host(
     ip: IpAddr,
     number: usize,
     policy: &str,
@@ -277,11 +292,11 @@
     keys: &Path,
 ) -> SocketAddr {
     let port = number as u16;
-    let callers = SocketAddr::new(ip, 8_000 + port);
+    let caller_address = SocketAddr::new(ip, 8_000 + port);
     let settings = EntrySettings {
         name: format!("entry-{number}"),
         hall: format!("hall-{number}"),
-        caller_listen: callers,
+        caller_listen: caller_address,
         peer_listen: SocketAddr::new(ip, 7_300 + port),
         ops_listen: SocketAddr::new(ip, 7_400 + port),
         control: vec![control],
@@ -300,26 +315,31 @@
         let system = ntex::rt::System::new("entry", ntex::rt::DefaultRuntime);
         system.block_on(linnet_entry::run_entry(settings))
     });
-    callers
+    caller_address
 }
 
-/// Waits until every entry host says that it is ready.
-pub(crate) fn wait_ready(callers: &[SocketAddr]) -> io::Result<()> {
+/// Waits until all entry hosts are ready.
+///
+/// # Errors
+///
+/// Returns an error after [`READY_TIMEOUT`].
+pub(crate) fn wait_until_ready(caller_addresses: &[SocketAddr]) -> io::Result<()> {
     use std::io::{Read, Write};
-    let until = Instant::now() + READY_TIMEOUT;
-    for host in callers {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    for host in caller_addresses {
         loop {
             let ready = std::net::TcpStream::connect(host).and_then(|mut socket| {
                 socket.write_all(b"GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")?;
-                let mut answer = String::new();
-                socket.read_to_string(&mut answer)?;
-                Ok(answer.starts_with("HTTP/1.1 200"))
+                let mut response = String::new();
+                socket.read_to_string(&mut response)?;
+                Ok(response.starts_with("HTTP/1.1 200"))
             });
             if ready.unwrap_or(false) {
                 break;
             }
-            if Instant::now() > until {
-                return Err(io::Error::other("an entry host did not become ready"));
+            if Instant::now() > deadline {
+                let message = format!("entry host {host} was not ready within {READY_TIMEOUT:?}");
+                return Err(io::Error::other(message));
             }
             std::thread::sleep(Duration::from_millis(20));
         }
