--- a/crates/fakes/src/fault.rs
+++ b/crates/fakes/src/fault.rs
@@ -27,7 +27,7 @@
     BadBody,
     /// Runs the request and responds with status 500.
     Error,
-    /// Refuses the request as overloaded, with status 503; nothing runs.
+    /// Refuses the request with status 503 for lack of capacity; nothing runs.
     Busy,
     /// Refuses the request with status 503 and states that it is leaving; nothing runs.
     Leaving,
--- a/crates/table/src/store.rs
+++ b/crates/table/src/store.rs
@@ -88,10 +88,10 @@
 pub struct TableStore {
     version: u64,
     accounts: PrimaryMap<AccountId, AccountEntry>,
-    account_names: HashMap<String, AccountId>,
-    digests: HashMap<KeyDigest, AccountId>,
+    accounts_by_name: HashMap<String, AccountId>,
+    accounts_by_digest: HashMap<KeyDigest, AccountId>,
     routes: PrimaryMap<RouteId, RouteEntry>,
-    route_names: HashMap<String, RouteId>,
+    routes_by_name: HashMap<String, RouteId>,
     limits: HashMap<(AccountId, RouteId), LimitEntry>,
     tombstones: VecDeque<(RowKey, u64)>,
 }
@@ -138,7 +138,7 @@
 
     /// Finds the account that has a key with this digest.
     pub fn find_account(&self, digest: &KeyDigest) -> Option<AccountId> {
-        let id = *self.digests.get(digest)?;
+        let id = *self.accounts_by_digest.get(digest)?;
         let account = &self.accounts[id];
         let matches = account.key_digests.iter().any(|own| own.matches(digest));
         (matches && account.version > 0).then_some(id)
@@ -146,7 +146,7 @@
 
     /// Finds an account by name.
     pub fn account_id(&self, name: &str) -> Option<AccountId> {
-        let id = *self.account_names.get(name)?;
+        let id = *self.accounts_by_name.get(name)?;
         (self.accounts[id].version > 0).then_some(id)
     }
 
@@ -164,7 +164,7 @@
 
     /// Finds a pipeline or service by name.
     pub fn route_id(&self, name: &str) -> Option<RouteId> {
-        let id = *self.route_names.get(name)?;
+        let id = *self.routes_by_name.get(name)?;
         (self.routes[id].version > 0).then_some(id)
     }
 
@@ -195,7 +195,10 @@
 
     /// Returns whether a limit row exists.
     pub fn has_limit(&self, account: &str, route: &str) -> bool {
-        match (self.account_names.get(account), self.route_names.get(route)) {
+        match (
+            self.accounts_by_name.get(account),
+            self.routes_by_name.get(route),
+        ) {
             (Some(account), Some(route)) => self.limits.contains_key(&(*account, *route)),
             _ => false,
         }
@@ -203,8 +206,8 @@
 
     /// Returns the keys of the limit rows that refer to an account or route.
     pub fn limit_keys_of(&self, account: Option<&str>, route: Option<&str>) -> Vec<RowKey> {
-        let account = account.and_then(|name| self.account_names.get(name));
-        let route = route.and_then(|name| self.route_names.get(name));
+        let account = account.and_then(|name| self.accounts_by_name.get(name));
+        let route = route.and_then(|name| self.routes_by_name.get(name));
         self.limits
             .keys()
             .filter(|(limit_account, limit_route)| {
@@ -331,8 +334,8 @@
                     .map(|(_, version)| *version)
             }),
             RowKey::Limit(account, route) => {
-                let account = self.account_names.get(account);
-                let route = self.route_names.get(route);
+                let account = self.accounts_by_name.get(account);
+                let route = self.routes_by_name.get(route);
                 account
                     .zip(route)
                     .and_then(|(account, route)| self.limits.get(&(*account, *route)))
@@ -396,7 +399,7 @@
             self.remove_digest(&digest, id);
         }
         for digest in &row.key_digests {
-            self.digests.insert(*digest, id);
+            self.accounts_by_digest.insert(*digest, id);
         }
         let account = &mut self.accounts[id];
         account.weight = row.weight;
@@ -419,8 +422,8 @@
     // Removes a digest only if it still belongs to `owner`: if one change moves a key to another
     // account and writes the old owner last, the key must stay with the new owner.
     fn remove_digest(&mut self, digest: &KeyDigest, owner: AccountId) {
-        if self.digests.get(digest) == Some(&owner) {
-            self.digests.remove(digest);
+        if self.accounts_by_digest.get(digest) == Some(&owner) {
+            self.accounts_by_digest.remove(digest);
         }
     }
 
@@ -434,8 +437,8 @@
             RowKey::Stage(pipeline, stage) => self.delete_stage(pipeline, stage),
             RowKey::Account(name) => self.delete_account(name),
             RowKey::Limit(account, route) => {
-                let account = self.account_names.get(account);
-                let route = self.route_names.get(route);
+                let account = self.accounts_by_name.get(account);
+                let route = self.routes_by_name.get(route);
                 if let (Some(account), Some(route)) = (account, route) {
                     self.limits.remove(&(*account, *route));
                 }
@@ -448,7 +451,7 @@
     }
 
     fn delete_stage(&mut self, pipeline: &str, stage: &str) {
-        let Some(id) = self.route_names.get(pipeline) else {
+        let Some(id) = self.routes_by_name.get(pipeline) else {
             return;
         };
         let route = &mut self.routes[*id];
@@ -469,7 +472,7 @@
     }
 
     fn intern_account(&mut self, name: &str) -> AccountId {
-        if let Some(id) = self.account_names.get(name) {
+        if let Some(id) = self.accounts_by_name.get(name) {
             return *id;
         }
         let id = self.accounts.push(AccountEntry {
@@ -479,12 +482,12 @@
             key_digests: Vec::new(),
             version: 0,
         });
-        self.account_names.insert(name.to_owned(), id);
+        self.accounts_by_name.insert(name.to_owned(), id);
         id
     }
 
     fn intern_route(&mut self, name: &str) -> RouteId {
-        if let Some(id) = self.route_names.get(name) {
+        if let Some(id) = self.routes_by_name.get(name) {
             return *id;
         }
         let id = self.routes.push(RouteEntry {
@@ -495,7 +498,7 @@
             version: 0,
             stage_versions: Vec::new(),
         });
-        self.route_names.insert(name.to_owned(), id);
+        self.routes_by_name.insert(name.to_owned(), id);
         id
     }
 }
