--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -11,7 +11,7 @@
 use linnet_wire::{PeerReader, PeerWriter, WireError};
 use tokio::sync::mpsc;
 
-use crate::machine::{ControlAnswer, ControlCommand, ControlMachine};
+use crate::machine::{ControlCommand, ControlCommandReply, ControlMachine};
 
 /// Calls of one connection that may wait for their commit at one time.
 const MAX_OPEN_CALLS: usize = 512;
@@ -28,12 +28,12 @@
     let (replies, outbox) = mpsc::channel(MAX_OPEN_CALLS);
     let peer = reader.peer().to_owned();
     tokio::select! {
-        result = take_requests(replica, machine, recorder, &peer, reader, replies) => result,
+        result = receive_requests(replica, machine, recorder, &peer, reader, replies) => result,
         result = send_replies(outbox, writer) => result,
     }
 }
 
-async fn take_requests(
+async fn receive_requests(
     replica: &Replica,
     machine: &ControlMachine,
     recorder: &Arc<EventRecorder>,
@@ -52,7 +52,7 @@
         let (recorder, peer) = (recorder.clone(), peer.to_owned());
         ntex::rt::spawn(async move {
             let _permit = permit;
-            let note = CallNote::of(&request);
+            let note = CallEvent::of(&request);
             let reply = answer_call(&replica, &machine, request).await;
             if let Some(note) = note {
                 note.record(&recorder, &peer, &reply);
@@ -99,8 +99,8 @@
         .ok()
         .and_then(|bytes| postcard::from_bytes(&bytes).ok())
         .and_then(|answer| match answer {
-            ControlAnswer::Claim(answer) => Some(CallAnswer::Claim(answer)),
-            ControlAnswer::Deferred(answer) => Some(CallAnswer::Deferred(answer)),
+            ControlCommandReply::Claim(answer) => Some(CallAnswer::Claim(answer)),
+            ControlCommandReply::Deferred(answer) => Some(CallAnswer::Deferred(answer)),
             _ => None,
         });
     CallReply {
@@ -111,18 +111,18 @@
 }
 
 /// What the time line tells of a call, once its outcome is known.
-struct CallNote {
+struct CallEvent {
     code: EventCode,
     detail: String,
     request: String,
 }
 
-impl CallNote {
+impl CallEvent {
     /// Returns a note of a step; questions are too many to note.
     fn of(request: &CallRequest) -> Option<Self> {
         let (code, detail) = match &request.call {
-            ControlCall::Claim(step) => note_of_claim(step),
-            ControlCall::Deferred(step) => note_of_deferred(step)?,
+            ControlCall::Claim(step) => claim_event(step),
+            ControlCall::Deferred(step) => deferred_event(step)?,
             ControlCall::Query(_) => return None,
         };
         Some(Self {
@@ -153,7 +153,7 @@
     }
 }
 
-fn note_of_claim(step: &ClaimCommand) -> (EventCode, String) {
+fn claim_event(step: &ClaimCommand) -> (EventCode, String) {
     match step {
         ClaimCommand::Open { claim, .. } => (
             EventCode::ClaimCommitted,
@@ -170,7 +170,7 @@
     }
 }
 
-fn note_of_deferred(step: &DeferredCommand) -> Option<(EventCode, String)> {
+fn deferred_event(step: &DeferredCommand) -> Option<(EventCode, String)> {
     let note = match step {
         DeferredCommand::Accept { job, .. } => (EventCode::DeferredAccepted, job.handle.clone()),
         DeferredCommand::Take { handle, .. } => (EventCode::DeferredTaken, handle.clone()),
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/change_store.rs
@@ -14,27 +14,27 @@
     /// The version that it made.
     pub version: u64,
     /// A digest of its rows.
-    pub content: [u8; 16],
+    pub content_digest: [u8; 16],
 }
 
 /// The changes that were taken, by their keys.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct ChangeLedger {
+pub struct ChangeStore {
     order: VecDeque<String>,
     records: HashMap<String, ChangeRecord>,
 }
 
-impl ChangeLedger {
+impl ChangeStore {
     /// Finds the record of a change key.
     pub fn find(&self, change_key: &str) -> Option<ChangeRecord> {
         self.records.get(change_key).copied()
     }
 
     /// Notes a change that was taken.
-    pub fn note(&mut self, change: &TableChange, version: u64) {
+    pub fn record(&mut self, change: &TableChange, version: u64) {
         let record = ChangeRecord {
             version,
-            content: content_of(change),
+            content_digest: content_digest(change),
         };
         self.records.insert(change.change_key.clone(), record);
         self.order.push_back(change.change_key.clone());
@@ -47,7 +47,7 @@
 }
 
 /// Returns a digest of the rows of a change; its base version may differ when it is sent again.
-pub(crate) fn content_of(change: &TableChange) -> [u8; 16] {
+pub(crate) fn content_digest(change: &TableChange) -> [u8; 16] {
     let bytes = postcard::to_stdvec(&(&change.upserts, &change.deletes)).unwrap_or_default();
     let mut short = [0; 16];
     short.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..16]);
--- a/crates/control/src/daemon.rs
+++ b/crates/control/src/daemon.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use linnet_daemon::{OpsContext, StopSignals, accept_peers, exit_code, ops_routes, refresh_keys};
+use linnet_daemon::{OpsContext, StopSignals, accept_peers, exit_code, ops_routes, watch_key_file};
 use linnet_feed::{TableFeed, serve_follower};
 use linnet_journal::DiskOps;
 use linnet_quorum::{QuorumTiming, Replica, ReplicaConfig, serve_peer};
@@ -15,14 +15,14 @@
 use prometheus_client::registry::Registry;
 use tokio::net::TcpListener;
 
-use crate::board::HostBoard;
 use crate::calls::serve_calls;
+use crate::host_reports::HostReportStore;
 use crate::machine::ControlMachine;
 use crate::ops::{ControlContext, control_routes};
-use crate::settings::{CheckedControl, ControlSettings};
+use crate::settings::{CheckedControlSettings, ControlSettings};
 
 /// How often the gauges are brought up to date.
-const GAUGE_PERIOD: Duration = Duration::from_secs(1);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs the daemon until a planned stop; must run inside an ntex runtime.
 pub async fn run_control(settings: ControlSettings) -> ExitCode {
@@ -32,7 +32,7 @@
     }
 }
 
-async fn serve(checked: CheckedControl) -> Result<(), Box<dyn std::error::Error>> {
+async fn serve(checked: CheckedControlSettings) -> Result<(), Box<dyn std::error::Error>> {
     let mut signals = StopSignals::new()?;
     let settings = checked.settings;
     let clock = Arc::new(HybridClock::new());
@@ -55,8 +55,8 @@
         }),
     };
     let replica = Replica::start(&settings.data, machine.hooks(), config)?;
-    let board = Arc::new(HostBoard::default());
-    refresh_keys(checked.keys, settings.peer_keys.clone());
+    let host_reports = Arc::new(HostReportStore::default());
+    watch_key_file(checked.keys, settings.peer_keys.clone());
 
     let listener = TcpListener::bind(settings.peer_listen).await?;
     let context = ControlContext {
@@ -67,7 +67,7 @@
         replica,
         machine,
         feed,
-        board,
+        host_reports,
     };
     let serving = context.clone();
     let events = recorder.clone();
@@ -80,9 +80,9 @@
                     serve_calls(&context.replica, &context.machine, &events, reader, writer).await
                 }
                 PeerGreeting::Follow => {
-                    let board = context.board.clone();
+                    let host_reports = context.host_reports.clone();
                     let take = move |report: linnet_feed::FollowReport| {
-                        board.take_reports(report.hosts);
+                        host_reports.merge_reports(report.hosts);
                     };
                     serve_follower(&context.feed, reader, writer, take).await
                 }
@@ -122,7 +122,7 @@
     );
     recorder.record(EventCode::ProcessStarted, "", detail);
 
-    signals.requested().await;
+    signals.wait().await;
     recorder.record(EventCode::StopRequested, "", "");
     // Requests of operators that wait for a commit get their answer before the port closes.
     server.stop(true).await;
@@ -156,8 +156,10 @@
     loop {
         let status = context.replica.status();
         let version = context.feed.version();
-        context.feed.set_fleet(context.board.count_live());
-        let hosts = context.board.list_hosts();
+        context
+            .feed
+            .set_entry_host_count(context.host_reports.count_live());
+        let hosts = context.host_reports.list_hosts();
         let behind = hosts.iter().filter(|host| host.version < version).count();
         let values = [
             status.term as i64,
@@ -171,6 +173,6 @@
         for ((_, _, gauge), value) in gauges.iter().zip(values) {
             gauge.set(value);
         }
-        tokio::time::sleep(GAUGE_PERIOD).await;
+        tokio::time::sleep(GAUGE_INTERVAL).await;
     }
 }
--- a/crates/control/src/board.rs
+++ b/crates/control/src/host_reports.rs
@@ -7,26 +7,26 @@
 use linnet_feed::HostReport;
 
 /// A host that was not told of for so long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(3_600);
+const REPORT_RETENTION: Duration = Duration::from_secs(3_600);
 
 /// A host that was heard within so many milliseconds lives.
-const LIVE_MS: u64 = 5_000;
+const LIVE_MAX_AGE_MS: u64 = 5_000;
 
 /// Hosts that are remembered at one time.
 const MAX_HOSTS: usize = 4_096;
 
 /// The newest report on each host.
 #[derive(Default)]
-pub(crate) struct HostBoard {
+pub(crate) struct HostReportStore {
     hosts: Mutex<HashMap<String, (HostReport, Instant)>>,
 }
 
-impl HostBoard {
+impl HostReportStore {
     /// Takes reports in; of two on one host the younger counts.
-    pub(crate) fn take_reports(&self, reports: Vec<HostReport>) {
+    pub(crate) fn merge_reports(&self, reports: Vec<HostReport>) {
         let now = Instant::now();
         let mut hosts = self.lock();
-        hosts.retain(|_, (_, at)| now - *at < FORGET_AFTER);
+        hosts.retain(|_, (_, at)| now - *at < REPORT_RETENTION);
         for report in reports {
             let room = hosts.len() < MAX_HOSTS || hosts.contains_key(&report.name);
             let newer = hosts.get(&report.name).is_none_or(|(known, at)| {
@@ -57,7 +57,7 @@
     /// Returns the number of hosts that were heard lately.
     pub(crate) fn count_live(&self) -> u32 {
         let hosts = self.list_hosts();
-        let live = hosts.iter().filter(|host| host.age_ms < LIVE_MS);
+        let live = hosts.iter().filter(|host| host.age_ms < LIVE_MAX_AGE_MS);
         live.count() as u32
     }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,20 +1,20 @@
 //! The control daemon: a voter that keeps the table and the claims, and serves them.
 //!
 //! - [`ControlSettings`] are its settings; [`run_control`] runs it.
-//! - [`ControlMachine`] is the replicated state machine; [`ControlCommand`] and [`ControlAnswer`]
+//! - [`ControlMachine`] is the replicated state machine; [`ControlCommand`] and [`ControlCommandReply`]
 //!   are what goes in and out of it.
-//! - [`ControlStatus`], [`ChangeReply`] and [`FormRequest`] are its operators' interface.
+//! - [`ControlStatus`], [`ChangeResponse`] and [`FormClusterRequest`] are its operators' interface.
 
-mod board;
 mod calls;
+mod change_store;
 mod daemon;
-mod ledger;
+mod host_reports;
 mod machine;
 mod ops;
 mod settings;
 
+pub use change_store::{ChangeRecord, ChangeStore, MAX_CHANGE_RECORDS};
 pub use daemon::run_control;
-pub use ledger::{ChangeLedger, ChangeRecord, MAX_CHANGE_RECORDS};
-pub use machine::{ControlAnswer, ControlCommand, ControlMachine};
-pub use ops::{ChangeReply, ControlStatus, FormRequest, MAX_CHANGE_BYTES};
+pub use machine::{ControlCommand, ControlCommandReply, ControlMachine};
+pub use ops::{ChangeResponse, ControlStatus, FormClusterRequest, MAX_CHANGE_BYTES};
 pub use settings::ControlSettings;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -12,7 +12,7 @@
 use linnet_telemetry::{EventCode, EventRecorder};
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::{ChangeLedger, ChangeRecord, content_of};
+use crate::change_store::{ChangeRecord, ChangeStore, content_digest};
 
 /// A command of the replicated log.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 
 /// The answer to a [`ControlCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ControlAnswer {
+pub enum ControlCommandReply {
     /// The version that the change made, or why it was refused.
     Change(Result<u64, ChangeRefusal>),
     /// The answer of the claim table.
@@ -44,14 +44,14 @@
     version: u64,
     rows: Vec<VersionedRow>,
     tombstones: Vec<(RowKey, u64)>,
-    ledger: ChangeLedger,
+    changes: ChangeStore,
     claims: ClaimTable,
     deferred: DeferredTable,
 }
 
 #[derive(Default)]
 struct MachineState {
-    ledger: ChangeLedger,
+    changes: ChangeStore,
     claims: ClaimTable,
     deferred: DeferredTable,
 }
@@ -86,7 +86,7 @@
 
     /// Finds what became of a change key.
     pub fn find_change(&self, change_key: &str) -> Option<ChangeRecord> {
-        self.lock().ledger.find(change_key)
+        self.lock().changes.find(change_key)
     }
 
     /// Returns the number of claims that are kept.
@@ -107,29 +107,33 @@
     /// Takes one committed command and returns its encoded answer.
     pub fn apply(&self, command: &[u8]) -> Vec<u8> {
         let answer = match postcard::from_bytes(command) {
-            Ok(ControlCommand::Change(change)) => ControlAnswer::Change(self.apply_change(&change)),
-            Ok(ControlCommand::Claim(step)) => ControlAnswer::Claim(self.lock().claims.apply(step)),
+            Ok(ControlCommand::Change(change)) => {
+                ControlCommandReply::Change(self.apply_change(&change))
+            }
+            Ok(ControlCommand::Claim(step)) => {
+                ControlCommandReply::Claim(self.lock().claims.apply(step))
+            }
             Ok(ControlCommand::Deferred(step)) => {
-                ControlAnswer::Deferred(self.lock().deferred.apply(step))
+                ControlCommandReply::Deferred(self.lock().deferred.apply(step))
             }
-            Err(_) => ControlAnswer::Unreadable,
+            Err(_) => ControlCommandReply::Unreadable,
         };
         postcard::to_stdvec(&answer).unwrap_or_default()
     }
 
     fn apply_change(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
         let mut state = self.lock();
-        if let Some(record) = state.ledger.find(&change.change_key) {
-            return if record.content == content_of(change) {
+        if let Some(record) = state.changes.find(&change.change_key) {
+            return if record.content_digest == content_digest(change) {
                 Ok(record.version)
             } else {
                 Err(ChangeRefusal::KeyReused(record.version))
             };
         }
-        let result = self.feed.decide(change);
+        let result = self.feed.apply_change(change);
         match &result {
             Ok(version) => {
-                state.ledger.note(change, *version);
+                state.changes.record(change, *version);
                 let detail = format!(
                     "version={version} key={} rows={} deleted={}",
                     change.change_key,
@@ -155,7 +159,7 @@
             version: table.version(),
             rows: table.image_rows(),
             tombstones: table.tombstones(),
-            ledger: state.ledger.clone(),
+            changes: state.changes.clone(),
             claims: state.claims.clone(),
             deferred: state.deferred.clone(),
         };
@@ -176,7 +180,7 @@
         table.put_image_rows(image.rows);
         table.finish_image(image.version, image.tombstones);
         let mut state = self.lock();
-        state.ledger = image.ledger;
+        state.changes = image.changes;
         state.claims = image.claims;
         state.deferred = image.deferred;
         self.feed.restore(table);
--- a/crates/control/src/ops.rs
+++ b/crates/control/src/ops.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use linnet_daemon::{OpsContext, error_body, json_reply};
+use linnet_daemon::{OpsContext, error_body, json_response};
 use linnet_feed::{HostReport, TableFeed};
 use linnet_quorum::{
     FormError, Member, MemberChange, Members, ProposeError, Replica, ReplicaStatus,
@@ -15,8 +15,8 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::board::HostBoard;
-use crate::machine::{ControlAnswer, ControlCommand, ControlMachine};
+use crate::host_reports::HostReportStore;
+use crate::machine::{ControlCommand, ControlCommandReply, ControlMachine};
 
 /// The largest change that an operator may send, in bytes of JSON.
 pub const MAX_CHANGE_BYTES: usize = 96 * 1024 * 1024;
@@ -31,7 +31,7 @@
     pub(crate) replica: Replica,
     pub(crate) machine: ControlMachine,
     pub(crate) feed: Arc<TableFeed>,
-    pub(crate) board: Arc<HostBoard>,
+    pub(crate) host_reports: Arc<HostReportStore>,
 }
 
 /// What a control daemon tells of itself and of the hosts that follow it.
@@ -60,9 +60,10 @@
 /// The answer to a change.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "result")]
-pub enum ChangeReply {
+pub enum ChangeResponse {
     /// It was taken, now or when it was first sent.
-    Taken {
+    #[serde(rename = "taken")]
+    Accepted {
         /// The version that it made.
         version: u64,
     },
@@ -87,7 +88,7 @@
 
 /// A request to form a cluster.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct FormRequest {
+pub struct FormClusterRequest {
     /// A random number that names the cluster.
     pub cluster: u64,
     /// The founders, all of them voters.
@@ -100,7 +101,7 @@
         .state(PayloadConfig::new(MAX_CHANGE_BYTES))
         .route("/v1/status", web::get().to(show_status))
         .route("/v1/table", web::get().to(show_table))
-        .route("/v1/changes", web::post().to(take_change))
+        .route("/v1/changes", web::post().to(submit_change))
         .route("/v1/changes/{key}", web::get().to(show_change))
         .route("/v1/form", web::post().to(form_cluster))
         .route("/v1/members", web::post().to(change_members));
@@ -111,7 +112,7 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    if let Some(refused) = refuse(&request, &ops) {
+    if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
     let (table_version, table_rows) = {
@@ -127,9 +128,9 @@
         table_version,
         table_rows,
         claims: context.machine.claim_count(),
-        hosts: context.board.list_hosts(),
+        hosts: context.host_reports.list_hosts(),
     };
-    json_reply(200, &status)
+    json_response(200, &status)
 }
 
 async fn show_table(
@@ -137,14 +138,14 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    if let Some(refused) = refuse(&request, &ops) {
+    if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
     // The lease is checked after the request came in, so no newer version was accepted elsewhere
     // before the operator asked. `?stale=1` takes what this host holds.
     let stale = request.query_string() == "stale=1";
     if !stale && !context.replica.lease_lasts() {
-        return not_leader(&context);
+        return not_leader_response(&context);
     }
     let (version, rows) = {
         let table = context.feed.read();
@@ -156,7 +157,7 @@
         .body(write_csv(&rows))
 }
 
-async fn take_change(
+async fn submit_change(
     request: HttpRequest,
     body: Bytes,
     ops: State<OpsContext>,
@@ -168,41 +169,41 @@
     };
     let key_fits = (1..=128).contains(&change.change_key.len());
     if !key_fits {
-        return json_reply(
+        return json_response(
             400,
             &error_body("malformed", "a change key has 1 to 128 bytes"),
         );
     }
     let reply = propose_change(&context, change).await;
-    json_reply(change_status(&reply), &reply)
+    json_response(change_status_code(&reply), &reply)
 }
 
-fn change_status(reply: &ChangeReply) -> u16 {
+fn change_status_code(reply: &ChangeResponse) -> u16 {
     match reply {
-        ChangeReply::Taken { .. } => 200,
-        ChangeReply::Refused {
+        ChangeResponse::Accepted { .. } => 200,
+        ChangeResponse::Refused {
             refusal: ChangeRefusal::Faults(_),
         } => 422,
-        ChangeReply::Refused { .. } => 409,
-        ChangeReply::NotLeader { .. } => 421,
-        ChangeReply::Unknown | ChangeReply::Busy { .. } => 503,
+        ChangeResponse::Refused { .. } => 409,
+        ChangeResponse::NotLeader { .. } => 421,
+        ChangeResponse::Unknown | ChangeResponse::Busy { .. } => 503,
     }
 }
 
-async fn propose_change(context: &ControlContext, change: TableChange) -> ChangeReply {
+async fn propose_change(context: &ControlContext, change: TableChange) -> ChangeResponse {
     let command = ControlCommand::Change(change);
     let bytes = postcard::to_stdvec(&command).unwrap_or_default();
     match context.replica.propose(bytes).await {
         Ok(answer) => match postcard::from_bytes(&answer) {
-            Ok(ControlAnswer::Change(Ok(version))) => ChangeReply::Taken { version },
-            Ok(ControlAnswer::Change(Err(refusal))) => ChangeReply::Refused { refusal },
-            _ => ChangeReply::Unknown,
+            Ok(ControlCommandReply::Change(Ok(version))) => ChangeResponse::Accepted { version },
+            Ok(ControlCommandReply::Change(Err(refusal))) => ChangeResponse::Refused { refusal },
+            _ => ChangeResponse::Unknown,
         },
-        Err(ProposeError::NotLeader { leader }) => ChangeReply::NotLeader {
+        Err(ProposeError::NotLeader { leader }) => ChangeResponse::NotLeader {
             leader: leader.map(|leader| *leader),
         },
-        Err(ProposeError::Unknown) => ChangeReply::Unknown,
-        Err(other) => ChangeReply::Busy {
+        Err(ProposeError::Unknown) => ChangeResponse::Unknown,
+        Err(other) => ChangeResponse::Busy {
             cause: other.to_string(),
         },
     }
@@ -214,21 +215,21 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    if let Some(refused) = refuse(&request, &ops) {
+    if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
     if !context.replica.lease_lasts() {
-        return not_leader(&context);
+        return not_leader_response(&context);
     }
     match context.machine.find_change(&key) {
-        Some(record) => json_reply(
+        Some(record) => json_response(
             200,
-            &ChangeReply::Taken {
+            &ChangeResponse::Accepted {
                 version: record.version,
             },
         ),
         // A change that still waits for its commit may be taken yet.
-        None => json_reply(404, &ChangeReply::Unknown),
+        None => json_response(404, &ChangeResponse::Unknown),
     }
 }
 
@@ -238,14 +239,16 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    let form: FormRequest = match parse_body(&request, &ops, &body) {
+    let form: FormClusterRequest = match parse_body(&request, &ops, &body) {
         Ok(form) => form,
         Err(refused) => return refused,
     };
     match context.replica.form(form.cluster, form.founders).await {
-        Ok(()) => json_reply(200, &serde_json::json!({ "result": "formed" })),
-        Err(error @ FormError::Disk(_)) => json_reply(503, &error_body("disk", error.to_string())),
-        Err(error) => json_reply(409, &error_body("refused", error.to_string())),
+        Ok(()) => json_response(200, &serde_json::json!({ "result": "formed" })),
+        Err(error @ FormError::Disk(_)) => {
+            json_response(503, &error_body("disk", error.to_string()))
+        }
+        Err(error) => json_response(409, &error_body("refused", error.to_string())),
     }
 }
 
@@ -260,12 +263,12 @@
         Err(refused) => return refused,
     };
     match context.replica.change_members(&change).await {
-        Ok(()) => json_reply(200, &serde_json::json!({ "result": "taken" })),
-        Err(ProposeError::NotLeader { .. }) => not_leader(&context),
+        Ok(()) => json_response(200, &serde_json::json!({ "result": "taken" })),
+        Err(ProposeError::NotLeader { .. }) => not_leader_response(&context),
         Err(ProposeError::Members(error)) => {
-            json_reply(409, &error_body("refused", error.to_string()))
+            json_response(409, &error_body("refused", error.to_string()))
         }
-        Err(error) => json_reply(503, &error_body("unknown", error.to_string())),
+        Err(error) => json_response(503, &error_body("unknown", error.to_string())),
     }
 }
 
@@ -275,23 +278,23 @@
     ops: &OpsContext,
     body: &[u8],
 ) -> Result<T, HttpResponse> {
-    if let Some(refused) = refuse(request, ops) {
+    if let Some(refused) = check_operator(request, ops) {
         return Err(refused);
     }
     serde_json::from_slice(body)
-        .map_err(|error| json_reply(400, &error_body("malformed", error.to_string())))
+        .map_err(|error| json_response(400, &error_body("malformed", error.to_string())))
 }
 
-fn refuse(request: &HttpRequest, ops: &OpsContext) -> Option<HttpResponse> {
+fn check_operator(request: &HttpRequest, ops: &OpsContext) -> Option<HttpResponse> {
     let body = || error_body("unauthorized", "an operator's key is needed");
-    (!ops.keys.admits(request)).then(|| json_reply(401, &body()))
+    (!ops.keys.authorizes(request)).then(|| json_response(401, &body()))
 }
 
-fn not_leader(context: &ControlContext) -> HttpResponse {
+fn not_leader_response(context: &ControlContext) -> HttpResponse {
     let status = context.replica.status();
     let leader = status
         .leader
         .filter(|id| *id != status.id)
         .and_then(|id| status.members.find(id).cloned());
-    json_reply(421, &ChangeReply::NotLeader { leader })
+    json_response(421, &ChangeResponse::NotLeader { leader })
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -41,7 +41,7 @@
 }
 
 /// Settings that passed their checks.
-pub(crate) struct CheckedControl {
+pub(crate) struct CheckedControlSettings {
     pub(crate) settings: ControlSettings,
     pub(crate) keys: PeerKeyRing,
     pub(crate) operators: OperatorKeys,
@@ -49,7 +49,7 @@
 
 impl ControlSettings {
     /// Checks every setting; all faults are in the check where anything is wrong.
-    pub(crate) fn check(self) -> Result<CheckedControl, SettingCheck> {
+    pub(crate) fn check(self) -> Result<CheckedControlSettings, SettingCheck> {
         let mut check = SettingCheck::new();
         check.require_name("--name", &self.name);
         check.require_name("--hall", &self.hall);
@@ -66,22 +66,24 @@
             self.data.display(),
             "a folder, or a path to make one at",
         );
-        let keys = check.take(
+        let keys = check.check_result(
             PeerKeyRing::load(&self.peer_keys),
             "--peer-keys",
             self.peer_keys.display(),
         );
-        let operators = check.take(
+        let operators = check.check_result(
             OperatorKeys::parse(&self.operator_digests),
             "--operator-digests",
             &self.operator_digests,
         );
         match (keys, operators) {
-            (Some(keys), Some(operators)) if check.faults().is_empty() => Ok(CheckedControl {
-                settings: self,
-                keys,
-                operators,
-            }),
+            (Some(keys), Some(operators)) if check.faults().is_empty() => {
+                Ok(CheckedControlSettings {
+                    settings: self,
+                    keys,
+                    operators,
+                })
+            }
             _ => Err(check),
         }
     }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use linnet_control::{ChangeReply, ControlStatus};
+use linnet_control::{ChangeResponse, ControlStatus};
 use ntex::SharedCfg;
 use ntex::client::{Client, ClientResponse};
 use ntex::http::Method;
@@ -172,7 +172,7 @@
 
 fn leader_hint(answer: &OpsAnswer) -> Option<SocketAddr> {
     match serde_json::from_slice(&answer.body) {
-        Ok(ChangeReply::NotLeader { leader }) => leader.map(|leader| leader.ops),
+        Ok(ChangeResponse::NotLeader { leader }) => leader.map(|leader| leader.ops),
         _ => None,
     }
 }
--- a/crates/ctl/src/form.rs
+++ b/crates/ctl/src/form.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use linnet_control::{ControlStatus, FormRequest};
+use linnet_control::{ControlStatus, FormClusterRequest};
 use linnet_quorum::{Member, Members};
 use ntex::http::Method;
 use ntex::util::Bytes;
@@ -47,11 +47,11 @@
     Ok(())
 }
 
-fn new_cluster(found: &[(SocketAddr, ControlStatus)]) -> Result<FormRequest, CtlError> {
+fn new_cluster(found: &[(SocketAddr, ControlStatus)]) -> Result<FormClusterRequest, CtlError> {
     let cluster = getrandom::u64()
         .map_err(|error| CtlError::refused(CtlStep::Apply, "", error.to_string()))?;
     let voters = found.iter().map(|(_, status)| member_of(status));
-    Ok(FormRequest {
+    Ok(FormClusterRequest {
         cluster,
         founders: Members {
             voters: voters.collect(),
@@ -66,7 +66,7 @@
     host: SocketAddr,
     begun: &ControlStatus,
     found: &[(SocketAddr, ControlStatus)],
-) -> Result<FormRequest, CtlError> {
+) -> Result<FormClusterRequest, CtlError> {
     let members = &begun.replica.members;
     let stranger = found
         .iter()
@@ -78,7 +78,7 @@
         );
         return Err(CtlError::refused(CtlStep::Check, host.to_string(), message));
     }
-    Ok(FormRequest {
+    Ok(FormClusterRequest {
         cluster: begun.replica.cluster.unwrap_or_default(),
         founders: members.clone(),
     })
--- a/crates/ctl/src/notices.rs
+++ b/crates/ctl/src/notices.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use linnet_telemetry::{NOTICES_PATH, NoticeLine, NoticeStanding};
+use linnet_telemetry::{NOTICES_PATH, NoticeLine, NoticeState};
 
 use crate::client::OpsClient;
 use crate::settings::NoticesArgs;
@@ -31,17 +31,17 @@
 }
 
 fn print_line(host: SocketAddr, line: &NoticeLine) {
-    let standing = match line.standing {
-        NoticeStanding::Reopening if line.per_second.is_some() => "limited",
-        NoticeStanding::Reopening => "reopening",
-        NoticeStanding::BackedOff => "backed_off",
-        NoticeStanding::Leaving => "leaving",
+    let standing = match line.state {
+        NoticeState::Reopening if line.per_second.is_some() => "limited",
+        NoticeState::Reopening => "reopening",
+        NoticeState::BackedOff => "backed_off",
+        NoticeState::Leaving => "leaving",
     };
     println!(
         "entry={host} target={} service={} standing={standing} left_ms={} withheld={} per_s={} sent={}",
         line.target,
         line.service,
-        line.left_ms,
+        line.remaining_ms,
         line.withheld,
         line.per_second.as_deref().unwrap_or("any"),
         line.sent
--- a/crates/ctl/src/picture.rs
+++ b/crates/ctl/src/picture.rs
@@ -22,7 +22,7 @@
     let mut svg = format!(
         r#"<svg xmlns="http://www.w3.org/2000/svg" width="{width}" height="{height}" font-family="sans-serif" font-size="11">"#
     );
-    let millis = HybridClock::millis_of(last) - HybridClock::millis_of(first);
+    let millis = HybridClock::unix_millis(last) - HybridClock::unix_millis(first);
     let _ = write!(
         svg,
         r#"<text x="4" y="16">{} events over {millis} ms</text>"#,
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use linnet_control::ChangeReply;
+use linnet_control::ChangeResponse;
 use linnet_table::{
     ChangeRefusal, RowDiff, RowFault, TableChange, TableRow, diff_rows, parse_csv, verify_rows,
 };
@@ -177,13 +177,13 @@
         .ask_leader(Method::POST, "/v1/changes", Some(change))
         .await
         .map_err(|_| unknown())?;
-    let reply: ChangeReply = serde_json::from_slice(&answer.body)
+    let reply: ChangeResponse = serde_json::from_slice(&answer.body)
         .map_err(|_| CtlError::refused(CtlStep::Apply, "", error_text(&answer)))?;
     match reply {
-        ChangeReply::Taken { version } => Ok(version),
-        ChangeReply::Refused { refusal } => Err(show_refusal(refusal)),
-        ChangeReply::Busy { cause } => Err(CtlError::refused(CtlStep::Apply, "", cause)),
-        ChangeReply::Unknown | ChangeReply::NotLeader { .. } => Err(unknown()),
+        ChangeResponse::Accepted { version } => Ok(version),
+        ChangeResponse::Refused { refusal } => Err(show_refusal(refusal)),
+        ChangeResponse::Busy { cause } => Err(CtlError::refused(CtlStep::Apply, "", cause)),
+        ChangeResponse::Unknown | ChangeResponse::NotLeader { .. } => Err(unknown()),
     }
 }
 
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -12,10 +12,10 @@
 use log::kv::{Error, Key, Value, VisitSource};
 
 /// Lines that may wait for the reader of the log.
-const QUEUE_LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Lines are gathered for so long, so that a busy process writes seldom.
-const GATHER_SPAN: Duration = Duration::from_millis(50);
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long the end of a process waits for the lines that are queued.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
@@ -23,13 +23,13 @@
 /// Starts the log; the level comes from `RUST_LOG` and is `info` where that is not set.
 pub fn start_logging() {
     let settings = env_logger::Env::default().default_filter_or("linnetdale=info,warn");
-    let queue = LineQueue::start(Box::new(io::stdout()), QUEUE_LINES);
+    let queue = LineQueue::start(Box::new(io::stdout()), MAX_QUEUED_LINES);
     let _ = LOG_QUEUE.set(queue.clone());
     let started = env_logger::Builder::from_env(settings)
         .target(env_logger::Target::Pipe(Box::new(queue)))
         .format(|out, record| {
             write!(out, "{} {}", out.timestamp_millis(), record.level())?;
-            let mut pairs = PairWriter { out };
+            let mut pairs = KeyValueWriter { out };
             let _ = record.key_values().visit(&mut pairs);
             writeln!(pairs.out, " {}", record.args())
         })
@@ -44,7 +44,7 @@
 /// Waits, for a bounded time, until the lines that are queued are written.
 pub fn flush_logs() {
     if let Some(queue) = LOG_QUEUE.get() {
-        queue.wait_until_written(FLUSH_TIMEOUT);
+        queue.flush_within(FLUSH_TIMEOUT);
     }
 }
 
@@ -72,7 +72,7 @@
     }
 
     /// Waits until everything that was queued before is written, or `bound` is over.
-    pub fn wait_until_written(&self, bound: Duration) {
+    pub fn flush_within(&self, bound: Duration) {
         let (done, written) = sync_channel(1);
         if self.jobs.try_send(Job::Flush(done)).is_ok() {
             let _ = written.recv_timeout(bound);
@@ -104,7 +104,7 @@
             Err(_) => return,
         }
         if waiting.is_empty() {
-            std::thread::sleep(GATHER_SPAN);
+            std::thread::sleep(BATCH_INTERVAL);
         }
         loop {
             match queue.try_recv() {
@@ -130,11 +130,11 @@
     }
 }
 
-struct PairWriter<'a> {
+struct KeyValueWriter<'a> {
     out: &'a mut env_logger::fmt::Formatter,
 }
 
-impl<'kvs> VisitSource<'kvs> for PairWriter<'_> {
+impl<'kvs> VisitSource<'kvs> for KeyValueWriter<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let text = value.to_string();
         if !text.is_empty() {
--- a/crates/daemon/src/ops.rs
+++ b/crates/daemon/src/ops.rs
@@ -31,7 +31,7 @@
     }
 
     /// Says whether a request shows an operator's key as `Authorization: Bearer KEY`.
-    pub fn admits(&self, request: &HttpRequest) -> bool {
+    pub fn authorizes(&self, request: &HttpRequest) -> bool {
         let header = request.headers().get("authorization");
         let key = header
             .and_then(|value| value.to_str().ok())
@@ -77,14 +77,14 @@
     query: web::types::Query<TimelineQuery>,
     context: State<OpsContext>,
 ) -> HttpResponse {
-    if !context.keys.admits(&request) {
-        return refuse_operator();
+    if !context.keys.authorizes(&request) {
+        return unauthorized_response();
     }
     let query = EventQuery {
         request: query.request.clone(),
         since_millis: query.since_ms,
     };
-    json_reply(200, &context.recorder.select(&query))
+    json_response(200, &context.recorder.select(&query))
 }
 
 /// Writes the counters of the traffic with peers, ahead of the registered metrics.
@@ -116,8 +116,8 @@
     }
 }
 
-fn refuse_operator() -> HttpResponse {
-    json_reply(
+fn unauthorized_response() -> HttpResponse {
+    json_response(
         401,
         &error_body("unauthorized", "an operator's key is needed"),
     )
@@ -129,7 +129,7 @@
 }
 
 /// Returns a JSON answer.
-pub fn json_reply<T: Serialize>(status: u16, body: &T) -> HttpResponse {
+pub fn json_response<T: Serialize>(status: u16, body: &T) -> HttpResponse {
     let status = ntex::http::StatusCode::from_u16(status)
         .unwrap_or(ntex::http::StatusCode::INTERNAL_SERVER_ERROR);
     HttpResponse::build(status).json(body)
--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -13,10 +13,10 @@
 use tokio::time::{sleep, timeout};
 
 /// Connections of peers at one time; more are closed at once.
-const MAX_PEERS: usize = 4_096;
+const MAX_PEER_CONNECTIONS: usize = 4_096;
 
 /// How often the key file is read again.
-const KEY_REFRESH: Duration = Duration::from_secs(1);
+const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a peer may take to say what its connection is for.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
@@ -40,7 +40,7 @@
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        if Rc::strong_count(&open) > MAX_PEERS {
+        if Rc::strong_count(&open) > MAX_PEER_CONNECTIONS {
             continue;
         }
         let held = open.clone();
@@ -69,11 +69,11 @@
 
 /// Reads the key file again and again on a thread of its own, so that keys roll without a stop.
 /// A wrong file is reported once and the old keys stay.
-pub fn refresh_keys(keys: PeerKeyRing, path: PathBuf) {
+pub fn watch_key_file(keys: PeerKeyRing, path: PathBuf) {
     std::thread::spawn(move || {
         let mut last_fault = String::new();
         loop {
-            std::thread::sleep(KEY_REFRESH);
+            std::thread::sleep(KEY_RELOAD_INTERVAL);
             let fault = match keys.reload(&path) {
                 Ok(()) => String::new(),
                 Err(error) => error.to_string(),
--- a/crates/daemon/src/setting.rs
+++ b/crates/daemon/src/setting.rs
@@ -57,7 +57,7 @@
     }
 
     /// Takes a result, noting its error as a fault.
-    pub fn take<T, E: fmt::Display>(
+    pub fn check_result<T, E: fmt::Display>(
         &mut self,
         result: Result<T, E>,
         flag: &'static str,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -28,7 +28,7 @@
     }
 
     /// Resolves when one has come, also before this call.
-    pub async fn requested(&mut self) {
+    pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/crates/directory/src/first_form/tests.rs
+++ b/crates/directory/src/first_form/tests.rs
@@ -1,5 +1,5 @@
 use fastrand::Rng;
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 
 use super::*;
 use crate::message::tests::{hex, report, target, update};
@@ -74,30 +74,30 @@
 /// What either build writes is read for what it is, with all that the form has.
 #[test]
 fn the_first_message_tells_the_form_of_any_update() {
-    let tell = MessageForm::tell::<DirectoryUpdate, FirstUpdate>;
+    let tell = MessageVersion::detect::<DirectoryUpdate, FirstUpdate>;
     for seed in 0..5_000 {
         let update = any_update(&mut Rng::with_seed(seed));
         let second = postcard::to_stdvec(&update).unwrap();
         let (read, form) = tell(&second).unwrap();
-        assert_eq!(form, Some(MessageForm::Second), "seed {seed}");
+        assert_eq!(form, Some(MessageVersion::V2), "seed {seed}");
         assert_eq!(hex(&read), hex(&update), "seed {seed}");
         let first = FirstUpdate::from(update);
         let bytes = postcard::to_stdvec(&first).unwrap();
         let (read, form) = tell(&bytes).unwrap();
-        assert_eq!(form, Some(MessageForm::First), "seed {seed}");
+        assert_eq!(form, Some(MessageVersion::V1), "seed {seed}");
         assert_eq!(FirstUpdate::from(read), first, "seed {seed}");
     }
 }
 
 #[test]
 fn the_first_report_tells_the_form_and_reads_the_same_with_what_stands_behind_it() {
-    let tell = MessageForm::tell::<SubscriberReport, FirstReport>;
+    let tell = MessageVersion::detect::<SubscriberReport, FirstReport>;
     let mut told = report();
     for suspects in [told.suspects.clone(), Vec::new()] {
         told.suspects = suspects;
         let second = postcard::to_stdvec(&told).unwrap();
         let (read, form) = tell(&second).unwrap();
-        assert_eq!((hex(&read), form), (hex(&told), Some(MessageForm::Second)));
+        assert_eq!((hex(&read), form), (hex(&told), Some(MessageVersion::V2)));
         // As a build that knows the first form reads it.
         let first = first_report(told.clone());
         assert_eq!(postcard::from_bytes::<FirstReport>(&second).unwrap(), first);
@@ -105,19 +105,19 @@
         let (read, form) = tell(&bytes).unwrap();
         assert_eq!(
             (first_report(read), form),
-            (first, Some(MessageForm::First))
+            (first, Some(MessageVersion::V1))
         );
     }
 }
 
 #[test]
 fn bytes_that_are_neither_form_are_refused() {
-    let tell = MessageForm::tell::<DirectoryUpdate, FirstUpdate>;
+    let tell = MessageVersion::detect::<DirectoryUpdate, FirstUpdate>;
     let whole = postcard::to_stdvec(&update()).unwrap();
     for length in 0..whole.len() {
         // Cut anywhere, it is not taken for a message of the second form.
         if let Ok((_, form)) = tell(&whole[..length]) {
-            assert_eq!(form, Some(MessageForm::First), "{length} bytes");
+            assert_eq!(form, Some(MessageVersion::V1), "{length} bytes");
         }
     }
     assert!(tell(&[]).is_err());
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -15,7 +15,7 @@
 use linnet_rollout::PhaseCounts;
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::{
-    MessageForm, PeerGreeting, PeerIdentity, PeerReader, PeerWriter, WireError, connect_peer,
+    MessageVersion, PeerGreeting, PeerIdentity, PeerReader, PeerWriter, WireError, connect_peer,
 };
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -131,9 +131,9 @@
     }
 
     /// Notes the form that a control host has announced.
-    fn note_build(&self, address: SocketAddr, form: Option<MessageForm>) {
+    fn note_build(&self, address: SocketAddr, form: Option<MessageVersion>) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
-            host.earlier = form < Some(MessageForm::Third);
+            host.earlier = form < Some(MessageVersion::V3);
         }
     }
 
@@ -258,7 +258,7 @@
             let detail = format!("have_version={}", following.held_version());
             record(config, EventCode::ControlFollowed, address, detail);
             following.note_connection(address, true);
-            following.note_build(address, reader.form());
+            following.note_build(address, reader.message_version());
             let ended = tokio::select! {
                 ended = exchange(&following, address, reader, writer) => ended,
                 () = following.until_dropped(address) => Ok(()),
@@ -302,8 +302,8 @@
     };
     writer.send(&hello).await?;
     Ok((
-        reader.with_silence_limit(SILENCE_LIMIT),
-        writer.with_silence_limit(SILENCE_LIMIT),
+        reader.with_silence_timeout(SILENCE_LIMIT),
+        writer.with_silence_timeout(SILENCE_LIMIT),
     ))
 }
 
@@ -362,12 +362,12 @@
     address: SocketAddr,
     reader: &mut PeerReader,
 ) -> Result<DirectoryUpdate, WireError> {
-    let known = reader.form();
+    let known = reader.message_version();
     let (update, tail, rates) = reader
-        .receive_tailed::<DirectoryUpdate, FirstUpdate, UpdateTail, Vec<RateWord>>()
+        .receive_with_tails::<DirectoryUpdate, FirstUpdate, UpdateTail, Vec<RateWord>>()
         .await?;
     let update = update.with_tails(tail, rates);
-    if let (None, Some(form)) = (known, reader.form()) {
+    if let (None, Some(form)) = (known, reader.message_version()) {
         let detail = format!("peer={} form={form}", reader.peer());
         record(&following.config, EventCode::PeerEarlier, address, detail);
     }
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -8,7 +8,7 @@
 use linnet_quarantine::SuspectBook;
 use linnet_rate::RateBook;
 use linnet_rollout::{EvidenceBook, ExposureRule};
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 
 use super::suspects::LivingTargets;
 use crate::{DocumentWant, GatewayRecord, OwnGateways, Registry};
@@ -26,7 +26,7 @@
     /// Whether it wants to be told of targets and entry hosts by this control host.
     pub(crate) lists: bool,
     /// The form of its messages; nothing until its first report has told that.
-    pub(crate) form: Option<MessageForm>,
+    pub(crate) form: Option<MessageVersion>,
 }
 
 #[derive(Default)]
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -6,7 +6,7 @@
 
 use linnet_quarantine::{EndKey, RequestKey, SuspectRecord};
 use linnet_telemetry::EventCode;
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::time::sleep;
 
 use super::{DirectoryNode, NodeState};
@@ -57,19 +57,19 @@
     /// Says whether a control host is known that speaks the first form only.
     pub(super) fn has_first_form_control(&self) -> bool {
         let mut subscribers = self.subscribers.values();
-        subscribers.any(|one| one.control && one.form == Some(MessageForm::First))
+        subscribers.any(|one| one.control && one.form == Some(MessageVersion::V1))
     }
 
     /// Says whether all control hosts that are connected know of roll-outs.
     pub(super) fn knows_rollouts(&self) -> bool {
         let mut controls = self.subscribers.values().filter(|one| one.control);
-        controls.all(|one| one.form >= Some(MessageForm::Third))
+        controls.all(|one| one.form >= Some(MessageVersion::V3))
     }
 }
 
 impl DirectoryNode {
     /// Notes the form that a subscriber speaks, which it did not announce.
-    pub(crate) fn note_form(&self, subscriber: u64, peer: &str, form: MessageForm) {
+    pub(crate) fn note_form(&self, subscriber: u64, peer: &str, form: MessageVersion) {
         if let Some(known) = self.lock().subscribers.get_mut(&subscriber) {
             known.form = Some(form);
         }
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -8,7 +8,7 @@
 use linnet_clock::BootInstant;
 use linnet_rate::RateWord;
 use linnet_rollout::RolloutBook;
-use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
+use linnet_wire::{MessageVersion, PeerReader, PeerWriter, WireError};
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 
@@ -88,12 +88,12 @@
     reader: PeerReader,
     writer: PeerWriter,
 ) -> Result<(), WireError> {
-    let mut reader = reader.with_silence_limit(SILENCE_LIMIT);
-    let writer = writer.with_silence_limit(SILENCE_LIMIT);
+    let mut reader = reader.with_silence_timeout(SILENCE_LIMIT);
+    let writer = writer.with_silence_timeout(SILENCE_LIMIT);
     let hello: SubscriberHello = reader.receive().await?;
     let wanted = Arc::new(Notify::new());
-    let (told, form) = watch::channel(reader.form());
-    let number = add_subscriber(node, &hello, reader.form());
+    let (told, form) = watch::channel(reader.message_version());
+    let number = add_subscriber(node, &hello, reader.message_version());
     let taking = take_reports(node, number, &wanted, told, reader);
     let pushing = push_updates(node, number, &hello, &wanted, form, writer);
     // Either half ending means that the subscriber is lost.
@@ -105,7 +105,11 @@
     outcome
 }
 
-fn add_subscriber(node: &DirectoryNode, hello: &SubscriberHello, form: Option<MessageForm>) -> u64 {
+fn add_subscriber(
+    node: &DirectoryNode,
+    hello: &SubscriberHello,
+    form: Option<MessageVersion>,
+) -> u64 {
     let mut state = node.lock();
     state.next_subscriber += 1;
     let number = state.next_subscriber;
@@ -136,7 +140,7 @@
     node: &DirectoryNode,
     number: u64,
     wanted: &Notify,
-    told: watch::Sender<Option<MessageForm>>,
+    told: watch::Sender<Option<MessageVersion>>,
     mut reader: PeerReader,
 ) -> Result<(), WireError> {
     loop {
@@ -174,17 +178,17 @@
 async fn receive_report(
     node: &DirectoryNode,
     number: u64,
-    told: &watch::Sender<Option<MessageForm>>,
+    told: &watch::Sender<Option<MessageVersion>>,
     reader: &mut PeerReader,
 ) -> Result<SubscriberReport, WireError> {
-    let known = reader.form();
+    let known = reader.message_version();
     let (mut report, tail, rates) = reader
-        .receive_tailed::<SubscriberReport, FirstReport, ReportTail, Vec<RateWord>>()
+        .receive_with_tails::<SubscriberReport, FirstReport, ReportTail, Vec<RateWord>>()
         .await?;
     report.rates = rates;
     report.start = tail.start;
     report.counted = tail.counted;
-    if let (None, Some(form)) = (known, reader.form()) {
+    if let (None, Some(form)) = (known, reader.message_version()) {
         node.note_form(number, reader.peer(), form);
         told.send_replace(Some(form));
     }
@@ -196,7 +200,7 @@
     subscriber: u64,
     hello: &SubscriberHello,
     wanted: &Notify,
-    mut form: watch::Receiver<Option<MessageForm>>,
+    mut form: watch::Receiver<Option<MessageVersion>>,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
     // Whoever takes the reports is gone, and with it the subscriber, where none came.
@@ -255,10 +259,10 @@
 
 async fn send_update(
     writer: &mut PeerWriter,
-    form: Option<MessageForm>,
+    form: Option<MessageVersion>,
     update: &DirectoryUpdate,
 ) -> Result<(), WireError> {
-    if form == Some(MessageForm::First) {
+    if form == Some(MessageVersion::V1) {
         return writer.send(&FirstUpdate::from(update.clone())).await;
     }
     match update.tail() {
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use linnet_daemon::{OpsContext, StopSignals, accept_peers, exit_code, ops_routes, refresh_keys};
+use linnet_daemon::{OpsContext, StopSignals, accept_peers, exit_code, ops_routes, watch_key_file};
 use linnet_dispatch::{QuotaTable, RetryBudget, TargetDispatcher};
 use linnet_feed::{TableFeed, serve_follower};
 use linnet_telemetry::{EventCode, EventRecorder, HybridClock};
@@ -62,7 +62,7 @@
     let registry = Arc::new(Mutex::new(Registry::with_prefix("linnet_entry")));
     let (link, call_queues) = ControlLink::new();
     let entry = Arc::new(build_context(&checked, clock, link.clone(), &registry)?);
-    refresh_keys(checked.keys, settings.peer_keys.clone());
+    watch_key_file(checked.keys, settings.peer_keys.clone());
 
     let peers: Vec<_> = settings
         .hall_peers
@@ -119,7 +119,7 @@
     );
     entry.recorder.record(EventCode::ProcessStarted, "", detail);
 
-    signals.requested().await;
+    signals.wait().await;
     drain(&entry, &settings).await;
     caller_server.stop(true).await;
     ops_server.stop(true).await;
--- a/crates/entry/src/ops.rs
+++ b/crates/entry/src/ops.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use linnet_daemon::{OpsContext, error_body, json_reply};
+use linnet_daemon::{OpsContext, error_body, json_response};
 use linnet_dispatch::{PoolReport, TargetReport};
 use ntex::web::types::State;
 use ntex::web::{self, HttpRequest, HttpResponse};
@@ -49,8 +49,8 @@
     entry: State<Arc<EntryContext>>,
     view: State<Arc<HallView>>,
 ) -> HttpResponse {
-    if !ops.keys.admits(&request) {
-        return json_reply(
+    if !ops.keys.authorizes(&request) {
+        return json_response(
             401,
             &error_body("unauthorized", "an operator's key is needed"),
         );
@@ -77,5 +77,5 @@
         pools,
         targets,
     };
-    json_reply(200, &status)
+    json_response(200, &status)
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -114,19 +114,19 @@
             self.deferred_lease_ms,
             "500 to 600000",
         );
-        let keys = check.take(
+        let keys = check.check_result(
             PeerKeyRing::load(&self.peer_keys),
             "--peer-keys",
             self.peer_keys.display(),
         );
-        let operators = check.take(
+        let operators = check.check_result(
             OperatorKeys::parse(&self.operator_digests),
             "--operator-digests",
             &self.operator_digests,
         );
         let policy = PolicyChoice::find(&self.policy)
             .ok_or_else(|| format!("one of {}", PolicyChoice::NAMES.join(", ")));
-        let policy = check.take(policy, "--policy", &self.policy);
+        let policy = check.check_result(policy, "--policy", &self.policy);
         match (keys, operators, policy) {
             (Some(keys), Some(operators), Some(policy)) if check.faults().is_empty() => {
                 Ok(CheckedEntry {
--- a/crates/entry/src/shares.rs
+++ b/crates/entry/src/shares.rs
@@ -77,7 +77,7 @@
     let hall = view.hall_size();
     let facts = |own_demand, heard_demand| ShareFacts {
         // Until the fleet is known the hall counts as the whole of it.
-        fleet: entry.feed.fleet().max(hall),
+        fleet: entry.feed.entry_host_count().max(hall),
         hall,
         heard: heard.hosts,
         own_demand,
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -7,11 +7,11 @@
 use linnet_table::{ChangeRefusal, RowKey, TableChange, TableStore, VersionedRow};
 use tokio::sync::watch;
 
-/// Changes that are kept for followers which are a little behind.
-const KEPT_CHANGES: usize = 1_024;
+/// Changes that are retained for followers which are a little behind.
+const MAX_RETAINED_CHANGES: usize = 1_024;
 
-/// Rows that the kept changes may have together; more are dropped from the oldest on.
-const KEPT_ROWS: usize = 20_000;
+/// Rows that the retained changes may have together; more are dropped from the oldest on.
+const MAX_RETAINED_ROWS: usize = 20_000;
 
 /// What a follower at some version needs next.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 }
 
 /// A change with the version that it made and its number of rows.
-struct KeptChange {
+struct RetainedChange {
     version: u64,
     rows: usize,
     change: Arc<TableChange>,
@@ -43,17 +43,17 @@
 }
 
 /// Rows of an image that one message carries.
-const IMAGE_ROWS: usize = 2_000;
+const MAX_ROWS_PER_PART: usize = 2_000;
 
 /// The table in force, the newest changes, and a signal for those who wait for the next.
 ///
 /// Invariant: the version seen by any reader never falls, but for [`TableFeed::restore`].
 pub struct TableFeed {
     table: RwLock<TableStore>,
-    kept: Mutex<VecDeque<KeptChange>>,
+    retained: Mutex<VecDeque<RetainedChange>>,
     image: Mutex<Weak<TableImage>>,
     version: watch::Sender<u64>,
-    fleet: AtomicU32,
+    entry_host_count: AtomicU32,
 }
 
 impl Default for TableFeed {
@@ -67,10 +67,10 @@
     pub fn new() -> Self {
         Self {
             table: RwLock::new(TableStore::new()),
-            kept: Mutex::new(VecDeque::new()),
+            retained: Mutex::new(VecDeque::new()),
             image: Mutex::new(Weak::new()),
             version: watch::Sender::new(0),
-            fleet: AtomicU32::new(0),
+            entry_host_count: AtomicU32::new(0),
         }
     }
 
@@ -85,13 +85,13 @@
     }
 
     /// Returns how many entry hosts live in the whole fleet; 0 for unknown.
-    pub fn fleet(&self) -> u32 {
-        self.fleet.load(Ordering::Relaxed)
+    pub fn entry_host_count(&self) -> u32 {
+        self.entry_host_count.load(Ordering::Relaxed)
     }
 
     /// Sets how many entry hosts live in the whole fleet.
-    pub fn set_fleet(&self, hosts: u32) {
-        self.fleet.store(hosts, Ordering::Relaxed);
+    pub fn set_entry_host_count(&self, hosts: u32) {
+        self.entry_host_count.store(hosts, Ordering::Relaxed);
     }
 
     /// Returns a receiver that wakes with each version.
@@ -104,14 +104,14 @@
     /// # Errors
     ///
     /// [`ChangeRefusal`]; the table is as it was.
-    pub fn decide(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
+    pub fn apply_change(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
         let version = self.write().apply(change)?;
-        self.keep(version, change.clone());
+        self.retain_change(version, change.clone());
         Ok(version)
     }
 
     /// Takes a change that another process has checked; false when it is not the next one.
-    pub fn take_change(&self, version: u64, change: TableChange) -> bool {
+    pub fn apply_checked_change(&self, version: u64, change: TableChange) -> bool {
         {
             let mut table = self.write();
             if version != table.version() + 1 {
@@ -119,12 +119,12 @@
             }
             table.apply_checked(&change, version);
         }
-        self.keep(version, change);
+        self.retain_change(version, change);
         true
     }
 
     /// Puts a whole table in force; false when it is not newer.
-    pub fn take_image(&self, image: TableStore) -> bool {
+    pub fn apply_image(&self, image: TableStore) -> bool {
         let version = image.version();
         {
             let mut table = self.write();
@@ -133,7 +133,7 @@
             }
             *table = image;
         }
-        self.lock_kept().clear();
+        self.lock_retained().clear();
         self.version.send_replace(version);
         true
     }
@@ -142,17 +142,17 @@
     pub fn restore(&self, image: TableStore) {
         let version = image.version();
         *self.write() = image;
-        self.lock_kept().clear();
+        self.lock_retained().clear();
         self.version.send_replace(version);
     }
 
     /// Returns what a follower at a version needs next.
-    pub fn step_after(&self, version: u64) -> FeedStep {
+    pub fn next_step(&self, version: u64) -> FeedStep {
         if version >= self.version() {
             return FeedStep::Current;
         }
-        let kept = self.lock_kept();
-        let deltas: Vec<_> = kept
+        let retained = self.lock_retained();
+        let deltas: Vec<_> = retained
             .iter()
             .filter(|entry| entry.version > version)
             .map(|entry| (entry.version, entry.change.clone()))
@@ -177,7 +177,7 @@
         let image = Arc::new(TableImage {
             version: table.version(),
             parts: rows
-                .chunks(IMAGE_ROWS)
+                .chunks(MAX_ROWS_PER_PART)
                 .map(<[VersionedRow]>::to_vec)
                 .collect(),
             tombstones: table.tombstones(),
@@ -186,23 +186,23 @@
         image
     }
 
-    fn keep(&self, version: u64, change: TableChange) {
+    fn retain_change(&self, version: u64, change: TableChange) {
         let rows = change.upserts.len() + change.deletes.len();
         let change = Arc::new(change);
-        let mut kept = self.lock_kept();
-        kept.push_back(KeptChange {
+        let mut retained = self.lock_retained();
+        retained.push_back(RetainedChange {
             version,
             rows,
             change,
         });
-        let mut total: usize = kept.iter().map(|entry| entry.rows).sum();
-        while kept.len() > KEPT_CHANGES || total > KEPT_ROWS {
-            match kept.pop_front() {
+        let mut total: usize = retained.iter().map(|entry| entry.rows).sum();
+        while retained.len() > MAX_RETAINED_CHANGES || total > MAX_RETAINED_ROWS {
+            match retained.pop_front() {
                 Some(oldest) => total -= oldest.rows,
                 None => break,
             }
         }
-        drop(kept);
+        drop(retained);
         self.version.send_replace(version);
     }
 
@@ -210,7 +210,7 @@
         self.table.write().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_kept(&self) -> std::sync::MutexGuard<'_, VecDeque<KeptChange>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_retained(&self) -> std::sync::MutexGuard<'_, VecDeque<RetainedChange>> {
+        self.retained.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/feed/src/follow.rs
+++ b/crates/feed/src/follow.rs
@@ -8,11 +8,11 @@
 use linnet_wire::{PeerGreeting, PeerIdentity, PeerReader, PeerWriter, WireError, connect_peer};
 use tokio::time::sleep;
 
-use crate::serve::IDLE_PERIOD;
+use crate::serve::HEARTBEAT_INTERVAL;
 use crate::{FeedMessage, FollowHello, FollowReport, TableFeed};
 
 /// A source from which no byte came for so long is taken as gone or cut off.
-const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
+const SOURCE_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why following a source ended.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     }
 }
 
-/// Follows one source until it is lost. `heard` runs with the source's version for each message,
+/// Follows one source until it is lost. `on_version` runs with the source's version for each message,
 /// `report` gives what is told to the source now and then.
 ///
 /// # Errors
@@ -50,17 +50,17 @@
     feed: &TableFeed,
     identity: &PeerIdentity,
     source: SocketAddr,
-    heard: impl Fn(u64),
+    on_version: impl Fn(u64),
     report: impl Fn() -> FollowReport,
 ) -> Result<(), FollowError> {
     let (reader, writer) = connect_peer(identity, source).await?;
-    let reader = reader.with_silence_limit(SOURCE_TIMEOUT);
-    let mut writer = writer.with_silence_limit(SOURCE_TIMEOUT);
+    let reader = reader.with_silence_timeout(SOURCE_SILENCE_TIMEOUT);
+    let mut writer = writer.with_silence_timeout(SOURCE_SILENCE_TIMEOUT);
     writer.send(&PeerGreeting::Follow).await?;
     let have_version = feed.version();
     writer.send(&FollowHello { have_version }).await?;
     tokio::select! {
-        result = take_messages(feed, reader, heard) => result,
+        result = receive_messages(feed, reader, on_version) => result,
         result = send_reports(writer, report) => result,
     }
 }
@@ -71,24 +71,24 @@
 ) -> Result<(), FollowError> {
     loop {
         writer.send(&report()).await?;
-        sleep(IDLE_PERIOD).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn take_messages(
+async fn receive_messages(
     feed: &TableFeed,
     mut reader: PeerReader,
-    heard: impl Fn(u64),
+    on_version: impl Fn(u64),
 ) -> Result<(), FollowError> {
     let mut image: Option<TableStore> = None;
     loop {
         match reader.receive::<FeedMessage>().await? {
             FeedMessage::Delta { version, change } => {
                 // A change that another source brought already is passed over.
-                if version > feed.version() && !feed.take_change(version, change) {
+                if version > feed.version() && !feed.apply_checked_change(version, change) {
                     return Err(FollowError::OutOfOrder);
                 }
-                heard(version);
+                on_version(version);
             }
             FeedMessage::ImageStart => image = Some(TableStore::new()),
             FeedMessage::ImageRows(rows) => match &mut image {
@@ -101,12 +101,15 @@
             } => {
                 let mut whole = image.take().ok_or(FollowError::OutOfOrder)?;
                 whole.finish_image(version, tombstones);
-                feed.take_image(whole);
-                heard(version);
+                feed.apply_image(whole);
+                on_version(version);
             }
-            FeedMessage::Idle { version, fleet } => {
-                feed.set_fleet(fleet);
-                heard(version);
+            FeedMessage::Heartbeat {
+                version,
+                entry_hosts,
+            } => {
+                feed.set_entry_host_count(entry_hosts);
+                on_version(version);
             }
         }
     }
--- a/crates/feed/src/message.rs
+++ b/crates/feed/src/message.rs
@@ -54,10 +54,10 @@
         tombstones: Vec<(RowKey, u64)>,
     },
     /// Nothing new; the source lives and has this version.
-    Idle {
+    Heartbeat {
         /// The version of the source.
         version: u64,
         /// Entry hosts that live in the whole fleet, as far as the source knows; 0 for unknown.
-        fleet: u32,
+        entry_hosts: u32,
     },
 }
--- a/crates/feed/src/serve.rs
+++ b/crates/feed/src/serve.rs
@@ -9,10 +9,10 @@
 use crate::{FeedMessage, FeedStep, FollowHello, FollowReport, TableFeed};
 
 /// How long a source stays silent.
-pub(crate) const IDLE_PERIOD: Duration = Duration::from_secs(1);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A follower from which no byte came, or that took none, for so long is taken as gone.
-const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(10);
+const FOLLOWER_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves one follower until its connection ends. `on_report` takes what the follower tells.
 ///
@@ -25,11 +25,11 @@
     writer: PeerWriter,
     on_report: impl Fn(FollowReport),
 ) -> Result<(), WireError> {
-    let mut reader = reader.with_silence_limit(FOLLOWER_TIMEOUT);
-    let writer = writer.with_silence_limit(FOLLOWER_TIMEOUT);
+    let mut reader = reader.with_silence_timeout(FOLLOWER_SILENCE_TIMEOUT);
+    let writer = writer.with_silence_timeout(FOLLOWER_SILENCE_TIMEOUT);
     let hello: FollowHello = reader.receive().await?;
     let pushing = push_changes(feed, hello.have_version, writer);
-    let reports = take_reports(reader, on_report);
+    let reports = receive_reports(reader, on_report);
     // Whichever ends first ends the connection: both halves are dropped together.
     tokio::select! {
         result = pushing => result,
@@ -37,7 +37,7 @@
     }
 }
 
-async fn take_reports(
+async fn receive_reports(
     mut reader: PeerReader,
     on_report: impl Fn(FollowReport),
 ) -> Result<(), WireError> {
@@ -54,7 +54,7 @@
     let mut versions = feed.subscribe();
     loop {
         versions.mark_unchanged();
-        match feed.step_after(sent) {
+        match feed.next_step(sent) {
             FeedStep::Deltas(deltas) => {
                 for (version, change) in deltas {
                     let change = change.as_ref().clone();
@@ -64,9 +64,17 @@
             }
             FeedStep::Image => sent = push_image(feed, &mut writer).await?,
             FeedStep::Current => {
-                if timeout(IDLE_PERIOD, versions.changed()).await.is_err() {
-                    let (version, fleet) = (feed.version(), feed.fleet());
-                    writer.send(&FeedMessage::Idle { version, fleet }).await?;
+                if timeout(HEARTBEAT_INTERVAL, versions.changed())
+                    .await
+                    .is_err()
+                {
+                    let (version, entry_hosts) = (feed.version(), feed.entry_host_count());
+                    writer
+                        .send(&FeedMessage::Heartbeat {
+                            version,
+                            entry_hosts,
+                        })
+                        .await?;
                 }
             }
         }
--- a/crates/gateway/src/first_form.rs
+++ b/crates/gateway/src/first_form.rs
@@ -4,7 +4,7 @@
 mod reply;
 mod request;
 
-use linnet_wire::{MessageForm, PeerWriter, WireError};
+use linnet_wire::{MessageVersion, PeerWriter, WireError};
 
 use crate::piece_message::{PieceReply, PieceRequest};
 
@@ -21,11 +21,11 @@
 /// [`WireError`] of the connection.
 pub(crate) fn queue_request(
     writer: &mut PeerWriter,
-    form: MessageForm,
+    form: MessageVersion,
     request: &PieceRequest,
 ) -> Result<bool, WireError> {
     match form {
-        MessageForm::First => first_request(request).map_or(Ok(false), |told| writer.queue(&told)),
+        MessageVersion::V1 => first_request(request).map_or(Ok(false), |told| writer.queue(&told)),
         _ if form < request.first_known() => Ok(false),
         _ => writer.queue(request),
     }
@@ -38,11 +38,11 @@
 /// [`WireError`] of the connection.
 pub(crate) fn queue_reply(
     writer: &mut PeerWriter,
-    form: MessageForm,
+    form: MessageVersion,
     reply: &PieceReply,
 ) -> Result<bool, WireError> {
     match form {
-        MessageForm::First => first_reply(reply).map_or(Ok(false), |told| writer.queue(&told)),
+        MessageVersion::V1 => first_reply(reply).map_or(Ok(false), |told| writer.queue(&told)),
         _ => writer.queue(reply),
     }
 }
--- a/crates/gateway/src/first_form/tests.rs
+++ b/crates/gateway/src/first_form/tests.rs
@@ -22,7 +22,7 @@
 /// Those of the same bytes in both forms leave it open; no other may be taken for what it is not.
 #[test]
 fn a_first_request_tells_the_form_unless_it_reads_alike() {
-    let tell = MessageForm::tell::<PieceRequest, FirstRequest>;
+    let tell = MessageVersion::detect::<PieceRequest, FirstRequest>;
     for request in requests() {
         let bytes = postcard::to_allocvec(&request).unwrap();
         let (read, form) = tell(&bytes).unwrap();
@@ -31,25 +31,25 @@
             .as_ref()
             .map(|one| postcard::to_allocvec(one).unwrap());
         let alike = first_bytes.as_ref() == Some(&bytes);
-        let second = (!alike).then_some(MessageForm::Second);
+        let second = (!alike).then_some(MessageVersion::V2);
         assert_eq!((hex(&read), form), (hex(&request), second));
         let Some((first, bytes)) = first.zip(first_bytes) else {
             continue;
         };
         let (read, form) = tell(&bytes).unwrap();
         assert_eq!(first_request(&read), Some(first), "{request:?}");
-        assert_eq!(form, (!alike).then_some(MessageForm::First), "{request:?}");
+        assert_eq!(form, (!alike).then_some(MessageVersion::V1), "{request:?}");
     }
 }
 
 #[test]
 fn a_sign_of_life_tells_the_form_of_the_one_that_gathers() {
-    let tell = MessageForm::tell::<PieceReply, FirstReply>;
+    let tell = MessageVersion::detect::<PieceReply, FirstReply>;
     for reply in replies() {
         let bytes = postcard::to_allocvec(&reply).unwrap();
         let (read, form) = tell(&bytes).unwrap();
         let first = first_reply(&reply).map(|one| postcard::to_allocvec(&one).unwrap());
-        let second = (first.as_ref() != Some(&bytes)).then_some(MessageForm::Second);
+        let second = (first.as_ref() != Some(&bytes)).then_some(MessageVersion::V2);
         assert_eq!((hex(&read), form), (hex(&reply), second));
         // Before anything was asked only these come.
         let Some(first @ (FirstReply::Alive { .. } | FirstReply::Uses { .. })) =
@@ -59,7 +59,7 @@
         };
         let bytes = postcard::to_allocvec(&first).unwrap();
         let (read, form) = tell(&bytes).unwrap();
-        assert_eq!(form, Some(MessageForm::First), "{reply:?}");
+        assert_eq!(form, Some(MessageVersion::V1), "{reply:?}");
         assert_eq!(first_reply(&read), Some(first));
     }
 }
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -1,7 +1,7 @@
 //! What entry hosts tell each other of pieces and prompts.
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use serde::{Deserialize, Serialize};
 
 use crate::engine::{PlaceAsk, PlaceFacts};
@@ -63,10 +63,10 @@
 
 impl PieceRequest {
     /// Returns the first form after the first one that knows it.
-    pub(crate) fn first_known(&self) -> MessageForm {
+    pub(crate) fn first_known(&self) -> MessageVersion {
         match self {
-            Self::TakeRate { .. } => MessageForm::Fourth,
-            _ => MessageForm::Second,
+            Self::TakeRate { .. } => MessageVersion::V4,
+            _ => MessageVersion::V2,
         }
     }
 }
--- a/crates/gateway/src/rate_watch.rs
+++ b/crates/gateway/src/rate_watch.rs
@@ -13,7 +13,7 @@
 use linnet_rate::{
     ChangedRates, NamedRate, RateBook, RateChange, RatePacer, RateWord, StartChange,
 };
-use linnet_telemetry::{EventCode, EventRecorder, NoticeLine, NoticeStanding};
+use linnet_telemetry::{EventCode, EventRecorder, NoticeLine, NoticeState};
 use tokio::sync::watch;
 
 use crate::notice::RateNotice;
@@ -262,8 +262,8 @@
         NoticeLine {
             target: target.to_owned(),
             service: self.service_of(target),
-            standing: NoticeStanding::Reopening,
-            left_ms: 0,
+            state: NoticeState::Reopening,
+            remaining_ms: 0,
             withheld: 0,
             per_second: None,
             sent: 0,
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -7,7 +7,7 @@
 
 use linnet_quarantine::RequestKey;
 use linnet_telemetry::EventCode;
-use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
+use linnet_wire::{MessageVersion, PeerReader, PeerWriter, WireError};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
@@ -35,7 +35,7 @@
 ) -> Result<(), WireError> {
     let (replies, queue) = mpsc::unbounded_channel();
     let peer = reader.peer().to_owned();
-    let (told, form) = watch::channel(reader.form());
+    let (told, form) = watch::channel(reader.message_version());
     let session = PieceSession::new(gateway, replies.clone());
     let work = session.work.clone();
     tokio::select! {
@@ -47,15 +47,15 @@
 
 async fn take_requests(
     mut session: PieceSession,
-    told: watch::Sender<Option<MessageForm>>,
+    told: watch::Sender<Option<MessageVersion>>,
     reader: PeerReader,
 ) -> Result<(), WireError> {
     let mut reader = reader;
     loop {
-        reader = reader.with_silence_limit(session.work.silence_limit());
-        let known = reader.form();
-        let request = reader.receive_formed::<_, FirstRequest>().await?;
-        if let (None, Some(form)) = (known, reader.form()) {
+        reader = reader.with_silence_timeout(session.work.silence_limit());
+        let known = reader.message_version();
+        let request = reader.receive_versioned::<_, FirstRequest>().await?;
+        if let (None, Some(form)) = (known, reader.message_version()) {
             session.note_form(reader.peer(), form);
             told.send_replace(Some(form));
         }
@@ -123,7 +123,7 @@
     }
 
     /// Notes the form that the other host speaks, which it did not announce.
-    fn note_form(&self, peer: &str, form: MessageForm) {
+    fn note_form(&self, peer: &str, form: MessageVersion) {
         let detail = format!("peer={peer} form={form}");
         self.gateway.note(EventCode::PeerEarlier, &detail);
     }
@@ -325,7 +325,7 @@
 async fn send_replies(
     gateway: &Gateway,
     work: &SessionWork,
-    mut form: watch::Receiver<Option<MessageForm>>,
+    mut form: watch::Receiver<Option<MessageVersion>>,
     mut queue: mpsc::UnboundedReceiver<PieceReply>,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_directory::GatewayRecord;
-use linnet_wire::{MessageForm, PeerIdentity};
+use linnet_wire::{MessageVersion, PeerIdentity};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::coordinator::{Coordinator, SendingShare};
@@ -413,7 +413,7 @@
         ntex::rt::spawn(run_link(self.clone(), address, queue));
         Link {
             state: LinkState::Opening(Instant::now()),
-            form: MessageForm::NEWEST,
+            form: MessageVersion::NEWEST,
             heard: Instant::now(),
             used: Instant::now(),
             held: 0,
@@ -432,7 +432,7 @@
     }
 
     /// Notes that a link is up, and which form the other side speaks.
-    fn mark_up(&self, address: SocketAddr, form: MessageForm) {
+    fn mark_up(&self, address: SocketAddr, form: MessageVersion) {
         if let Some(link) = self.state.borrow_mut().links.get_mut(&address) {
             link.form = form;
         }
@@ -440,7 +440,7 @@
     }
 
     /// Says whether a host speaks a form or a later one, as far as that is known.
-    fn speaks(&self, address: SocketAddr, form: MessageForm) -> bool {
+    fn speaks(&self, address: SocketAddr, form: MessageVersion) -> bool {
         let state = self.state.borrow();
         let link = state.links.get(&address);
         link.is_none_or(|link| link.form >= form)
--- a/crates/gateway/src/stage_client/link.rs
+++ b/crates/gateway/src/stage_client/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use linnet_telemetry::EventCode;
-use linnet_wire::{MessageForm, PeerGreeting, PeerReader, PeerWriter, WireError, connect_peer};
+use linnet_wire::{MessageVersion, PeerGreeting, PeerReader, PeerWriter, WireError, connect_peer};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
@@ -55,9 +55,9 @@
         return Ok(LinkEnd::Lost);
     };
     let (reader, mut writer) = connected?;
-    let mut reader = reader.with_silence_limit(IDLE_SILENCE_LIMIT);
+    let mut reader = reader.with_silence_timeout(IDLE_SILENCE_LIMIT);
     writer.send(&PeerGreeting::Pieces).await?;
-    let form = match reader.form() {
+    let form = match reader.message_version() {
         Some(form) => form,
         None => first_sign(client, address, &mut reader).await?,
     };
@@ -74,10 +74,10 @@
     client: &StageClient,
     address: SocketAddr,
     reader: &mut PeerReader,
-) -> Result<MessageForm, WireError> {
+) -> Result<MessageVersion, WireError> {
     loop {
         take_reply(client, address, reader).await?;
-        if let Some(form) = reader.form() {
+        if let Some(form) = reader.message_version() {
             let detail = format!("peer={} form={form}", reader.peer());
             let recorder = &client.coordinator.recorder;
             recorder.record(EventCode::PeerEarlier, &address.to_string(), detail);
@@ -101,7 +101,7 @@
     address: SocketAddr,
     reader: &mut PeerReader,
 ) -> Result<(), WireError> {
-    let reply = reader.receive_formed::<_, FirstReply>().await?;
+    let reply = reader.receive_versioned::<_, FirstReply>().await?;
     client.note_heard(address);
     match reply {
         PieceReply::Done { number, results } => client.take_done(address, number, results),
@@ -118,7 +118,7 @@
 async fn send_queued(
     client: &StageClient,
     address: SocketAddr,
-    form: MessageForm,
+    form: MessageVersion,
     queue: &mut mpsc::UnboundedReceiver<PieceRequest>,
     mut writer: PeerWriter,
 ) -> Result<LinkEnd, WireError> {
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::sync::{mpsc, oneshot};
 
 use super::{Results, SILENCE_LIMIT};
@@ -28,7 +28,7 @@
 pub(super) struct Link {
     pub(super) state: LinkState,
     /// The form of messages that the other side spoke last.
-    pub(super) form: MessageForm,
+    pub(super) form: MessageVersion,
     /// When the other side was heard last, or something was first waited for since.
     pub(super) heard: Instant,
     /// When something was sent last, beside signs of life.
--- a/crates/gateway/src/stage_client/rate_ask.rs
+++ b/crates/gateway/src/stage_client/rate_ask.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -56,7 +56,7 @@
         // One of an earlier build gives no leave.
         let speaks = |address: &Option<SocketAddr>| {
             let link = address.and_then(|address| state.links.get(&address));
-            link.is_none_or(|link| link.form >= MessageForm::Fourth)
+            link.is_none_or(|link| link.form >= MessageVersion::V4)
         };
         known.retain(|(.., address)| speaks(address));
         if known.iter().any(|(of, ..)| *of == hall) {
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -95,7 +95,7 @@
 fn link(state: LinkState, heard: Instant) -> Link {
     Link {
         state,
-        form: MessageForm::NEWEST,
+        form: MessageVersion::NEWEST,
         heard,
         used: heard,
         held: 0,
--- a/crates/gateway/src/stage_client/turn_ask.rs
+++ b/crates/gateway/src/stage_client/turn_ask.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -34,7 +34,7 @@
         ranked.sort_by_key(|one| Reverse(*one));
         let reached = |address: &Option<SocketAddr>| {
             address.is_none_or(|address| {
-                self.is_reachable(address) && self.speaks(address, MessageForm::Second)
+                self.is_reachable(address) && self.speaks(address, MessageVersion::V2)
             })
         };
         ranked
--- a/crates/gateway/src/target_ask.rs
+++ b/crates/gateway/src/target_ask.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use linnet_clock::BootInstant;
-use linnet_telemetry::{NoticeLine, NoticeStanding};
+use linnet_telemetry::{NoticeLine, NoticeState};
 
 /// By how much longer than it asked a target is left alone, drawn anew each time, as a part of the time and
 /// at most: hosts that were answered in one moment should not all come back in one.
@@ -174,16 +174,16 @@
     pub(crate) fn line(&self, target: &str, now: BootInstant) -> NoticeLine {
         let (standing, left) = match self.standing(now) {
             TargetStanding::Open | TargetStanding::Paced(_) => {
-                (NoticeStanding::Reopening, Duration::ZERO)
+                (NoticeState::Reopening, Duration::ZERO)
             }
-            TargetStanding::BackedOff(left) => (NoticeStanding::BackedOff, left),
-            TargetStanding::Leaving => (NoticeStanding::Leaving, Duration::ZERO),
+            TargetStanding::BackedOff(left) => (NoticeState::BackedOff, left),
+            TargetStanding::Leaving => (NoticeState::Leaving, Duration::ZERO),
         };
         NoticeLine {
             target: target.to_owned(),
             service: self.service.clone(),
-            standing,
-            left_ms: left.as_millis() as u64,
+            state: standing,
+            remaining_ms: left.as_millis() as u64,
             withheld: self.back_off.map_or(0, |one| one.withheld),
             per_second: None,
             sent: 0,
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -30,7 +30,7 @@
 pub enum JournalError {
     /// Another process holds the folder.
     #[display("{step}: {} is held by another process", path.display())]
-    Held {
+    Locked {
         /// Always [`JournalStep::Lock`].
         step: JournalStep,
         /// The lock file.
@@ -50,7 +50,7 @@
     },
     /// The disk had no room; nothing of the write was kept and the journal goes on.
     #[display("{step}: no room for {}: {source}", path.display())]
-    Full {
+    DiskFull {
         /// The step that met the full disk.
         step: JournalStep,
         /// The file.
@@ -73,7 +73,7 @@
 impl JournalError {
     /// Says whether the process must end, because the state of the disk is unknown.
     pub fn is_fatal(&self) -> bool {
-        !matches!(self, JournalError::Full { .. })
+        !matches!(self, JournalError::DiskFull { .. })
     }
 
     pub(crate) fn fatal(step: JournalStep, path: &Path, source: io::Error) -> Self {
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -13,7 +13,7 @@
 
 /// Who owns a data folder. A wiped folder gets a new mark, so its replica is a new replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FolderMark {
+pub struct FolderMetadata {
     /// Random number of the replica, made when the folder was blank.
     pub identity: u64,
     /// The cluster that the replica belongs to, once it was formed or joined.
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
-    mark: FolderMark,
+    mark: FolderMetadata,
     _lock: File,
 }
 
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::Held`] when another process has it, [`JournalError::Corrupt`] when its mark
+    /// [`JournalError::Locked`] when another process has it, [`JournalError::Corrupt`] when its mark
     /// cannot be read or records stand in a folder without a mark.
     pub fn open(path: &Path, fresh_identity: u64) -> Result<Self, JournalError> {
         fs::create_dir_all(path)
@@ -60,7 +60,7 @@
     }
 
     /// Returns the mark as it is on the disk.
-    pub fn mark(&self) -> FolderMark {
+    pub fn metadata(&self) -> FolderMetadata {
         self.mark
     }
 
@@ -69,8 +69,8 @@
     /// # Errors
     ///
     /// A fatal error when the mark cannot be written and synced.
-    pub fn join_cluster(&mut self, cluster: u64) -> Result<(), JournalError> {
-        let mark = FolderMark {
+    pub fn set_cluster(&mut self, cluster: u64) -> Result<(), JournalError> {
+        let mark = FolderMetadata {
             cluster: Some(cluster),
             ..self.mark
         };
@@ -87,14 +87,14 @@
         .write(true)
         .open(path)
         .map_err(|error| JournalError::fatal(JournalStep::Lock, path, error))?;
-    lock.try_lock().map_err(|_| JournalError::Held {
+    lock.try_lock().map_err(|_| JournalError::Locked {
         step: JournalStep::Lock,
         path: path.to_owned(),
     })?;
     Ok(lock)
 }
 
-fn read_mark(folder: &Path) -> Result<Option<FolderMark>, JournalError> {
+fn read_mark(folder: &Path) -> Result<Option<FolderMetadata>, JournalError> {
     let path = folder.join(MARK_NAME);
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
@@ -120,7 +120,7 @@
 
 // Records without a mark mean that the mark was lost. Making a new identity over the records of
 // another would let a replica vote twice in one term, so the folder is refused.
-fn blank_mark(folder: &Path, identity: u64) -> Result<FolderMark, JournalError> {
+fn blank_mark(folder: &Path, identity: u64) -> Result<FolderMetadata, JournalError> {
     let holds_records = fs::read_dir(folder)
         .map_err(|error| JournalError::fatal(JournalStep::Recover, folder, error))?
         .filter_map(Result::ok)
@@ -133,14 +133,14 @@
             reason: "records stand in the folder but its mark is gone".to_owned(),
         });
     }
-    Ok(FolderMark {
+    Ok(FolderMetadata {
         identity,
         cluster: None,
         incarnation: 0,
     })
 }
 
-fn write_mark(folder: &Path, mark: &FolderMark) -> Result<(), JournalError> {
+fn write_mark(folder: &Path, mark: &FolderMetadata) -> Result<(), JournalError> {
     let path = folder.join(MARK_NAME);
     let body = postcard::to_stdvec(mark).map_err(|error| {
         JournalError::fatal(JournalStep::Write, &path, std::io::Error::other(error))
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::Full`] when there was no room: nothing was kept and the journal goes on.
+    /// [`JournalError::DiskFull`] when there was no room: nothing was kept and the journal goes on.
     /// A fatal error when a write could not be undone or a sync failed: what is on the disk is
     /// unknown, and a second sync that succeeds would prove nothing.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), JournalError> {
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::Full`] when there was no room: the old generation goes on.
+    /// [`JournalError::DiskFull`] when there was no room: the old generation goes on.
     pub fn compact(&mut self, snapshot: &[u8], records: &[Vec<u8>]) -> Result<(), JournalError> {
         let generation = self.generation + 1;
         let mut frame = Vec::new();
@@ -134,7 +134,7 @@
         let full = source.kind() == io::ErrorKind::StorageFull
             || source.kind() == io::ErrorKind::QuotaExceeded;
         match cut {
-            Ok(()) if full => JournalError::Full {
+            Ok(()) if full => JournalError::DiskFull {
                 step: JournalStep::Write,
                 path: self.path.clone(),
                 source,
@@ -144,7 +144,7 @@
     }
 
     fn compact_error(&self, source: io::Error) -> JournalError {
-        JournalError::Full {
+        JournalError::DiskFull {
             step: JournalStep::Compact,
             path: self.folder.clone(),
             source,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use disk::DiskOps;
 pub use error::{JournalError, JournalStep};
-pub use folder::{DataFolder, FolderMark};
+pub use folder::{DataFolder, FolderMetadata};
 pub use frame::MAX_FRAME_BYTES;
 pub use journal::{Journal, RecoveredJournal};
-pub use writer::{JournalTicket, JournalWriter};
+pub use writer::{CommitReceiver, JournalWriter};
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -11,17 +11,17 @@
 const MAX_GROUP_BYTES: usize = 8 * 1024 * 1024;
 
 /// Resolves when the records are durable, with an error when they were not kept.
-pub type JournalTicket = oneshot::Receiver<Result<(), JournalRefusal>>;
+pub type CommitReceiver = oneshot::Receiver<Result<(), WriteRefusal>>;
 
 /// Why records were not kept; the journal goes on.
-pub type JournalRefusal = String;
+pub type WriteRefusal = String;
 
 enum Job {
-    Append(Vec<Vec<u8>>, oneshot::Sender<Result<(), JournalRefusal>>),
+    Append(Vec<Vec<u8>>, oneshot::Sender<Result<(), WriteRefusal>>),
     Compact(
         Vec<u8>,
         Vec<Vec<u8>>,
-        oneshot::Sender<Result<(), JournalRefusal>>,
+        oneshot::Sender<Result<(), WriteRefusal>>,
     ),
     Resume,
 }
@@ -45,7 +45,7 @@
     }
 
     /// Queues records; all that waits when the disk is free goes into one frame and one sync.
-    pub fn append(&self, records: Vec<Vec<u8>>) -> JournalTicket {
+    pub fn append(&self, records: Vec<Vec<u8>>) -> CommitReceiver {
         let (done, ticket) = oneshot::channel();
         // A closed queue drops `done`, which the ticket reports.
         let _ = self.jobs.send(Job::Append(records, done));
@@ -58,7 +58,7 @@
     }
 
     /// Queues a snapshot together with the records that continue it.
-    pub fn compact(&self, snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> JournalTicket {
+    pub fn compact(&self, snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> CommitReceiver {
         let (done, ticket) = oneshot::channel();
         let _ = self.jobs.send(Job::Compact(snapshot, records, done));
         ticket
@@ -107,7 +107,7 @@
 fn gather_group(
     queue: &Receiver<Job>,
     records: &mut Vec<Vec<u8>>,
-    waiting: &mut Vec<oneshot::Sender<Result<(), JournalRefusal>>>,
+    waiting: &mut Vec<oneshot::Sender<Result<(), WriteRefusal>>>,
 ) -> Option<Job> {
     let mut bytes: usize = records.iter().map(Vec::len).sum();
     while bytes < MAX_GROUP_BYTES {
@@ -126,7 +126,7 @@
 
 fn finish(
     result: Result<(), JournalError>,
-    waiting: Vec<oneshot::Sender<Result<(), JournalRefusal>>>,
+    waiting: Vec<oneshot::Sender<Result<(), WriteRefusal>>>,
 ) -> Result<(), JournalError> {
     let answer = match result {
         Ok(()) => Ok(()),
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -116,7 +116,7 @@
     journal.append(&[record(1)]).unwrap();
     full.store(true, Ordering::Relaxed);
     let refused = journal.append(&[record(2)]).unwrap_err();
-    assert!(matches!(refused, JournalError::Full { .. }));
+    assert!(matches!(refused, JournalError::DiskFull { .. }));
     full.store(false, Ordering::Relaxed);
     journal.append(&[record(3)]).unwrap();
     drop((journal, folder));
@@ -143,7 +143,7 @@
     let dir = tempfile::tempdir().unwrap();
     let _first = DataFolder::open(dir.path(), 1).unwrap();
     let second = DataFolder::open(dir.path(), 2).unwrap_err();
-    assert!(matches!(second, JournalError::Held { .. }));
+    assert!(matches!(second, JournalError::Locked { .. }));
 }
 
 #[test]
@@ -155,8 +155,8 @@
     assert!(matches!(refused, JournalError::Corrupt { .. }));
     fs::remove_file(journal_file(dir.path())).unwrap();
     let wiped = DataFolder::open(dir.path(), 8).unwrap();
-    assert_eq!(wiped.mark().identity, 8);
-    assert_eq!(wiped.mark().cluster, None);
+    assert_eq!(wiped.metadata().identity, 8);
+    assert_eq!(wiped.metadata().cluster, None);
 }
 
 #[test]
@@ -198,7 +198,7 @@
     );
     drop((writer, folder));
     let mut reopened = open(dir.path());
-    while matches!(reopened, Err(JournalError::Held { .. })) {
+    while matches!(reopened, Err(JournalError::Locked { .. })) {
         reopened = open(dir.path());
     }
     assert_eq!(reopened.unwrap().1.records, [record(3)]);
--- a/crates/linnetdale/tests/agreement.rs
+++ b/crates/linnetdale/tests/agreement.rs
@@ -125,7 +125,7 @@
     assert!(
         matches!(
             reply,
-            Some(linnetdale::control::ChangeReply::NotLeader { .. })
+            Some(linnetdale::control::ChangeResponse::NotLeader { .. })
         ),
         "{reply:?}"
     );
--- a/crates/linnetdale/tests/capacity.rs
+++ b/crates/linnetdale/tests/capacity.rs
@@ -519,7 +519,7 @@
         cluster.controls[leader].kill();
         'taken: loop {
             for other in &others {
-                if let Some(linnetdale::control::ChangeReply::Taken { .. }) =
+                if let Some(linnetdale::control::ChangeResponse::Accepted { .. }) =
                     operator.change(cluster.control_ops(*other), &change)
                 {
                     break 'taken;
--- a/crates/linnetdale/tests/random_run.rs
+++ b/crates/linnetdale/tests/random_run.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use clap::ValueEnum;
-use linnetdale::control::ChangeReply;
+use linnetdale::control::ChangeResponse;
 use linnetdale::fakes::{FaultKind, FaultOrder};
 use support::cluster::{Cluster, ClusterPlan};
 use support::daemon::Daemon;
@@ -78,11 +78,11 @@
         let change = add_account(&name, 1);
         for host in hosts {
             match operator.change(*host, &change) {
-                Some(ChangeReply::Taken { .. }) => {
+                Some(ChangeResponse::Accepted { .. }) => {
                     shared.acknowledged.lock().unwrap().push(name);
                     break;
                 }
-                Some(ChangeReply::Refused { refusal }) => panic!("{refusal}"),
+                Some(ChangeResponse::Refused { refusal }) => panic!("{refusal}"),
                 _ => {}
             }
         }
--- a/crates/linnetdale/tests/support/cluster.rs
+++ b/crates/linnetdale/tests/support/cluster.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use linnetdale::control::ChangeReply;
+use linnetdale::control::ChangeResponse;
 use linnetdale::table::{KeyDigest, TableChange, TableRow, parse_csv};
 use tempfile::TempDir;
 use tokio::runtime::Runtime;
@@ -266,8 +266,8 @@
             between();
             for host in self.all_control_ops() {
                 match operator.change(host, change) {
-                    Some(ChangeReply::Taken { version }) => return Some(version),
-                    Some(ChangeReply::Refused { refusal }) => panic!("{refusal}"),
+                    Some(ChangeResponse::Accepted { version }) => return Some(version),
+                    Some(ChangeResponse::Refused { refusal }) => panic!("{refusal}"),
                     _ => {}
                 }
             }
--- a/crates/linnetdale/tests/support/operator.rs
+++ b/crates/linnetdale/tests/support/operator.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use linnetdale::control::{ChangeReply, ControlStatus, FormRequest};
+use linnetdale::control::{ChangeResponse, ControlStatus, FormClusterRequest};
 use linnetdale::entry::EntryStatus;
 use linnetdale::quorum::{Member, MemberChange, Members};
 use linnetdale::table::{AccountRow, KeyDigest, TableChange, TableRow, parse_csv};
@@ -109,7 +109,7 @@
         version.to_str().ok()?.parse().ok()
     }
 
-    pub fn change(&self, host: SocketAddr, change: &TableChange) -> Option<ChangeReply> {
+    pub fn change(&self, host: SocketAddr, change: &TableChange) -> Option<ChangeResponse> {
         Some(self.post(host, "/v1/changes", change)?.1)
     }
 
@@ -125,7 +125,7 @@
             .map(|host| super::wait_for("a control host answers", || self.control_status(*host)))
             .map(|status| member_of(&status))
             .collect();
-        let request = FormRequest {
+        let request = FormClusterRequest {
             cluster: 77,
             founders: Members {
                 voters,
--- a/crates/linnetdale/tests/table_flow.rs
+++ b/crates/linnetdale/tests/table_flow.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use linnetdale::control::ChangeReply;
+use linnetdale::control::ChangeResponse;
 use linnetdale::table::{ChangeRefusal, RowKey};
 use support::cluster::{Cluster, ClusterPlan, table_csv};
 use support::operator::{Operator, account_row, add_account};
@@ -28,7 +28,7 @@
     let host = cluster.control_ops(cluster.wait_leader());
     for round in 0..10_u64 {
         let base = 1 + round;
-        let replies: Vec<ChangeReply> = std::thread::scope(|scope| {
+        let replies: Vec<ChangeResponse> = std::thread::scope(|scope| {
             let racers: Vec<_> = (0..4_u32)
                 .map(|who| {
                     let mut change = add_account("contended", base);
@@ -45,10 +45,10 @@
         });
         let won = replies
             .iter()
-            .filter(|reply| matches!(reply, ChangeReply::Taken { .. }));
+            .filter(|reply| matches!(reply, ChangeResponse::Accepted { .. }));
         assert_eq!(won.count(), 1, "{replies:?}");
         for reply in replies {
-            if let ChangeReply::Refused { refusal } = reply {
+            if let ChangeResponse::Refused { refusal } = reply {
                 let ChangeRefusal::Conflict(conflict) = refusal else {
                     panic!("{refusal}");
                 };
@@ -74,7 +74,7 @@
     let host = cluster.control_ops(cluster.wait_other_leader(leader));
     let reply = cluster.operator.change(host, &other).unwrap();
     assert!(
-        matches!(&reply, ChangeReply::Refused { refusal: ChangeRefusal::KeyReused(taken) } if *taken == version),
+        matches!(&reply, ChangeResponse::Refused { refusal: ChangeRefusal::KeyReused(taken) } if *taken == version),
         "{reply:?}"
     );
     cluster.check_accounts(&["once".to_owned()]);
@@ -93,7 +93,7 @@
     assert!(
         matches!(
             reply,
-            Some(ChangeReply::Unknown | ChangeReply::NotLeader { .. })
+            Some(ChangeResponse::Unknown | ChangeResponse::NotLeader { .. })
         ),
         "{reply:?}"
     );
--- a/crates/load/src/world.rs
+++ b/crates/load/src/world.rs
@@ -200,7 +200,7 @@
 /// Serves the table to followers, in the place of control hosts.
 pub(crate) async fn serve_table(ip: IpAddr, keys: &Path) -> io::Result<SocketAddr> {
     let feed = Arc::new(TableFeed::new());
-    feed.set_fleet(HALLS as u32);
+    feed.set_entry_host_count(HALLS as u32);
     let change = TableChange {
         change_key: "load".to_owned(),
         author: "load".to_owned(),
@@ -209,7 +209,7 @@
         upserts: parse_csv(&table_csv()).rows,
         deletes: Vec::new(),
     };
-    feed.decide(&change)
+    feed.apply_change(&change)
         .map_err(|refusal| io::Error::other(refusal.to_string()))?;
     let identity = PeerIdentity {
         name: "load".to_owned(),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -19,7 +19,7 @@
 use linnet_quorum::{QuorumTiming, Replica, ReplicaConfig, serve_peer};
 use linnet_rollout::{ExposureRule, RolloutRecord};
 use linnet_telemetry::{EventCode, EventRecorder, HybridClock};
-use linnet_wire::{MessageForm, PeerGreeting};
+use linnet_wire::{MessageVersion, PeerGreeting};
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 use tokio::net::TcpListener;
@@ -179,10 +179,10 @@
         "role=control hall={} peers={peers} operators={operators} build={} form={}",
         settings.hall,
         env!("CARGO_PKG_VERSION"),
-        MessageForm::NEWEST
+        MessageVersion::NEWEST
     );
     recorder.record(EventCode::ProcessStarted, "", detail);
-    signals.requested().await;
+    signals.wait().await;
     recorder.record(EventCode::StopRequested, "", "");
     recorder.record(EventCode::ProcessStopped, "", "");
     Ok(())
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -11,7 +11,7 @@
 use linnet_directory::{DocumentSink, FollowConfig, follow_directory};
 use linnet_gateway::{Gateway, GatewayConfig, serve_callers, serve_pieces};
 use linnet_telemetry::{EventCode, EventRecorder, HybridClock, NOTICES_PATH};
-use linnet_wire::{MessageForm, PeerGreeting};
+use linnet_wire::{MessageVersion, PeerGreeting};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -149,11 +149,11 @@
         "role=entry hall={} callers={callers} peers={peers} build={} form={}",
         settings.hall,
         env!("CARGO_PKG_VERSION"),
-        MessageForm::NEWEST
+        MessageVersion::NEWEST
     );
     recorder.record(EventCode::ProcessStarted, "", detail);
 
-    signals.requested().await;
+    signals.wait().await;
     recorder.record(
         EventCode::StopRequested,
         "",
--- a/crates/quorum/src/propose.rs
+++ b/crates/quorum/src/propose.rs
@@ -105,7 +105,7 @@
     /// newer leader may have had it replaced meanwhile.
     pub(crate) async fn await_synced(
         &self,
-        ticket: Option<linnet_journal::JournalTicket>,
+        ticket: Option<linnet_journal::CommitReceiver>,
         position: LogPosition,
     ) -> Result<(), String> {
         let outcome = match ticket {
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -147,7 +147,7 @@
         let (journal, recovered) = Journal::open(&folder, config.disk)?;
         let torn = recovered.torn_bytes;
         let stored = restore_state(recovered)?;
-        let mark = folder.mark();
+        let mark = folder.metadata();
         let mut state = ReplicaState::new(NodeId(mark.identity), mark.cluster, &config.timing);
         let mut machine = MachineCell {
             hooks,
@@ -280,7 +280,7 @@
 
     /// Returns what the replica tells of itself.
     pub fn status(&self) -> ReplicaStatus {
-        let incarnation = self.shared.lock_folder().mark().incarnation;
+        let incarnation = self.shared.lock_folder().metadata().incarnation;
         let state = self.shared.lock();
         ReplicaStatus {
             id: state.me,
@@ -350,7 +350,7 @@
         cluster: u64,
     ) -> Result<(), String> {
         if state.cluster != Some(cluster) {
-            let joined = self.lock_folder().join_cluster(cluster);
+            let joined = self.lock_folder().set_cluster(cluster);
             joined.map_err(|error| error.to_string())?;
             state.cluster = Some(cluster);
         }
--- a/crates/quorum/src/serve.rs
+++ b/crates/quorum/src/serve.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use linnet_clock::BootInstant;
-use linnet_journal::JournalTicket;
+use linnet_journal::CommitReceiver;
 use linnet_telemetry::EventCode;
 use linnet_wire::{PeerReader, PeerWriter, WireError};
 
@@ -39,8 +39,8 @@
     reader: PeerReader,
     writer: PeerWriter,
 ) -> Result<(), WireError> {
-    let mut reader = reader.with_silence_limit(IDLE_TIMEOUT);
-    let mut writer = writer.with_silence_limit(IDLE_TIMEOUT);
+    let mut reader = reader.with_silence_timeout(IDLE_TIMEOUT);
+    let mut writer = writer.with_silence_timeout(IDLE_TIMEOUT);
     let shared = &replica.shared;
     let mut parts = SnapshotParts::default();
     loop {
@@ -301,7 +301,7 @@
     members: Members,
     bytes: Vec<u8>,
 ) -> PeerReply {
-    let ticket: JournalTicket = {
+    let ticket: CommitReceiver = {
         let mut state = shared.lock();
         if state.term != term {
             return PeerReply::Refused;
--- a/crates/quorum/src/state.rs
+++ b/crates/quorum/src/state.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_clock::BootInstant;
-use linnet_journal::{JournalTicket, JournalWriter};
+use linnet_journal::{CommitReceiver, JournalWriter};
 use tokio::sync::oneshot;
 
 use crate::log::ReplicaLog;
@@ -102,7 +102,7 @@
     }
 
     /// Hands what must survive to the journal; the ticket resolves when it is synced.
-    pub(crate) fn flush(&mut self, writer: &JournalWriter) -> Option<JournalTicket> {
+    pub(crate) fn flush(&mut self, writer: &JournalWriter) -> Option<CommitReceiver> {
         if self.ballot_dirty {
             self.ballot_dirty = false;
             let ballot = StoredRecord::Ballot {
--- a/crates/telemetry/src/clock.rs
+++ b/crates/telemetry/src/clock.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the wall-clock part of a stamp in milliseconds since 1970.
-    pub fn millis_of(stamp: Stamp) -> u64 {
+    pub fn unix_millis(stamp: Stamp) -> u64 {
         stamp >> COUNTER_BITS
     }
 
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -14,6 +14,6 @@
 
 pub use clock::{HybridClock, Stamp};
 pub use code::{EventCode, EventLevel};
-pub use notice_line::{NOTICES_PATH, NoticeLine, NoticeStanding};
+pub use notice_line::{NOTICES_PATH, NoticeLine, NoticeState};
 pub use recorder::{Event, EventQuery, EventRecorder, RING_CAPACITY};
 pub use timeline::{format_event, merge_events};
--- a/crates/telemetry/src/notice_line.rs
+++ b/crates/telemetry/src/notice_line.rs
@@ -8,7 +8,7 @@
 /// Whether a target gets requests of the host that tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum NoticeStanding {
+pub enum NoticeState {
     /// It does again, and is about to be tried.
     Reopening,
     /// Not for a while.
@@ -25,9 +25,11 @@
     /// Its service; empty where it is in no list of targets.
     pub service: String,
     /// Whether it gets requests.
-    pub standing: NoticeStanding,
+    #[serde(rename = "standing")]
+    pub state: NoticeState,
     /// Time until it gets some again, in milliseconds.
-    pub left_ms: u64,
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: u64,
     /// Sendings that were held back.
     pub withheld: u64,
     /// Requests a second that it takes from all hosts together, as a decimal number; nothing where it names none.
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -39,7 +39,7 @@
 impl EventQuery {
     /// Says whether an event is wanted.
     pub fn matches(&self, event: &Event) -> bool {
-        let late_enough = HybridClock::millis_of(event.stamp) >= self.since_millis;
+        let late_enough = HybridClock::unix_millis(event.stamp) >= self.since_millis;
         let of_request = self
             .request
             .as_ref()
--- a/crates/telemetry/src/timeline.rs
+++ b/crates/telemetry/src/timeline.rs
@@ -14,7 +14,7 @@
 
 /// Formats an event as one line of text.
 pub fn format_event(event: &Event) -> String {
-    let millis = HybridClock::millis_of(event.stamp);
+    let millis = HybridClock::unix_millis(event.stamp);
     let counter = event.stamp & 0xffff;
     let mut line = format!(
         "{millis}.{counter:05} {:<12} {} {}",
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -11,9 +11,9 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::stream::READ_BYTES;
+use crate::stream::READ_BUFFER_BYTES;
 use crate::{
-    MessageForm, PeerKey, PeerKeyRing, PeerReader, PeerWriter, Session, WireCause, WireError,
+    MessageVersion, PeerKey, PeerKeyRing, PeerReader, PeerWriter, Session, WireCause, WireError,
     WireStep,
 };
 
@@ -126,7 +126,7 @@
         name: identity.name.clone(),
         nonce: fresh_nonce(peer)?,
     };
-    write_message(socket, peer, &(&hello, MessageForm::NEWEST.number())).await?;
+    write_message(socket, peer, &(&hello, MessageVersion::NEWEST.number())).await?;
     let (welcome, form) = read_announced::<Welcome>(socket, peer).await?;
     let transcript = Transcript::new(&key, &hello, &welcome.name, &welcome.nonce);
     if blake3::Hash::from_bytes(welcome.proof) != transcript.accepting_proof {
@@ -156,7 +156,7 @@
         nonce,
         proof: *transcript.accepting_proof.as_bytes(),
     };
-    write_message(socket, peer, &(&welcome, MessageForm::NEWEST.number())).await?;
+    write_message(socket, peer, &(&welcome, MessageVersion::NEWEST.number())).await?;
     let proof: Proof = read_message(socket, peer).await?;
     if blake3::Hash::from_bytes(proof.proof) != transcript.calling_proof {
         return Err(handshake_error(peer, WireCause::BadHash));
@@ -192,13 +192,13 @@
     fn into_session(
         self,
         peer: String,
-        form: Option<MessageForm>,
+        message_version: Option<MessageVersion>,
         identity: &PeerIdentity,
     ) -> Session {
         Session {
             secret: self.session_secret,
             peer,
-            form,
+            message_version,
             clock: identity.clock.clone(),
         }
     }
@@ -214,18 +214,18 @@
     let _ = socket.set_nodelay(true);
     let (read_half, write_half) = socket.into_split();
     let reader = PeerReader {
-        socket: BufReader::with_capacity(READ_BYTES, read_half),
+        socket: BufReader::with_capacity(READ_BUFFER_BYTES, read_half),
         session: session.clone(),
         direction: receiving,
         sequence: 0,
-        silence_limit: None,
+        silence_timeout: None,
     };
     let writer = PeerWriter {
         socket: write_half,
         session,
         direction: sending,
         sequence: 0,
-        silence_limit: None,
+        silence_timeout: None,
         queued: Vec::new(),
     };
     (reader, writer)
@@ -271,7 +271,7 @@
 async fn read_announced<M: DeserializeOwned>(
     socket: &mut TcpStream,
     peer: &str,
-) -> Result<(M, Option<MessageForm>), WireError> {
+) -> Result<(M, Option<MessageVersion>), WireError> {
     let body = read_body(socket, peer).await?;
     let malformed = |error| handshake_error(peer, WireCause::Malformed(error));
     let (message, rest) = postcard::take_from_bytes(&body).map_err(malformed)?;
@@ -280,7 +280,7 @@
     }
     // What a later build writes behind the form is its own.
     let number: u16 = postcard::from_bytes(rest).map_err(malformed)?;
-    Ok((message, Some(MessageForm::spoken(number))))
+    Ok((message, Some(MessageVersion::negotiate(number))))
 }
 
 async fn read_body(socket: &mut TcpStream, peer: &str) -> Result<Vec<u8>, WireError> {
--- a/crates/wire/src/handshake/tests.rs
+++ b/crates/wire/src/handshake/tests.rs
@@ -11,7 +11,10 @@
 }
 
 /// Calls a peer as a build would that writes `behind` after its hello; returns the form that it reads.
-async fn call_as(socket: &mut TcpStream, behind: &[u8]) -> Result<Option<MessageForm>, WireError> {
+async fn call_as(
+    socket: &mut TcpStream,
+    behind: &[u8],
+) -> Result<Option<MessageVersion>, WireError> {
     let identity = identity("calling");
     let key = identity.keys.offered().unwrap();
     let hello = Hello {
@@ -35,7 +38,12 @@
 }
 
 /// Returns what each side takes for the form of the connection.
-async fn join(behind: &[u8]) -> (Result<Option<MessageForm>, WireError>, Option<MessageForm>) {
+async fn join(
+    behind: &[u8],
+) -> (
+    Result<Option<MessageVersion>, WireError>,
+    Option<MessageVersion>,
+) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut socket = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -44,7 +52,7 @@
     let accepting = identity("accepting");
     let accept = accept_peer(&accepting, accepted, from);
     let (accepted, called) = tokio::join!(accept, call_as(&mut socket, behind));
-    let form = accepted.map(|(reader, _)| reader.form());
+    let form = accepted.map(|(reader, _)| reader.message_version());
     (form, called.ok().flatten())
 }
 
@@ -52,17 +60,17 @@
 async fn a_build_that_announces_no_form_is_taken_as_such_and_passes_over_what_is_announced() {
     let (form, told) = join(&[]).await;
     assert_eq!(form.unwrap(), None);
-    assert_eq!(told, Some(MessageForm::NEWEST));
+    assert_eq!(told, Some(MessageVersion::NEWEST));
 }
 
 #[ntex::test]
 async fn the_older_of_the_two_forms_is_spoken() {
     for (number, spoken) in [
-        (1, MessageForm::First),
-        (2, MessageForm::Second),
-        (3, MessageForm::Third),
-        (4, MessageForm::NEWEST),
-        (u16::MAX, MessageForm::NEWEST),
+        (1, MessageVersion::V1),
+        (2, MessageVersion::V2),
+        (3, MessageVersion::V3),
+        (4, MessageVersion::NEWEST),
+        (u16::MAX, MessageVersion::NEWEST),
     ] {
         let announced = postcard::to_stdvec::<u16>(&number).unwrap();
         assert_eq!(join(&announced).await.0.unwrap(), Some(spoken), "{number}");
@@ -95,19 +103,20 @@
         nonce: [2; 16],
         proof: [3; 32],
     };
-    let hello = |form: MessageForm| hex(postcard::to_stdvec(&(&hello, form.number())).unwrap());
-    let welcome = |form: MessageForm| hex(postcard::to_stdvec(&(&welcome, form.number())).unwrap());
+    let hello = |form: MessageVersion| hex(postcard::to_stdvec(&(&hello, form.number())).unwrap());
+    let welcome =
+        |form: MessageVersion| hex(postcard::to_stdvec(&(&welcome, form.number())).unwrap());
     let lines = [
-        format!("hello {}", hello(MessageForm::Second)),
-        format!("welcome {}", welcome(MessageForm::Second)),
+        format!("hello {}", hello(MessageVersion::V2)),
+        format!("welcome {}", welcome(MessageVersion::V2)),
         format!(
             "proof {}",
             hex(postcard::to_stdvec(&Proof { proof: [4; 32] }).unwrap())
         ),
-        format!("hello {}", hello(MessageForm::Third)),
-        format!("welcome {}", welcome(MessageForm::Third)),
-        format!("hello {}", hello(MessageForm::NEWEST)),
-        format!("welcome {}", welcome(MessageForm::NEWEST)),
+        format!("hello {}", hello(MessageVersion::V3)),
+        format!("welcome {}", welcome(MessageVersion::V3)),
+        format!("hello {}", hello(MessageVersion::NEWEST)),
+        format!("welcome {}", welcome(MessageVersion::NEWEST)),
     ];
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,23 +4,23 @@
 //! - [`connect_peer`] and [`accept_peer`] perform the handshake over TCP.
 //! - [`PeerReader`] and [`PeerWriter`] carry `postcard` messages, each with a sequence, a clock
 //!   stamp and a keyed hash.
-//! - [`MessageForm`] is the form of messages that both ends of a connection know.
+//! - [`MessageVersion`] is the form of messages that both ends of a connection know.
 //! - [`seal_datagram`] and [`open_datagram`] do the same for one UDP datagram.
 
 mod datagram;
 mod error;
-mod form;
 mod greeting;
 mod handshake;
 mod key;
+mod message_version;
 mod stream;
 mod traffic;
 
 pub use datagram::{MAX_DATAGRAM_BYTES, OpenDatagram, open_datagram, seal_datagram};
 pub use error::{WireCause, WireError, WireStep};
-pub use form::MessageForm;
 pub use greeting::PeerGreeting;
 pub use handshake::{HANDSHAKE_TIMEOUT, PeerIdentity, accept_peer, connect_peer};
 pub use key::{KeyError, PeerKey, PeerKeyRing};
+pub use message_version::MessageVersion;
 pub use stream::{MAX_MESSAGE_BYTES, PeerReader, PeerWriter, Session};
 pub use traffic::{PEER_TRAFFIC, PeerTraffic};
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 use crate::key::keyed_hash;
-use crate::{MessageForm, PEER_TRAFFIC, WireCause, WireError, WireStep};
+use crate::{MessageVersion, PEER_TRAFFIC, WireCause, WireError, WireStep};
 
 /// The largest message between peers, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
@@ -24,10 +24,10 @@
 /// Bytes that are taken from the socket at one time. Most messages are shorter, so that one costs one
 /// system call in place of four: its length, its body, its hash, and a try for the next one. A host
 /// with connections to 300 others keeps 600 KB for it.
-pub(crate) const READ_BYTES: usize = 2 * 1024;
+pub(crate) const READ_BUFFER_BYTES: usize = 2 * 1024;
 
 /// Bytes of messages after which [`PeerWriter::queue`] wants them sent.
-const QUEUED_BYTES: usize = 16 * 1024;
+const FLUSH_THRESHOLD_BYTES: usize = 16 * 1024;
 
 const HASH_BYTES: usize = 16;
 const STAMP_BYTES: usize = 8;
@@ -38,7 +38,7 @@
     pub(crate) secret: [u8; 32],
     pub(crate) peer: String,
     /// The form that both ends know; nothing while the peer has neither announced nor shown one.
-    pub(crate) form: Option<MessageForm>,
+    pub(crate) message_version: Option<MessageVersion>,
     pub(crate) clock: Arc<HybridClock>,
 }
 
@@ -61,7 +61,7 @@
     pub(crate) session: Session,
     pub(crate) direction: u8,
     pub(crate) sequence: u64,
-    pub(crate) silence_limit: Option<Duration>,
+    pub(crate) silence_timeout: Option<Duration>,
     /// Frames that wait to be sent together.
     pub(crate) queued: Vec<u8>,
 }
@@ -72,13 +72,13 @@
     pub(crate) session: Session,
     pub(crate) direction: u8,
     pub(crate) sequence: u64,
-    pub(crate) silence_limit: Option<Duration>,
+    pub(crate) silence_timeout: Option<Duration>,
 }
 
 impl PeerWriter {
     /// Ends a send once the peer has taken no byte for `limit`, in place of waiting for ever.
-    pub fn with_silence_limit(mut self, limit: Duration) -> Self {
-        self.silence_limit = Some(limit);
+    pub fn with_silence_timeout(mut self, limit: Duration) -> Self {
+        self.silence_timeout = Some(limit);
         self
     }
 
@@ -113,7 +113,7 @@
         frame.extend_from_slice(&body);
         frame.extend_from_slice(&hash);
         PEER_TRAFFIC.count_sent(4 + body.len() + HASH_BYTES);
-        Ok(self.queued.len() >= QUEUED_BYTES)
+        Ok(self.queued.len() >= FLUSH_THRESHOLD_BYTES)
     }
 
     /// Sends the messages that wait.
@@ -130,7 +130,7 @@
         let mut passed = 0;
         while passed < frame.len() {
             let writing = self.socket.write(&frame[passed..]);
-            let written = match within(self.silence_limit, writing).await {
+            let written = match within(self.silence_timeout, writing).await {
                 Ok(written) => written.map_err(WireCause::Io),
                 Err(limit) => Err(silent(limit, passed, frame.len())),
             };
@@ -174,8 +174,8 @@
     /// The limit holds between bytes, not between messages: a peer whose large message passes a
     /// slow link is alive, and to call it again would have it begin the message anew. Measured with
     /// a message of 1.0 MB at 150 KB a second and a limit of 1.6 s between messages: it never came.
-    pub fn with_silence_limit(mut self, limit: Duration) -> Self {
-        self.silence_limit = Some(limit);
+    pub fn with_silence_timeout(mut self, limit: Duration) -> Self {
+        self.silence_timeout = Some(limit);
         self
     }
 
@@ -194,39 +194,39 @@
     /// # Errors
     ///
     /// As [`PeerReader::receive`].
-    pub async fn receive_formed<N, F>(&mut self) -> Result<N, WireError>
+    pub async fn receive_versioned<N, F>(&mut self) -> Result<N, WireError>
     where
         N: Serialize + DeserializeOwned + From<F>,
         F: DeserializeOwned,
     {
-        match self.session.form {
-            Some(MessageForm::First) => Ok(self.receive::<F>().await?.into()),
+        match self.session.message_version {
+            Some(MessageVersion::V1) => Ok(self.receive::<F>().await?.into()),
             Some(_) => self.receive().await,
             None => {
-                let (message, form) = self.receive_as(MessageForm::tell::<N, F>).await?;
-                self.session.form = form;
+                let (message, form) = self.receive_as(MessageVersion::detect::<N, F>).await?;
+                self.session.message_version = form;
                 Ok(message)
             }
         }
     }
 
-    /// Receives a message as [`PeerReader::receive_formed`] does, and the two tails that may stand behind it. Builds
+    /// Receives a message as [`PeerReader::receive_versioned`] does, and the two tails that may stand behind it. Builds
     /// that know no tail, or only the first, send no more, and pass over those that they get.
     ///
     /// # Errors
     ///
     /// As [`PeerReader::receive`].
-    pub async fn receive_tailed<N, F, T, U>(&mut self) -> Result<(N, T, U), WireError>
+    pub async fn receive_with_tails<N, F, T, U>(&mut self) -> Result<(N, T, U), WireError>
     where
         N: Serialize + DeserializeOwned + From<F>,
         F: DeserializeOwned,
         T: DeserializeOwned + Default,
         U: DeserializeOwned + Default,
     {
-        match self.session.form {
-            Some(form) if form > MessageForm::First => self.receive_as(read_tailed).await,
+        match self.session.message_version {
+            Some(form) if form > MessageVersion::V1 => self.receive_as(read_tailed).await,
             _ => {
-                let message = self.receive_formed::<N, F>().await?;
+                let message = self.receive_versioned::<N, F>().await?;
                 Ok((message, T::default(), U::default()))
             }
         }
@@ -247,8 +247,8 @@
     }
 
     /// Returns the form that is spoken on the connection; nothing while that is not known.
-    pub fn form(&self) -> Option<MessageForm> {
-        self.session.form
+    pub fn message_version(&self) -> Option<MessageVersion> {
+        self.session.message_version
     }
 
     /// Returns the name that the peer proved.
@@ -283,7 +283,7 @@
             let length = buffer.len();
             // What is here already needs no timer.
             let is_here = !self.socket.buffer().is_empty();
-            let limit = self.silence_limit.filter(|_| !is_here);
+            let limit = self.silence_timeout.filter(|_| !is_here);
             let reading = self.socket.read(&mut buffer[passed..]);
             let read = match within(limit, reading).await {
                 Ok(read) => read.map_err(WireCause::Io),
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -257,7 +257,7 @@
 async fn a_message_that_passes_for_longer_than_the_silence_limit_comes_whole() {
     let (SlowEnds { near, far }, _) = join_slowly().await;
     let limit = Duration::from_millis(300);
-    let (mut reader, mut writer) = (near.0.with_silence_limit(limit), far.1);
+    let (mut reader, mut writer) = (near.0.with_silence_timeout(limit), far.1);
     // It takes a second at least.
     let message = vec![7_u8; 100 * PIECE];
     let began = Instant::now();
@@ -271,7 +271,7 @@
 async fn a_connection_that_falls_silent_without_an_end_is_noticed_midway() {
     let (SlowEnds { near, far }, going_on) = join_slowly().await;
     let limit = Duration::from_millis(300);
-    let (mut reader, mut writer) = (near.0.with_silence_limit(limit), far.1);
+    let (mut reader, mut writer) = (near.0.with_silence_timeout(limit), far.1);
     let message = vec![7_u8; 100 * PIECE];
     let stopping = async {
         tokio::time::sleep(PIECE_WAIT * 10).await;
