--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,6 +1,7 @@
-//! One authenticated UDP datagram: key id, sender, clock stamp, message, keyed hash.
+//! Authenticated UDP datagrams: key id, sender, clock stamp, message, keyed hash.
 //!
-//! A stamp that does not rise is for the receiver to drop: it is a replay or came out of order.
+//! The receiver must drop a datagram whose stamp is not greater than the previous one of its
+//! sender: it is a replay or arrived out of order.
 
 use linnet_telemetry::Stamp;
 use serde::de::DeserializeOwned;
@@ -8,7 +9,7 @@
 
 use crate::{PEER_TRAFFIC, PeerIdentity, PeerKeyRing, WireCause, WireError, WireStep};
 
-/// The largest datagram, in bytes; it fits into one packet on usual links.
+/// Maximum size of a datagram; it fits into one packet on common links.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 const HASH_BYTES: usize = 16;
@@ -21,22 +22,22 @@
     message: M,
 }
 
-/// A datagram whose hash was right.
+/// A datagram whose keyed hash was verified.
 #[derive(Debug)]
 pub struct OpenDatagram<M> {
-    /// The name of the sender.
+    /// Name of the sender.
     pub sender: String,
-    /// The stamp that the sender gave it.
+    /// Clock stamp of the sender.
     pub stamp: Stamp,
     /// The message.
     pub message: M,
 }
 
-/// Seals a message into the bytes of one datagram.
+/// Encodes and authenticates a message as one datagram.
 ///
 /// # Errors
 ///
-/// [`WireCause::TooLarge`] when it does not fit.
+/// [`WireCause::TooLarge`] if the datagram would exceed [`MAX_DATAGRAM_BYTES`].
 pub fn seal_datagram<M: Serialize>(
     identity: &PeerIdentity,
     message: &M,
@@ -62,11 +63,12 @@
     Ok(bytes)
 }
 
-/// Opens a datagram.
+/// Verifies and decodes a datagram.
 ///
 /// # Errors
 ///
-/// [`WireError`] at [`WireStep::Receive`] when it is no datagram of this type or its hash is wrong.
+/// [`WireError`] at [`WireStep::Receive`] if the bytes are not a datagram of this type or the hash
+/// does not match.
 pub fn open_datagram<M: DeserializeOwned>(
     keys: &PeerKeyRing,
     bytes: &[u8],
@@ -76,19 +78,19 @@
     let (body, hash) = end
         .and_then(|end| bytes.split_at_checked(end))
         .ok_or_else(|| error(WireCause::BadHash))?;
-    // Only the key id is read before the hash is checked.
+    // Only the key id is decoded before the hash is verified.
     PEER_TRAFFIC.count_received(bytes.len());
     let (key_id, _): (String, _) =
         postcard::take_from_bytes(body).map_err(|cause| error(WireCause::Malformed(cause)))?;
     let key = keys
         .find(&key_id)
         .ok_or_else(|| error(WireCause::UnknownKey(key_id)))?;
-    let wanted = key.hash(&[b"linnetdale datagram", body]);
-    let mut short = [0; HASH_BYTES];
-    short.copy_from_slice(&wanted.as_bytes()[..HASH_BYTES]);
-    let mut given = [0; HASH_BYTES];
-    given.copy_from_slice(hash);
-    if !crate::stream::equal_hashes(&short, &given) {
+    let full_hash = key.hash(&[b"linnetdale datagram", body]);
+    let mut expected = [0; HASH_BYTES];
+    expected.copy_from_slice(&full_hash.as_bytes()[..HASH_BYTES]);
+    let mut received = [0; HASH_BYTES];
+    received.copy_from_slice(hash);
+    if !crate::stream::equal_hashes(&expected, &received) {
         return Err(error(WireCause::BadHash));
     }
     let envelope: Envelope<M> =
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of peer connections, with their step and peer.
+//! Errors of peer connections.
 
 use std::io;
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// The step of a peer connection at which an error arose.
+/// The step of a peer connection at which an error occurred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum WireStep {
     /// Opening the TCP connection.
     #[display("connect")]
     Connect,
-    /// Proving the shared key to each other.
+    /// Mutual authentication with the shared key.
     #[display("handshake")]
     Handshake,
     /// Sending a message.
@@ -22,40 +22,43 @@
     Receive,
 }
 
-/// What went wrong.
+/// Cause of a [`WireError`].
 #[derive(Debug, Display, derive_more::Error)]
 pub enum WireCause {
     /// The socket failed or was closed.
     #[display("{_0}")]
     Io(io::Error),
-    /// The peer did not act within the time allowed.
-    #[display("no answer in time")]
+    /// The peer did not complete the handshake within its timeout.
+    #[display("handshake timed out")]
     TimedOut,
-    /// No byte passed for so long. What had passed of the message by then tells a link that is cut
-    /// (nothing) from one that is full.
-    #[display("no byte for {} ms, {passed} of {length} bytes of a message had passed", limit.as_millis())]
+    /// No byte was transferred for the silence timeout. The number of bytes transferred before tells
+    /// an interrupted link (none) from an overloaded one.
+    #[display(
+        "no byte transferred for {} ms, after {transferred_bytes} of {message_bytes} bytes of a message",
+        timeout.as_millis()
+    )]
     #[error(ignore)]
     Silent {
-        /// For how long no byte passed.
-        limit: Duration,
-        /// Bytes of the message that passed before.
-        passed: usize,
-        /// Bytes of the message, as far as is known.
-        length: usize,
+        /// The silence timeout.
+        timeout: Duration,
+        /// Bytes transferred before the silence, of the current write or read.
+        transferred_bytes: usize,
+        /// Size of the current write or read.
+        message_bytes: usize,
     },
-    /// The peer names a key that is not in the ring.
+    /// The peer uses a key that is not in the key ring.
     #[display("unknown key id {_0:?}")]
     #[error(ignore)]
     UnknownKey(String),
-    /// A keyed hash does not match: wrong key, changed bytes or a replay.
+    /// A keyed hash does not match: wrong key, modified bytes or a replay.
     #[display("the keyed hash does not match")]
     BadHash,
-    /// A message is larger than its limit, in bytes.
-    #[display("a message of {_0} bytes is over the limit")]
+    /// A message of this many bytes exceeds its size limit.
+    #[display("a message of {_0} bytes exceeds the size limit")]
     #[error(ignore)]
     TooLarge(usize),
-    /// Bytes that are no message of the expected type.
-    #[display("no message of the expected type: {_0}")]
+    /// The bytes do not decode as the expected type of message.
+    #[display("not a message of the expected type: {_0}")]
     Malformed(postcard::Error),
 }
 
@@ -67,13 +70,13 @@
     pub step: WireStep,
     /// The peer's name or address.
     pub peer: String,
-    /// What went wrong.
+    /// The cause.
     #[error(source)]
     pub cause: WireCause,
 }
 
 impl WireError {
-    /// Creates an error.
+    /// Creates an error at a step with a peer.
     pub fn new(step: WireStep, peer: impl Into<String>, cause: WireCause) -> Self {
         Self {
             step,
@@ -82,7 +85,8 @@
         }
     }
 
-    /// Says whether the peer failed to prove itself, in contrast to a lost connection.
+    /// Returns whether the peer failed authentication or a size limit, rather than lost the
+    /// connection.
     pub fn is_refusal(&self) -> bool {
         matches!(
             self.cause,
--- a/crates/wire/src/greeting.rs
+++ b/crates/wire/src/greeting.rs
@@ -1,20 +1,20 @@
-//! The first message on a peer connection, which says what it is for.
+//! The first message on a peer connection, which states the purpose of the connection.
 
 use serde::{Deserialize, Serialize};
 
-/// What a connection is for.
+/// Purpose of a peer connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerGreeting {
-    /// Agreement between voters.
+    /// Consensus between voters.
     Quorum,
-    /// An entry host follows the table.
+    /// An entry host replicates the table.
     Follow,
-    /// An entry host asks for claims and deferred requests to be committed.
+    /// An entry host requests commits of claims and deferred requests.
     Calls,
-    /// A process follows the directory of a control host.
+    /// A process subscribes to the directory of a control host.
     Directory,
-    /// A process asks a control host one thing.
+    /// A process sends one request to a control host.
     DirectoryCall,
-    /// An entry host hands pieces of stages to another.
+    /// An entry host sends pieces of stages to another one.
     Pieces,
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake: both ends prove the shared key over fresh nonces and learn each other's names.
+//! The handshake: both ends prove possession of the shared key over fresh nonces and exchange names.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,21 +17,26 @@
     WireStep,
 };
 
-/// The longest time that connecting and the handshake may take together.
+/// Timeout of connecting and the handshake together.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
+/// Maximum size of one handshake message.
 const MAX_HANDSHAKE_BYTES: usize = 1_024;
+
+/// Direction byte in the hashes of frames that the connecting peer sends.
 const FROM_CALLING_END: u8 = 1;
+
+/// Direction byte in the hashes of frames that the accepting peer sends.
 const FROM_ACCEPTING_END: u8 = 2;
 
-/// What a process shows its peers.
+/// Identity of a process towards its peers.
 #[derive(Debug, Clone)]
 pub struct PeerIdentity {
-    /// The name of the process.
+    /// Name of the process.
     pub name: String,
-    /// The keys.
+    /// The shared keys.
     pub keys: PeerKeyRing,
-    /// The clock whose stamps travel with the messages.
+    /// The clock that stamps sent messages.
     pub clock: Arc<HybridClock>,
 }
 
@@ -54,7 +59,7 @@
     proof: [u8; 32],
 }
 
-/// Connects to a peer and proves the shared key to it.
+/// Connects to a peer and performs the handshake.
 ///
 /// # Errors
 ///
@@ -68,7 +73,7 @@
         let mut socket = TcpStream::connect(address)
             .await
             .map_err(|error| WireError::new(WireStep::Connect, &peer, WireCause::Io(error)))?;
-        let session = call_handshake(identity, &mut socket, &peer).await?;
+        let session = perform_calling_handshake(identity, &mut socket, &peer).await?;
         Ok(split_stream(
             socket,
             session,
@@ -76,10 +81,10 @@
             FROM_ACCEPTING_END,
         ))
     };
-    within_handshake_time(&peer, work).await
+    with_handshake_timeout(&peer, work).await
 }
 
-/// Accepts a peer on a fresh connection and checks that it has the shared key.
+/// Performs the handshake on an accepted connection and verifies that the peer has the shared key.
 ///
 /// # Errors
 ///
@@ -91,7 +96,7 @@
 ) -> Result<(PeerReader, PeerWriter), WireError> {
     let peer = address.to_string();
     let work = async {
-        let session = accept_handshake(identity, &mut socket, &peer).await?;
+        let session = perform_accepting_handshake(identity, &mut socket, &peer).await?;
         Ok(split_stream(
             socket,
             session,
@@ -99,10 +104,10 @@
             FROM_CALLING_END,
         ))
     };
-    within_handshake_time(&peer, work).await
+    with_handshake_timeout(&peer, work).await
 }
 
-async fn within_handshake_time<T>(
+async fn with_handshake_timeout<T>(
     peer: &str,
     work: impl Future<Output = Result<T, WireError>>,
 ) -> Result<T, WireError> {
@@ -112,7 +117,7 @@
     }
 }
 
-async fn call_handshake(
+async fn perform_calling_handshake(
     identity: &PeerIdentity,
     socket: &mut TcpStream,
     peer: &str,
@@ -127,7 +132,7 @@
         nonce: fresh_nonce(peer)?,
     };
     write_message(socket, peer, &(&hello, MessageVersion::NEWEST.number())).await?;
-    let (welcome, form) = read_announced::<Welcome>(socket, peer).await?;
+    let (welcome, version) = read_with_version::<Welcome>(socket, peer).await?;
     let transcript = Transcript::new(&key, &hello, &welcome.name, &welcome.nonce);
     if blake3::Hash::from_bytes(welcome.proof) != transcript.accepting_proof {
         return Err(handshake_error(peer, WireCause::BadHash));
@@ -136,15 +141,15 @@
         proof: *transcript.calling_proof.as_bytes(),
     };
     write_message(socket, peer, &proof).await?;
-    Ok(transcript.into_session(welcome.name, form, identity))
+    Ok(transcript.into_session(welcome.name, version, identity))
 }
 
-async fn accept_handshake(
+async fn perform_accepting_handshake(
     identity: &PeerIdentity,
     socket: &mut TcpStream,
     peer: &str,
 ) -> Result<Session, WireError> {
-    let (hello, form) = read_announced::<Hello>(socket, peer).await?;
+    let (hello, version) = read_with_version::<Hello>(socket, peer).await?;
     let key = identity
         .keys
         .find(&hello.key_id)
@@ -161,9 +166,10 @@
     if blake3::Hash::from_bytes(proof.proof) != transcript.calling_proof {
         return Err(handshake_error(peer, WireCause::BadHash));
     }
-    Ok(transcript.into_session(hello.name, form, identity))
+    Ok(transcript.into_session(hello.name, version, identity))
 }
 
+/// Keyed hashes over both names and nonces of a handshake.
 struct Transcript {
     accepting_proof: blake3::Hash,
     calling_proof: blake3::Hash,
@@ -210,7 +216,7 @@
     sending: u8,
     receiving: u8,
 ) -> (PeerReader, PeerWriter) {
-    // Small messages must not wait for an acknowledgement; a failure here only costs latency.
+    // Small messages must not wait for a TCP acknowledgement; a failure here only costs latency.
     let _ = socket.set_nodelay(true);
     let (read_half, write_half) = socket.into_split();
     let reader = PeerReader {
@@ -265,10 +271,10 @@
     postcard::from_bytes(&body).map_err(|error| handshake_error(peer, WireCause::Malformed(error)))
 }
 
-/// Reads a message behind which its sender announces a form; nothing where it is from a build that does not.
-/// The proof does not cover the form: a wrong one leads to messages that cannot be read, which end the
-/// connection, and frames are proved whatever their form.
-async fn read_announced<M: DeserializeOwned>(
+/// Reads a message and the message version that follows it; `None` for builds that announce no version.
+/// The proof does not cover the version: with a wrong one messages fail to decode, which ends the
+/// connection, and frames are authenticated in any version.
+async fn read_with_version<M: DeserializeOwned>(
     socket: &mut TcpStream,
     peer: &str,
 ) -> Result<(M, Option<MessageVersion>), WireError> {
@@ -278,7 +284,7 @@
     if rest.is_empty() {
         return Ok((message, None));
     }
-    // What a later build writes behind the form is its own.
+    // Later builds may append more data after the version; it is ignored.
     let number: u16 = postcard::from_bytes(rest).map_err(malformed)?;
     Ok((message, Some(MessageVersion::negotiate(number))))
 }
--- a/crates/wire/src/handshake/tests.rs
+++ b/crates/wire/src/handshake/tests.rs
@@ -10,10 +10,11 @@
     }
 }
 
-/// Calls a peer as a build would that writes `behind` after its hello; returns the form that it reads.
-async fn call_as(
+/// Performs the handshake as a build that appends `suffix` to its hello; returns the version that the
+/// other end announces.
+async fn call_with_suffix(
     socket: &mut TcpStream,
-    behind: &[u8],
+    suffix: &[u8],
 ) -> Result<Option<MessageVersion>, WireError> {
     let identity = identity("calling");
     let key = identity.keys.offered().unwrap();
@@ -23,23 +24,23 @@
         nonce: [1; 16],
     };
     let mut body = postcard::to_stdvec(&hello).unwrap();
-    body.extend_from_slice(behind);
+    body.extend_from_slice(suffix);
     let mut bytes = (body.len() as u16).to_le_bytes().to_vec();
     bytes.extend_from_slice(&body);
     socket.write_all(&bytes).await.unwrap();
-    let (welcome, form) = read_announced::<Welcome>(socket, "accepting").await?;
+    let (welcome, version) = read_with_version::<Welcome>(socket, "accepting").await?;
     let transcript = Transcript::new(&key, &hello, &welcome.name, &welcome.nonce);
     assert_eq!(welcome.proof, *transcript.accepting_proof.as_bytes());
     let proof = Proof {
         proof: *transcript.calling_proof.as_bytes(),
     };
     write_message(socket, "accepting", &proof).await?;
-    Ok(form)
+    Ok(version)
 }
 
-/// Returns what each side takes for the form of the connection.
+/// Returns the version of the connection on the accepting end, and the one announced to the calling end.
 async fn join(
-    behind: &[u8],
+    suffix: &[u8],
 ) -> (
     Result<Option<MessageVersion>, WireError>,
     Option<MessageVersion>,
@@ -51,21 +52,21 @@
     let (accepted, from) = listener.accept().await.unwrap();
     let accepting = identity("accepting");
     let accept = accept_peer(&accepting, accepted, from);
-    let (accepted, called) = tokio::join!(accept, call_as(&mut socket, behind));
-    let form = accepted.map(|(reader, _)| reader.message_version());
-    (form, called.ok().flatten())
+    let (accepted, called) = tokio::join!(accept, call_with_suffix(&mut socket, suffix));
+    let version = accepted.map(|(reader, _)| reader.message_version());
+    (version, called.ok().flatten())
 }
 
 #[ntex::test]
-async fn a_build_that_announces_no_form_is_taken_as_such_and_passes_over_what_is_announced() {
-    let (form, told) = join(&[]).await;
-    assert_eq!(form.unwrap(), None);
-    assert_eq!(told, Some(MessageVersion::NEWEST));
+async fn builds_without_a_version_announcement_are_accepted_and_ignore_the_announced_version() {
+    let (version, announced) = join(&[]).await;
+    assert_eq!(version.unwrap(), None);
+    assert_eq!(announced, Some(MessageVersion::NEWEST));
 }
 
 #[ntex::test]
-async fn the_older_of_the_two_forms_is_spoken() {
-    for (number, spoken) in [
+async fn the_older_of_the_two_versions_is_negotiated() {
+    for (number, negotiated) in [
         (1, MessageVersion::V1),
         (2, MessageVersion::V2),
         (3, MessageVersion::V3),
@@ -73,25 +74,30 @@
         (u16::MAX, MessageVersion::NEWEST),
     ] {
         let announced = postcard::to_stdvec::<u16>(&number).unwrap();
-        assert_eq!(join(&announced).await.0.unwrap(), Some(spoken), "{number}");
-        // A later build may write more.
+        assert_eq!(
+            join(&announced).await.0.unwrap(),
+            Some(negotiated),
+            "{number}"
+        );
+        // A later build may append more data.
         let more = [&announced[..], b"more"].concat();
-        assert_eq!(join(&more).await.0.unwrap(), Some(spoken), "{number}");
+        assert_eq!(join(&more).await.0.unwrap(), Some(negotiated), "{number}");
     }
 }
 
 #[ntex::test]
-async fn a_form_that_is_no_number_or_a_hello_that_is_too_long_is_refused() {
-    for behind in [vec![0xff; 3], vec![0xff; 8], vec![0; MAX_HANDSHAKE_BYTES]] {
-        let (form, _) = join(&behind).await;
-        let cause = form.unwrap_err().to_string();
+async fn a_malformed_version_or_an_oversized_hello_is_rejected() {
+    for suffix in [vec![0xff; 3], vec![0xff; 8], vec![0; MAX_HANDSHAKE_BYTES]] {
+        let (version, _) = join(&suffix).await;
+        let cause = version.unwrap_err().to_string();
         assert!(cause.contains("handshake"), "{cause}");
     }
 }
 
-/// The bytes of the handshake as they were shipped; the number behind is the newest form.
+/// The encoded handshake must stay as it was shipped; the last byte of hello and welcome is the announced
+/// message version.
 #[test]
-fn the_handshake_is_as_it_was_shipped() {
+fn handshake_encoding_is_unchanged() {
     let hex = |bytes: Vec<u8>| -> String { bytes.iter().map(|one| format!("{one:02x}")).collect() };
     let hello = Hello {
         key_id: "key".to_owned(),
@@ -103,9 +109,10 @@
         nonce: [2; 16],
         proof: [3; 32],
     };
-    let hello = |form: MessageVersion| hex(postcard::to_stdvec(&(&hello, form.number())).unwrap());
+    let hello =
+        |version: MessageVersion| hex(postcard::to_stdvec(&(&hello, version.number())).unwrap());
     let welcome =
-        |form: MessageVersion| hex(postcard::to_stdvec(&(&welcome, form.number())).unwrap());
+        |version: MessageVersion| hex(postcard::to_stdvec(&(&welcome, version.number())).unwrap());
     let lines = [
         format!("hello {}", hello(MessageVersion::V2)),
         format!("welcome {}", welcome(MessageVersion::V2)),
--- a/crates/wire/src/key.rs
+++ b/crates/wire/src/key.rs
@@ -1,4 +1,4 @@
-//! The shared keys of the processes, and how they roll.
+//! Shared keys of linnetdale's processes and their rotation.
 
 use std::fmt;
 use std::path::Path;
@@ -6,13 +6,12 @@
 
 use derive_more::Display;
 
-/// Bytes of a key.
 const KEY_BYTES: usize = 32;
 
-/// A shared key with the short name that peers call it by.
+/// A shared key and the identifier by which peers refer to it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct PeerKey {
-    /// The name of the key; no secret.
+    /// Identifier of the key; not secret.
     pub id: String,
     secret: [u8; KEY_BYTES],
 }
@@ -24,7 +23,7 @@
 }
 
 impl PeerKey {
-    /// Creates a key from its name and secret.
+    /// Creates a key from its identifier and secret.
     pub fn new(id: impl Into<String>, secret: [u8; KEY_BYTES]) -> Self {
         Self {
             id: id.into(),
@@ -32,7 +31,7 @@
         }
     }
 
-    /// Hashes parts of a message under this key; each part is hashed with its length.
+    /// Computes the keyed hash of the parts of a message; each part is preceded by its length.
     pub(crate) fn hash(&self, parts: &[&[u8]]) -> blake3::Hash {
         keyed_hash(&self.secret, parts)
     }
@@ -47,7 +46,7 @@
     hasher.finalize()
 }
 
-/// Why a key file was not taken.
+/// Why a key file was rejected.
 #[derive(Debug, Display, derive_more::Error)]
 pub enum KeyError {
     /// The file could not be read.
@@ -59,14 +58,14 @@
         source: std::io::Error,
     },
     /// A line is not `ID HEX`, with 64 hexadecimal digits.
-    #[display("key file {path}, line {line}: want `ID` and 64 hexadecimal digits")]
+    #[display("key file {path}, line {line}: expected `ID` and 64 hexadecimal digits")]
     Line {
         /// The file.
         path: String,
         /// The line, counted from 1.
         line: usize,
     },
-    /// The file holds no key.
+    /// The file contains no key.
     #[display("key file {path} holds no key")]
     Empty {
         /// The file.
@@ -75,33 +74,33 @@
     },
 }
 
-/// The keys in use: the first is offered to peers, all are accepted.
+/// The keys in use: the first one is offered to peers, all are accepted.
 ///
-/// A key rolls in three rounds over all processes: the new one is added as the last line, then
-/// moved to the first, then the old one is removed. No round stops a process.
+/// A key is rotated in three rounds over all processes: the new key is added as the last line of
+/// the file, then moved to the first line, then the old key is removed. No round needs a restart.
 #[derive(Debug, Clone)]
 pub struct PeerKeyRing {
     keys: Arc<RwLock<Arc<Vec<PeerKey>>>>,
 }
 
 impl PeerKeyRing {
-    /// Creates a ring of keys, the first of which is offered.
+    /// Creates a key ring; the first key is the one offered to peers.
     pub fn new(keys: Vec<PeerKey>) -> Self {
         Self {
             keys: Arc::new(RwLock::new(Arc::new(keys))),
         }
     }
 
-    /// Reads a ring from a file of lines `ID HEX`; empty lines and `#` comments are passed over.
+    /// Reads a key ring from a file of lines `ID HEX`; empty lines and `#` comments are ignored.
     ///
     /// # Errors
     ///
-    /// [`KeyError`] names the file and line; a ring is never partly read.
+    /// [`KeyError`] with the file and line; a key ring is never loaded in part.
     pub fn load(path: &Path) -> Result<Self, KeyError> {
         Ok(Self::new(read_keys(path)?))
     }
 
-    /// Reads the file again, and keeps the old keys when it is wrong.
+    /// Reloads the keys from the file; keeps the current keys if the file is invalid.
     ///
     /// # Errors
     ///
@@ -112,12 +111,12 @@
         Ok(())
     }
 
-    /// Returns the key that is offered to peers.
+    /// Returns the key that is offered to peers, the first one.
     pub fn offered(&self) -> Option<PeerKey> {
         self.current().first().cloned()
     }
 
-    /// Returns the key of this name.
+    /// Returns the key with this identifier.
     pub fn find(&self, id: &str) -> Option<PeerKey> {
         self.current().iter().find(|key| key.id == id).cloned()
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,11 @@
 //! Framed, authenticated messages between linnetdale's own processes.
 //!
-//! - [`PeerKeyRing`] holds the shared keys; keys roll without a stop.
+//! - [`PeerKeyRing`] holds the shared keys; keys are rotated without a restart.
 //! - [`connect_peer`] and [`accept_peer`] perform the handshake over TCP.
-//! - [`PeerReader`] and [`PeerWriter`] carry `postcard` messages, each with a sequence, a clock
-//!   stamp and a keyed hash.
-//! - [`MessageVersion`] is the form of messages that both ends of a connection know.
-//! - [`seal_datagram`] and [`open_datagram`] do the same for one UDP datagram.
+//! - [`PeerReader`] and [`PeerWriter`] transfer `postcard` messages, each with a clock stamp and a
+//!   keyed hash that also covers its sequence number.
+//! - [`MessageVersion`] is the version of the messages that both ends of a connection support.
+//! - [`seal_datagram`] and [`open_datagram`] encode and verify authenticated UDP datagrams.
 
 mod datagram;
 mod error;
--- a/crates/wire/src/message_version.rs
+++ b/crates/wire/src/message_version.rs
@@ -1,37 +1,37 @@
-//! Which form of messages two builds speak.
+//! Negotiation of the message version between two builds.
 //!
-//! A message knows its fields by their place, so each change of one is a new form. A build announces the
-//! newest form that it knows in the handshake, behind what earlier builds read of it; both ends speak the older
-//! of their two. Builds from before that announce nothing, and speak the first form or the second: their
-//! first messages tell which, see [`MessageVersion::detect`].
+//! Messages are encoded without field names, so each change of a message needs a new version. A build
+//! announces the newest version that it supports in the handshake, after the part that earlier builds
+//! decode; both ends use the older one of the two announced versions. Builds that predate the announcement
+//! use version 1 or 2, which is detected from their first messages, see [`MessageVersion::detect`].
 
 use derive_more::Display;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The form of messages between processes.
+/// Version of the messages between hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum MessageVersion {
-    /// Targets have no births, and nothing is told of requests that end targets.
+    /// Without start times of targets and without reports of requests that crash targets.
     #[display("1")]
     V1,
-    /// They have, and it is.
+    /// Adds start times of targets and reports of requests that crash targets.
     #[display("2")]
     V2,
-    /// The log has roll-outs, and tails stand behind some messages; the messages are those of the second form.
+    /// Adds roll-outs to the log and tails after some messages; the messages are those of version 2.
     #[display("3")]
     V3,
-    /// Entry hosts give each other leave to send to targets that name a rate, and control hosts tell such rates; else
-    /// as the third form.
+    /// Adds send permits between entry hosts for targets with a rate limit, and reports of rate limits by control
+    /// hosts; otherwise the same as version 3.
     #[display("4")]
     V4,
 }
 
 impl MessageVersion {
-    /// The newest form that this build speaks.
+    /// The newest version that this build supports.
     pub const NEWEST: Self = Self::V4;
 
-    /// Returns the number by which a form is announced.
+    /// Returns the number that announces this version in the handshake.
     pub const fn number(self) -> u16 {
         match self {
             Self::V1 => 1,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the form that is spoken with a peer that announces `number`: the newest one where it knows that
+    /// Returns the version to use with a peer that announces `number`: the newest one if the peer supports that
     /// or a later one.
     pub fn negotiate(number: u16) -> Self {
         match number {
@@ -52,31 +52,32 @@
         }
     }
 
-    /// Reads a message of a peer that announced no form, and tells by it which form it speaks: a message is whole
-    /// in the form that it was written in. Nothing where both forms have the same bytes for it.
+    /// Decodes a message of a peer that announced no version and detects the version from it: a message decodes
+    /// without remaining bytes in the version in which it was written. `N` is its type as of version 2, `F` that of
+    /// version 1. Returns no version if both encode the message to the same bytes.
     ///
     /// # Errors
     ///
-    /// What is wrong with it in the second form, where it is whole in neither.
+    /// The decoding error of version 2 if the message decodes in neither version.
     pub fn detect<N, F>(bytes: &[u8]) -> Result<(N, Option<Self>), postcard::Error>
     where
         N: Serialize + DeserializeOwned + From<F>,
         F: DeserializeOwned,
     {
-        match (read_whole::<N>(bytes), read_whole::<F>(bytes)) {
-            (Ok(message), Ok(first)) => {
-                let is_same = postcard::to_stdvec(&N::from(first))? == bytes;
+        match (decode_complete::<N>(bytes), decode_complete::<F>(bytes)) {
+            (Ok(message), Ok(message_v1)) => {
+                let is_same = postcard::to_stdvec(&N::from(message_v1))? == bytes;
                 Ok((message, (!is_same).then_some(Self::V2)))
             }
             (Ok(message), Err(_)) => Ok((message, Some(Self::V2))),
-            (Err(_), Ok(first)) => Ok((first.into(), Some(Self::V1))),
-            (Err(fault), Err(_)) => Err(fault),
+            (Err(_), Ok(message_v1)) => Ok((message_v1.into(), Some(Self::V1))),
+            (Err(error), Err(_)) => Err(error),
         }
     }
 }
 
-/// Reads a message that ends where the bytes do: the beginning of one may look like another.
-fn read_whole<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, postcard::Error> {
+/// Decodes a message and rejects remaining bytes: a prefix of one message may decode as another type.
+fn decode_complete<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, postcard::Error> {
     match postcard::take_from_bytes(bytes)? {
         (message, []) => Ok(message),
         _ => Err(postcard::Error::DeserializeBadEncoding),
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -1,8 +1,8 @@
 //! Messages over an authenticated TCP connection.
 //!
 //! A frame is: length (4, little endian), body, keyed hash (16). The body is the sender's clock
-//! stamp (8) and a `postcard` message. The hash covers direction and sequence, so a frame that is
-//! repeated, left out or turned back is refused.
+//! stamp (8) and a `postcard` message. The hash covers direction and sequence number, so a frame that
+//! is repeated, omitted or reflected to its sender is rejected.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -18,26 +18,26 @@
 use crate::key::keyed_hash;
 use crate::{MessageVersion, PEER_TRAFFIC, WireCause, WireError, WireStep};
 
-/// The largest message between peers, in bytes.
+/// Maximum size of a message between peers.
 pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// Bytes that are taken from the socket at one time. Most messages are shorter, so that one costs one
-/// system call in place of four: its length, its body, its hash, and a try for the next one. A host
-/// with connections to 300 others keeps 600 KB for it.
+/// Size of the read buffer of a connection. Most messages are shorter, so that reading one takes one
+/// system call instead of four: its length, its body, its hash, and an attempt at the next one. A host
+/// with connections to 300 others uses 600 KB for these buffers.
 pub(crate) const READ_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Bytes of messages after which [`PeerWriter::queue`] wants them sent.
+/// Size of the queued messages from which [`PeerWriter::queue`] asks for a flush.
 const FLUSH_THRESHOLD_BYTES: usize = 16 * 1024;
 
 const HASH_BYTES: usize = 16;
 const STAMP_BYTES: usize = 8;
 
-/// What both ends of a connection know after the handshake.
+/// State of a connection that both ends share after the handshake.
 #[derive(Clone)]
 pub struct Session {
     pub(crate) secret: [u8; 32],
     pub(crate) peer: String,
-    /// The form that both ends know; nothing while the peer has neither announced nor shown one.
+    /// The version in use; `None` until the peer has announced one or it was detected from a message.
     pub(crate) message_version: Option<MessageVersion>,
     pub(crate) clock: Arc<HybridClock>,
 }
@@ -62,7 +62,7 @@
     pub(crate) direction: u8,
     pub(crate) sequence: u64,
     pub(crate) silence_timeout: Option<Duration>,
-    /// Frames that wait to be sent together.
+    /// Frames to be written together.
     pub(crate) queued: Vec<u8>,
 }
 
@@ -76,28 +76,28 @@
 }
 
 impl PeerWriter {
-    /// Ends a send once the peer has taken no byte for `limit`, in place of waiting for ever.
-    pub fn with_silence_timeout(mut self, limit: Duration) -> Self {
-        self.silence_timeout = Some(limit);
+    /// Makes a send fail if the socket accepts no byte for `timeout`; without it a send waits without limit.
+    pub fn with_silence_timeout(mut self, timeout: Duration) -> Self {
+        self.silence_timeout = Some(timeout);
         self
     }
 
-    /// Sends one message, and those that wait before it.
+    /// Sends the queued messages and this one.
     ///
     /// # Errors
     ///
-    /// [`WireError`] at [`WireStep::Send`]; the connection is of no use after it.
+    /// [`WireError`] at [`WireStep::Send`]; the connection is unusable afterwards.
     pub async fn send<M: Serialize>(&mut self, message: &M) -> Result<(), WireError> {
         self.queue(message)?;
         self.flush().await
     }
 
-    /// Lets a message wait for [`PeerWriter::flush`], so that several go out in one write; says whether
-    /// so many wait that they should be sent now.
+    /// Queues a message until [`PeerWriter::flush`], so that several are sent in one write; returns whether
+    /// the queue is large enough that it should be flushed now.
     ///
     /// # Errors
     ///
-    /// [`WireError`] at [`WireStep::Send`]; the connection is of no use after it.
+    /// [`WireError`] at [`WireStep::Send`]; the connection is unusable afterwards.
     pub fn queue<M: Serialize>(&mut self, message: &M) -> Result<bool, WireError> {
         let stamp = self.session.clock.tick();
         let mut body = stamp.to_le_bytes().to_vec();
@@ -116,27 +116,27 @@
         Ok(self.queued.len() >= FLUSH_THRESHOLD_BYTES)
     }
 
-    /// Sends the messages that wait.
+    /// Sends the queued messages.
     ///
     /// # Errors
     ///
-    /// [`WireError`] at [`WireStep::Send`]; the connection is of no use after it.
+    /// [`WireError`] at [`WireStep::Send`]; the connection is unusable afterwards.
     pub async fn flush(&mut self) -> Result<(), WireError> {
         let frames = std::mem::take(&mut self.queued);
         self.write(&frames).await
     }
 
-    async fn write(&mut self, frame: &[u8]) -> Result<(), WireError> {
-        let mut passed = 0;
-        while passed < frame.len() {
-            let writing = self.socket.write(&frame[passed..]);
-            let written = match within(self.silence_timeout, writing).await {
-                Ok(written) => written.map_err(WireCause::Io),
-                Err(limit) => Err(silent(limit, passed, frame.len())),
+    async fn write(&mut self, frames: &[u8]) -> Result<(), WireError> {
+        let mut written = 0;
+        while written < frames.len() {
+            let write = self.socket.write(&frames[written..]);
+            let result = match with_timeout(self.silence_timeout, write).await {
+                Ok(result) => result.map_err(WireCause::Io),
+                Err(timeout) => Err(silence_error(timeout, written, frames.len())),
             };
-            match written.map_err(|cause| self.error(cause))? {
+            match result.map_err(|cause| self.error(cause))? {
                 0 => return Err(self.error(WireCause::Io(ErrorKind::WriteZero.into()))),
-                length => passed += length,
+                length => written += length,
             }
         }
         Ok(())
@@ -147,21 +147,21 @@
     }
 }
 
-/// Reads a message and its tails, as many as it has.
-fn read_tailed<N, T, U>(bytes: &[u8]) -> Result<(N, T, U), postcard::Error>
+/// Decodes a message and the tails that follow it; a missing tail has its default value.
+fn decode_with_tails<N, T, U>(bytes: &[u8]) -> Result<(N, T, U), postcard::Error>
 where
     N: DeserializeOwned,
     T: DeserializeOwned + Default,
     U: DeserializeOwned + Default,
 {
     let (message, rest) = postcard::take_from_bytes(bytes)?;
-    let (first, rest) = read_tail(rest)?;
-    let (second, _) = read_tail(rest)?;
+    let (first, rest) = decode_tail(rest)?;
+    let (second, _) = decode_tail(rest)?;
     Ok((message, first, second))
 }
 
-/// Reads one tail; the one that says nothing where there is none.
-fn read_tail<T: DeserializeOwned + Default>(bytes: &[u8]) -> Result<(T, &[u8]), postcard::Error> {
+/// Decodes one tail; returns its default value if no bytes are left.
+fn decode_tail<T: DeserializeOwned + Default>(bytes: &[u8]) -> Result<(T, &[u8]), postcard::Error> {
     if bytes.is_empty() {
         return Ok((T::default(), bytes));
     }
@@ -169,27 +169,28 @@
 }
 
 impl PeerReader {
-    /// Ends a receive once no byte came for `limit`, in place of waiting for ever.
+    /// Makes a receive fail if no byte arrives for `timeout`; without it a receive waits without limit.
     ///
-    /// The limit holds between bytes, not between messages: a peer whose large message passes a
-    /// slow link is alive, and to call it again would have it begin the message anew. Measured with
-    /// a message of 1.0 MB at 150 KB a second and a limit of 1.6 s between messages: it never came.
-    pub fn with_silence_timeout(mut self, limit: Duration) -> Self {
-        self.silence_timeout = Some(limit);
+    /// The timeout applies between bytes, not between messages: a peer whose large message crosses a
+    /// slow link is alive, and reconnecting would restart the message. With a timeout of 1.6 s between
+    /// messages, a message of 1.0 MB at 150 KB/s never arrived.
+    pub fn with_silence_timeout(mut self, timeout: Duration) -> Self {
+        self.silence_timeout = Some(timeout);
         self
     }
 
-    /// Receives one message. Not to be dropped half-way: a frame cut in two spoils the connection.
+    /// Receives one message. Not cancel-safe: dropping the future in the middle of a frame leaves the
+    /// connection unusable.
     ///
     /// # Errors
     ///
-    /// [`WireError`] at [`WireStep::Receive`]; the connection is of no use after it.
+    /// [`WireError`] at [`WireStep::Receive`]; the connection is unusable afterwards.
     pub async fn receive<M: DeserializeOwned>(&mut self) -> Result<M, WireError> {
         self.receive_as(|bytes| postcard::from_bytes(bytes)).await
     }
 
-    /// Receives one message that has another shape, `F`, in the first form. Until a peer that announced no form
-    /// has sent one that tells it, each is read for that.
+    /// Receives one message whose type in version 1 is `F`. If the peer announced no version, each message is
+    /// used to detect it until one does.
     ///
     /// # Errors
     ///
@@ -203,15 +204,15 @@
             Some(MessageVersion::V1) => Ok(self.receive::<F>().await?.into()),
             Some(_) => self.receive().await,
             None => {
-                let (message, form) = self.receive_as(MessageVersion::detect::<N, F>).await?;
-                self.session.message_version = form;
+                let (message, version) = self.receive_as(MessageVersion::detect::<N, F>).await?;
+                self.session.message_version = version;
                 Ok(message)
             }
         }
     }
 
-    /// Receives a message as [`PeerReader::receive_versioned`] does, and the two tails that may stand behind it. Builds
-    /// that know no tail, or only the first, send no more, and pass over those that they get.
+    /// Receives a message as [`PeerReader::receive_versioned`] does, with the two optional tails that follow it.
+    /// Builds that support no tail, or only the first, omit the others and ignore them when they receive them.
     ///
     /// # Errors
     ///
@@ -224,7 +225,9 @@
         U: DeserializeOwned + Default,
     {
         match self.session.message_version {
-            Some(form) if form > MessageVersion::V1 => self.receive_as(read_tailed).await,
+            Some(version) if version > MessageVersion::V1 => {
+                self.receive_as(decode_with_tails).await
+            }
             _ => {
                 let message = self.receive_versioned::<N, F>().await?;
                 Ok((message, T::default(), U::default()))
@@ -246,12 +249,12 @@
         decode(message).map_err(|error| self.error(WireCause::Malformed(error)))
     }
 
-    /// Returns the form that is spoken on the connection; nothing while that is not known.
+    /// Returns the message version of the connection; `None` while it is unknown.
     pub fn message_version(&self) -> Option<MessageVersion> {
         self.session.message_version
     }
 
-    /// Returns the name that the peer proved.
+    /// Returns the authenticated name of the peer.
     pub fn peer(&self) -> &str {
         &self.session.peer
     }
@@ -267,9 +270,8 @@
         self.read(&mut body).await?;
         let mut hash = [0; HASH_BYTES];
         self.read(&mut hash).await?;
-        let wanted = self.session.hash(self.direction, self.sequence, &body);
-        // `blake3::Hash` compares in constant time; the short form is compared through it.
-        if !equal_hashes(&wanted, &hash) {
+        let expected = self.session.hash(self.direction, self.sequence, &body);
+        if !equal_hashes(&expected, &hash) {
             return Err(self.error(WireCause::BadHash));
         }
         self.sequence += 1;
@@ -278,20 +280,20 @@
     }
 
     async fn read(&mut self, buffer: &mut [u8]) -> Result<(), WireError> {
-        let mut passed = 0;
-        while passed < buffer.len() {
-            let length = buffer.len();
-            // What is here already needs no timer.
-            let is_here = !self.socket.buffer().is_empty();
-            let limit = self.silence_timeout.filter(|_| !is_here);
-            let reading = self.socket.read(&mut buffer[passed..]);
-            let read = match within(limit, reading).await {
-                Ok(read) => read.map_err(WireCause::Io),
-                Err(limit) => Err(silent(limit, passed, length)),
+        let mut filled = 0;
+        while filled < buffer.len() {
+            let total = buffer.len();
+            // Bytes that are buffered already need no timer.
+            let is_buffered = !self.socket.buffer().is_empty();
+            let timeout = self.silence_timeout.filter(|_| !is_buffered);
+            let read = self.socket.read(&mut buffer[filled..]);
+            let result = match with_timeout(timeout, read).await {
+                Ok(result) => result.map_err(WireCause::Io),
+                Err(timeout) => Err(silence_error(timeout, filled, total)),
             };
-            match read.map_err(|cause| self.error(cause))? {
+            match result.map_err(|cause| self.error(cause))? {
                 0 => return Err(self.error(WireCause::Io(ErrorKind::UnexpectedEof.into()))),
-                length => passed += length,
+                length => filled += length,
             }
         }
         Ok(())
@@ -302,22 +304,26 @@
     }
 }
 
-/// Waits for one step of a socket, for at most `limit`, which is the error.
-async fn within<T>(limit: Option<Duration>, step: impl Future<Output = T>) -> Result<T, Duration> {
+/// Waits for a socket operation, for at most `limit`; the error is the limit that was exceeded.
+async fn with_timeout<T>(
+    limit: Option<Duration>,
+    operation: impl Future<Output = T>,
+) -> Result<T, Duration> {
     match limit {
-        Some(limit) => timeout(limit, step).await.map_err(|_| limit),
-        None => Ok(step.await),
+        Some(limit) => timeout(limit, operation).await.map_err(|_| limit),
+        None => Ok(operation.await),
     }
 }
 
-fn silent(limit: Duration, passed: usize, length: usize) -> WireCause {
+fn silence_error(timeout: Duration, transferred_bytes: usize, message_bytes: usize) -> WireCause {
     WireCause::Silent {
-        limit,
-        passed,
-        length,
+        timeout,
+        transferred_bytes,
+        message_bytes,
     }
 }
 
+/// Compares truncated hashes in constant time, by way of `blake3::Hash`.
 pub(crate) fn equal_hashes(a: &[u8; HASH_BYTES], b: &[u8; HASH_BYTES]) -> bool {
     let widen = |short: &[u8; HASH_BYTES]| {
         let mut long = [0; 32];
--- a/crates/wire/src/traffic.rs
+++ b/crates/wire/src/traffic.rs
@@ -9,7 +9,7 @@
     messages: AtomicU64::new(0),
 };
 
-/// Counters of bytes and messages; they only rise.
+/// Monotonic counters of bytes and messages.
 #[derive(Debug)]
 pub struct PeerTraffic {
     sent: AtomicU64,
@@ -18,28 +18,28 @@
 }
 
 impl PeerTraffic {
-    /// Returns the bytes sent.
+    /// Returns the number of bytes sent.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Returns the bytes received.
+    /// Returns the number of bytes received.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Returns the messages sent.
+    /// Returns the number of messages sent.
     pub fn messages(&self) -> u64 {
         self.messages.load(Ordering::Relaxed)
     }
 
-    /// Counts one message sent.
+    /// Counts a sent message of this size.
     pub fn count_sent(&self, bytes: usize) {
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
         self.messages.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts one message received.
+    /// Counts the bytes of a received message.
     pub fn count_received(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Handshake, frames, datagrams and rolling keys over real sockets.
+//! Handshake, frames, datagrams and key rotation over real sockets.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -44,7 +44,7 @@
 }
 
 #[ntex::test]
-async fn messages_pass_both_ways_with_names_and_stamps() {
+async fn messages_are_transferred_both_ways_with_names_and_stamps() {
     let calling = identity("entry-1", vec![key("k1")]);
     let accepting = identity("control-1", vec![key("k1")]);
     calling
@@ -68,10 +68,10 @@
 }
 
 #[ntex::test]
-async fn keys_roll_without_a_stop_and_strangers_are_refused() {
+async fn keys_are_rotated_without_a_restart_and_unknown_keys_are_rejected() {
     let (old, new, other) = (key("k1"), key("k2"), key("k1-other"));
     let forged = PeerKey::new("k1", [9; 32]);
-    // (keys of the caller, keys of the accepting end, is it taken)
+    // (keys of the calling end, keys of the accepting end, whether the handshake succeeds)
     let cases = [
         (vec![old.clone()], vec![old.clone(), new.clone()], true),
         (
@@ -84,13 +84,13 @@
         (vec![other], vec![old.clone()], false),
         (vec![forged], vec![old.clone()], false),
     ];
-    for (number, (calling, accepting, taken)) in cases.into_iter().enumerate() {
+    for (number, (calling, accepting, succeeds)) in cases.into_iter().enumerate() {
         let (left, right) = join(identity("a", calling), identity("b", accepting)).await;
-        assert_eq!(left.is_ok() && right.is_ok(), taken, "case {number}");
+        assert_eq!(left.is_ok() && right.is_ok(), succeeds, "case {number}");
     }
 }
 
-/// Passes bytes from a caller to a listener through `change`, once per read.
+/// Forwards one connection to `target` and applies `change` to the bytes of each read.
 async fn relay(
     listener: TcpListener,
     target: std::net::SocketAddr,
@@ -120,7 +120,7 @@
 }
 
 #[ntex::test]
-async fn changed_and_repeated_frames_are_refused() {
+async fn modified_and_repeated_frames_are_rejected() {
     // Reads 0 and 1 are the handshake; read 2 is the first message.
     let changes: [fn(&mut Vec<u8>, usize); 2] = [
         |bytes, read| {
@@ -149,77 +149,83 @@
         let (mut reader, _writer) = right.unwrap();
         left.unwrap().1.send(&"payload").await.unwrap();
         let first = reader.receive::<String>().await;
-        let refused = if number == 0 {
+        let error = if number == 0 {
             first.unwrap_err()
         } else {
             assert_eq!(first.unwrap(), "payload");
             reader.receive::<String>().await.unwrap_err()
         };
         assert!(
-            matches!(refused.cause, WireCause::BadHash),
-            "case {number}: {refused}"
+            matches!(error.cause, WireCause::BadHash),
+            "case {number}: {error}"
         );
     }
 }
 
 #[test]
-fn datagrams_open_only_unchanged_and_under_a_known_key() {
+fn datagrams_are_accepted_only_unmodified_and_under_a_known_key() {
     let sender = identity("entry-1", vec![key("k1")]);
     let sealed = seal_datagram(&sender, &(7_u32, "up")).unwrap();
     let open = open_datagram::<(u32, String)>(&sender.keys, &sealed).unwrap();
     assert_eq!((open.sender.as_str(), open.message.0), ("entry-1", 7));
     for position in 0..sealed.len() {
-        let mut spoiled = sealed.clone();
-        spoiled[position] ^= 1;
-        assert!(open_datagram::<(u32, String)>(&sender.keys, &spoiled).is_err());
+        let mut modified = sealed.clone();
+        modified[position] ^= 1;
+        assert!(open_datagram::<(u32, String)>(&sender.keys, &modified).is_err());
         assert!(open_datagram::<(u32, String)>(&sender.keys, &sealed[..position]).is_err());
     }
-    let strangers = PeerKeyRing::new(vec![key("k2")]);
-    assert!(open_datagram::<(u32, String)>(&strangers, &sealed).is_err());
+    let other_keys = PeerKeyRing::new(vec![key("k2")]);
+    assert!(open_datagram::<(u32, String)>(&other_keys, &sealed).is_err());
 }
 
 #[test]
-fn key_files_are_read_whole_or_refused_by_line() {
+fn key_files_are_loaded_completely_or_rejected_with_the_line() {
     let good = "# shared\nk1 00000000000000000000000000000000000000000000000000000000000000aa\n";
     let cases = [
-        (good.to_owned(), "taken"),
+        (good.to_owned(), "loaded"),
         (String::new(), "holds no key"),
         ("k1\n".to_owned(), "line 1"),
         (format!("{good}k2 12\n"), "line 3"),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let mut file = tempfile::NamedTempFile::new().unwrap();
         file.write_all(text.as_bytes()).unwrap();
         match PeerKeyRing::load(file.path()) {
-            Ok(ring) => assert!(wanted == "taken" && ring.find("k1").is_some()),
-            Err(error) => assert!(error.to_string().contains(wanted), "{error}"),
+            Ok(ring) => assert!(expected == "loaded" && ring.find("k1").is_some()),
+            Err(error) => assert!(error.to_string().contains(expected), "{error}"),
         }
     }
 }
 
-/// How a relay passes bytes on: so many at one go, with a wait before each.
-const PIECE: usize = 2_000;
-const PIECE_WAIT: Duration = Duration::from_millis(10);
+/// Maximum number of bytes that the slow relay forwards at once.
+const CHUNK_BYTES: usize = 2_000;
 
-/// Passes bytes from one socket to the other, slowly, as long as `going_on` says so.
-async fn pass_slowly(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, going_on: Arc<AtomicBool>) {
-    let mut piece = [0; PIECE];
-    while let Ok(length @ 1..) = from.read(&mut piece).await {
-        tokio::time::sleep(PIECE_WAIT).await;
-        while !going_on.load(Ordering::Relaxed) {
-            tokio::time::sleep(PIECE_WAIT).await;
+/// Delay of the slow relay before each chunk.
+const CHUNK_DELAY: Duration = Duration::from_millis(10);
+
+/// Forwards bytes from one socket to the other, delaying each chunk, while `forwarding` is set.
+async fn forward_slowly(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    forwarding: Arc<AtomicBool>,
+) {
+    let mut chunk = [0; CHUNK_BYTES];
+    while let Ok(length @ 1..) = from.read(&mut chunk).await {
+        tokio::time::sleep(CHUNK_DELAY).await;
+        while !forwarding.load(Ordering::Relaxed) {
+            tokio::time::sleep(CHUNK_DELAY).await;
         }
-        to.write_all(&piece[..length]).await.unwrap();
+        to.write_all(&chunk[..length]).await.unwrap();
     }
 }
 
-/// Both ends of a connection; neither closes while the other is in use.
+/// Both ends of a connection; holding both keeps either from being closed while the other is in use.
 struct SlowEnds {
     near: (PeerReader, PeerWriter),
     far: (PeerReader, PeerWriter),
 }
 
-/// Both ends of a connection whose bytes pass slowly, and the switch that lets them pass at all.
+/// Returns both ends of a connection over a slow relay, and the flag that lets the relay forward.
 async fn join_slowly() -> (SlowEnds, Arc<AtomicBool>) {
     let (near, far) = (
         identity("near", vec![key("k1")]),
@@ -228,7 +234,7 @@
     let far_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let relay_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let relay_address = relay_listener.local_addr().unwrap();
-    let going_on = Arc::new(AtomicBool::new(true));
+    let forwarding = Arc::new(AtomicBool::new(true));
     let relay = async {
         let (called, _) = relay_listener.accept().await.unwrap();
         let onward = TcpStream::connect(far_listener.local_addr().unwrap())
@@ -236,8 +242,8 @@
             .unwrap();
         let ((near_read, near_write), (far_read, far_write)) =
             (called.into_split(), onward.into_split());
-        ntex::rt::spawn(pass_slowly(near_read, far_write, going_on.clone()));
-        ntex::rt::spawn(pass_slowly(far_read, near_write, going_on.clone()));
+        ntex::rt::spawn(forward_slowly(near_read, far_write, forwarding.clone()));
+        ntex::rt::spawn(forward_slowly(far_read, near_write, forwarding.clone()));
     };
     let accept = async {
         let (socket, from) = far_listener.accept().await.unwrap();
@@ -249,44 +255,46 @@
             near: near.unwrap(),
             far,
         },
-        going_on,
+        forwarding,
     )
 }
 
 #[ntex::test]
-async fn a_message_that_passes_for_longer_than_the_silence_limit_comes_whole() {
+async fn a_message_whose_transfer_exceeds_the_silence_timeout_is_received() {
     let (SlowEnds { near, far }, _) = join_slowly().await;
-    let limit = Duration::from_millis(300);
-    let (mut reader, mut writer) = (near.0.with_silence_timeout(limit), far.1);
-    // It takes a second at least.
-    let message = vec![7_u8; 100 * PIECE];
-    let began = Instant::now();
+    let timeout = Duration::from_millis(300);
+    let (mut reader, mut writer) = (near.0.with_silence_timeout(timeout), far.1);
+    // The transfer takes at least one second.
+    let message = vec![7_u8; 100 * CHUNK_BYTES];
+    let started = Instant::now();
     let (sent, got) = tokio::join!(writer.send(&message), reader.receive::<Vec<u8>>());
     sent.unwrap();
     assert_eq!(got.unwrap(), message);
-    assert!(began.elapsed() > limit);
+    assert!(started.elapsed() > timeout);
 }
 
 #[ntex::test]
-async fn a_connection_that_falls_silent_without_an_end_is_noticed_midway() {
-    let (SlowEnds { near, far }, going_on) = join_slowly().await;
-    let limit = Duration::from_millis(300);
-    let (mut reader, mut writer) = (near.0.with_silence_timeout(limit), far.1);
-    let message = vec![7_u8; 100 * PIECE];
+async fn a_connection_that_stalls_in_a_message_without_closing_times_out() {
+    let (SlowEnds { near, far }, forwarding) = join_slowly().await;
+    let timeout = Duration::from_millis(300);
+    let (mut reader, mut writer) = (near.0.with_silence_timeout(timeout), far.1);
+    let message = vec![7_u8; 100 * CHUNK_BYTES];
     let stopping = async {
-        tokio::time::sleep(PIECE_WAIT * 10).await;
-        going_on.store(false, Ordering::Relaxed);
+        tokio::time::sleep(CHUNK_DELAY * 10).await;
+        forwarding.store(false, Ordering::Relaxed);
     };
     let (sent, got, ()) =
         tokio::join!(writer.send(&message), reader.receive::<Vec<u8>>(), stopping);
     sent.unwrap();
     let cause = got.unwrap_err().cause;
-    assert!(matches!(cause, WireCause::Silent { length, .. } if length > 100 * PIECE));
+    assert!(
+        matches!(cause, WireCause::Silent { message_bytes, .. } if message_bytes > 100 * CHUNK_BYTES)
+    );
 }
 
-/// Messages of every size around what is read at one time, several in one write.
+/// Covers message sizes around the size of the read buffer, with several messages in one write.
 #[ntex::test]
-async fn messages_that_wait_go_out_together_and_come_whole_and_in_order() {
+async fn queued_messages_are_sent_together_and_received_in_order() {
     let (left, right) = join(
         identity("entry-1", vec![key("k1")]),
         identity("entry-2", vec![key("k1")]),
@@ -300,7 +308,7 @@
             left_writer.queue(&vec![7_u8; size]).unwrap();
         }
         left_writer.flush().await.unwrap();
-        // What waits is sent before a message that does not.
+        // Queued messages are sent before the message that is sent directly.
         left_writer.queue(&vec![8_u8; 5]).unwrap();
         left_writer.send(&vec![9_u8; 100_000]).await.unwrap();
     };
@@ -317,7 +325,7 @@
 }
 
 #[ntex::test]
-async fn a_full_queue_asks_to_be_sent() {
+async fn a_full_queue_asks_for_a_flush() {
     let (left, _right) = join(
         identity("entry-1", vec![key("k1")]),
         identity("entry-2", vec![key("k1")]),
