--- a/crates/clock/src/boot_instant.rs
+++ b/crates/clock/src/boot_instant.rs
@@ -1,20 +1,20 @@
-//! A clock that counts the time in which the machine was suspended.
+//! A monotonic clock that includes the time during which the machine was suspended.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A moment of the time since the machine was started, with the spans in which it was suspended.
+/// A point in time on the clock that counts from boot, including suspended time.
 ///
-/// Leases, and the time for which a target wants no requests, are measured by it. By the steady clock of the
-/// standard library, which stands still meanwhile, a leader that was suspended for as long as another one led
-/// believed its lease to last and answered reads with what it held before.
+/// It measures leases and the back-off of targets. The monotonic clock of the standard library does not advance
+/// while the machine is suspended: with it, a leader that was suspended while another one led believed that its
+/// lease was still valid and answered reads with stale state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// Returns this moment.
+    /// Returns the current time.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -22,12 +22,12 @@
         Self(Duration::new(seconds, nanoseconds))
     }
 
-    /// Returns the time since this moment.
+    /// Returns the time elapsed since this instant.
     pub fn elapsed(self) -> Duration {
         Self::now() - self
     }
 
-    /// Returns the moment a span before this one.
+    /// Returns the instant that lies `span` before this one, at the earliest the boot.
     pub fn before(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(span))
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// The time from an earlier moment to a later one; nothing the other way round.
+/// The time from an earlier instant to a later one; zero if `earlier` is later.
 impl Sub for BootInstant {
     type Output = Duration;
 
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clocks by which promises between processes are measured.
+//! Clocks for leases and other time limits that processes agree on.
 
 mod boot_instant;
 
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -1,4 +1,4 @@
-//! The table in force in one process.
+//! The table in force in one process, and its newest changes.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,47 +7,47 @@
 use linnet_table::{ChangeRefusal, RowKey, TableChange, TableStore, VersionedRow};
 use tokio::sync::watch;
 
-/// Changes that are retained for followers which are a little behind.
+/// Maximum number of changes retained for followers that lag behind.
 const MAX_RETAINED_CHANGES: usize = 1_024;
 
-/// Rows that the retained changes may have together; more are dropped from the oldest on.
+/// Maximum number of rows in all retained changes together; the oldest changes are dropped first.
 const MAX_RETAINED_ROWS: usize = 20_000;
 
-/// What a follower at some version needs next.
+/// What a follower at a given version needs next.
 #[derive(Debug)]
 pub enum FeedStep {
-    /// Nothing; it has the newest.
+    /// Nothing; it has the newest version.
     Current,
-    /// These changes, in order.
+    /// These changes, in order of their versions.
     Deltas(Vec<(u64, Arc<TableChange>)>),
-    /// The whole table, because it is too far behind.
+    /// The complete table, because the changes that it needs are no longer retained.
     Image,
 }
 
-/// A change with the version that it made and its number of rows.
+/// A change with the version that it created and its number of rows.
 struct RetainedChange {
     version: u64,
     rows: usize,
     change: Arc<TableChange>,
 }
 
-/// The whole table of one version, in parts, as it is sent to followers.
+/// The complete table of one version, split into parts as it is sent to followers.
 #[derive(Debug)]
 pub struct TableImage {
-    /// The version.
+    /// Version of the table.
     pub version: u64,
     /// The rows, in parts of one message each.
     pub parts: Vec<Vec<VersionedRow>>,
-    /// Deletions that are remembered.
+    /// Retained tombstones of deleted rows.
     pub tombstones: Vec<(RowKey, u64)>,
 }
 
-/// Rows of an image that one message carries.
+/// Maximum number of rows in one part of an image.
 const MAX_ROWS_PER_PART: usize = 2_000;
 
-/// The table in force, the newest changes, and a signal for those who wait for the next.
+/// The table in force, the newest changes, and a notification of each new version.
 ///
-/// Invariant: the version seen by any reader never falls, but for [`TableFeed::restore`].
+/// Invariant: the version seen by any reader never decreases, except by [`TableFeed::restore`].
 pub struct TableFeed {
     table: RwLock<TableStore>,
     retained: Mutex<VecDeque<RetainedChange>>,
@@ -63,7 +63,7 @@
 }
 
 impl TableFeed {
-    /// Creates a feed that has no table yet.
+    /// Creates a feed without a table.
     pub fn new() -> Self {
         Self {
             table: RwLock::new(TableStore::new()),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the table in force. Held only for a moment, never over an await.
+    /// Locks the table in force for reading. The guard must be dropped soon and not be held across an await.
     pub fn read(&self) -> RwLockReadGuard<'_, TableStore> {
         self.table.read().unwrap_or_else(PoisonError::into_inner)
     }
@@ -84,33 +84,33 @@
         *self.version.borrow()
     }
 
-    /// Returns how many entry hosts live in the whole fleet; 0 for unknown.
+    /// Returns the number of live entry hosts in the whole deployment; 0 for unknown.
     pub fn entry_host_count(&self) -> u32 {
         self.entry_host_count.load(Ordering::Relaxed)
     }
 
-    /// Sets how many entry hosts live in the whole fleet.
+    /// Sets the number of live entry hosts in the whole deployment.
     pub fn set_entry_host_count(&self, hosts: u32) {
         self.entry_host_count.store(hosts, Ordering::Relaxed);
     }
 
-    /// Returns a receiver that wakes with each version.
+    /// Returns a receiver that is notified of each new version.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// Checks a change and takes it as the next version; for the process that decides.
+    /// Validates a change and applies it as the next version; for the process that accepts changes.
     ///
     /// # Errors
     ///
-    /// [`ChangeRefusal`]; the table is as it was.
+    /// [`ChangeRefusal`]; the table is unchanged.
     pub fn apply_change(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
         let version = self.write().apply(change)?;
         self.retain_change(version, change.clone());
         Ok(version)
     }
 
-    /// Takes a change that another process has checked; false when it is not the next one.
+    /// Applies a change that another process has validated; returns false if it is not the next version.
     pub fn apply_checked_change(&self, version: u64, change: TableChange) -> bool {
         {
             let mut table = self.write();
@@ -123,7 +123,7 @@
         true
     }
 
-    /// Puts a whole table in force; false when it is not newer.
+    /// Replaces the table by a complete one; returns false if that is not newer.
     pub fn apply_image(&self, image: TableStore) -> bool {
         let version = image.version();
         {
@@ -138,7 +138,7 @@
         true
     }
 
-    /// Sets the table whatever its version; only for the start of a replica and its snapshots.
+    /// Replaces the table regardless of its version; only for a replica that starts or installs a snapshot.
     pub fn restore(&self, image: TableStore) {
         let version = image.version();
         *self.write() = image;
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Returns the whole table in parts. Followers that are served at one time share one image, so
-    /// that a hall that starts at once does not take its memory many times over.
+    /// Returns the complete table in parts. Followers that are served at the same time share one image, so
+    /// that a data hall whose hosts all start at once does not multiply its memory.
     pub fn image(&self) -> Arc<TableImage> {
         let mut cached = self.image.lock().unwrap_or_else(PoisonError::into_inner);
         let table = self.read();
@@ -186,6 +186,7 @@
         image
     }
 
+    /// Retains an applied change and publishes its version.
     fn retain_change(&self, version: u64, change: TableChange) {
         let rows = change.upserts.len() + change.deletes.len();
         let change = Arc::new(change);
--- a/crates/feed/src/follow.rs
+++ b/crates/feed/src/follow.rs
@@ -1,4 +1,4 @@
-//! Takes the table in from one source.
+//! Receives and applies the table from one source.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,15 +11,15 @@
 use crate::serve::HEARTBEAT_INTERVAL;
 use crate::{FeedMessage, FollowHello, FollowReport, TableFeed};
 
-/// A source from which no byte came for so long is taken as gone or cut off.
+/// Time without a byte after which a source counts as stopped or unreachable.
 const SOURCE_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why following a source ended.
+/// Why [`follow_source`] ended.
 #[derive(Debug)]
 pub enum FollowError {
     /// The connection failed.
     Wire(WireError),
-    /// The source sent what does not follow what is in force.
+    /// The source sent a change that does not follow the version in force.
     OutOfOrder,
 }
 
@@ -40,12 +40,12 @@
     }
 }
 
-/// Follows one source until it is lost. `on_version` runs with the source's version for each message,
-/// `report` gives what is told to the source now and then.
+/// Follows one source until the connection is lost. `on_version` is called with the version of the source
+/// for each message, `report` returns the report that is sent to the source periodically.
 ///
 /// # Errors
 ///
-/// [`FollowError`]; what was taken in so far stays in force.
+/// [`FollowError`]; the changes applied so far stay in force.
 pub async fn follow_source(
     feed: &TableFeed,
     identity: &PeerIdentity,
@@ -84,7 +84,7 @@
     loop {
         match reader.receive::<FeedMessage>().await? {
             FeedMessage::Delta { version, change } => {
-                // A change that another source brought already is passed over.
+                // A change that was already received from another source is skipped.
                 if version > feed.version() && !feed.apply_checked_change(version, change) {
                     return Err(FollowError::OutOfOrder);
                 }
@@ -99,9 +99,9 @@
                 version,
                 tombstones,
             } => {
-                let mut whole = image.take().ok_or(FollowError::OutOfOrder)?;
-                whole.finish_image(version, tombstones);
-                feed.apply_image(whole);
+                let mut complete = image.take().ok_or(FollowError::OutOfOrder)?;
+                complete.finish_image(version, tombstones);
+                feed.apply_image(complete);
                 on_version(version);
             }
             FeedMessage::Heartbeat {
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,8 +1,8 @@
-//! How a table comes into force on every host: a feed that is followed over peer connections.
+//! Replication of the table to every host over peer connections.
 //!
-//! - [`TableFeed`] holds the table in force and the newest changes; versions only rise.
-//! - [`serve_follower`] pushes changes, or the whole table, to one follower.
-//! - [`follow_source`] takes them in; [`HostReport`]s travel the other way.
+//! - [`TableFeed`] stores the table in force and the newest changes; versions are monotonic.
+//! - [`serve_follower`] sends changes, or the complete table, to one follower.
+//! - [`follow_source`] receives and applies them; [`HostReport`]s are sent in the other direction.
 
 mod feed;
 mod follow;
--- a/crates/feed/src/message.rs
+++ b/crates/feed/src/message.rs
@@ -3,61 +3,61 @@
 use linnet_table::{RowKey, TableChange, VersionedRow};
 use serde::{Deserialize, Serialize};
 
-/// A follower's first message.
+/// First message of a follower.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FollowHello {
-    /// The version that the follower has in force; 0 for none.
+    /// Version in force at the follower; 0 for none.
     pub have_version: u64,
 }
 
-/// What a follower sends now and then: itself and the hosts of its hall that it hears.
+/// Periodic report of a follower on itself and the reachable hosts of its data hall.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FollowReport {
-    /// The hosts.
+    /// Reports on the hosts.
     pub hosts: Vec<HostReport>,
 }
 
-/// What is known of one host.
+/// State of one host, as last reported.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostReport {
-    /// The name of the host.
+    /// Name of the host.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of the host.
     pub hall: String,
-    /// Where operators reach it.
+    /// Address of the operators' port of the host.
     pub ops: String,
-    /// The version in force there; 0 for none.
+    /// Table version in force on the host; 0 for none.
     pub version: u64,
-    /// How long ago it was heard, in milliseconds.
+    /// Time since the host last sent a message, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a source sends.
+/// A message from a source to a follower.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum FeedMessage {
-    /// One change; it makes `version` out of the version before.
+    /// One change, which turns the previous version into `version`.
     Delta {
-        /// The version that the change makes.
+        /// The version after the change.
         version: u64,
         /// The change.
         change: TableChange,
     },
-    /// The whole table begins; rows follow.
+    /// Start of a complete table; its rows follow.
     ImageStart,
-    /// Rows of the whole table.
+    /// Part of the rows of a complete table.
     ImageRows(Vec<VersionedRow>),
-    /// The whole table is there.
+    /// End of a complete table.
     ImageEnd {
-        /// Its version.
+        /// Version of the table.
         version: u64,
-        /// Deletions that are remembered.
+        /// Retained tombstones of deleted rows.
         tombstones: Vec<(RowKey, u64)>,
     },
-    /// Nothing new; the source lives and has this version.
+    /// No new change; the source is alive and has this version.
     Heartbeat {
-        /// The version of the source.
+        /// Version of the source.
         version: u64,
-        /// Entry hosts that live in the whole fleet, as far as the source knows; 0 for unknown.
+        /// Number of live entry hosts in the whole deployment, as far as the source knows; 0 for unknown.
         entry_hosts: u32,
     },
 }
--- a/crates/feed/src/serve.rs
+++ b/crates/feed/src/serve.rs
@@ -1,4 +1,4 @@
-//! Pushes the table to one follower.
+//! Sends the table and its changes to one follower.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use crate::{FeedMessage, FeedStep, FollowHello, FollowReport, TableFeed};
 
-/// How long a source stays silent.
+/// Interval of heartbeats from a source without new changes, and of reports from a follower.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A follower from which no byte came, or that took none, for so long is taken as gone.
+/// Time without a byte received from or accepted by a follower after which it counts as gone.
 const FOLLOWER_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves one follower until its connection ends. `on_report` takes what the follower tells.
+/// Serves one follower until its connection ends. `on_report` is called with each report of the follower.
 ///
 /// # Errors
 ///
@@ -28,11 +28,11 @@
     let mut reader = reader.with_silence_timeout(FOLLOWER_SILENCE_TIMEOUT);
     let writer = writer.with_silence_timeout(FOLLOWER_SILENCE_TIMEOUT);
     let hello: FollowHello = reader.receive().await?;
-    let pushing = push_changes(feed, hello.have_version, writer);
+    let sending = send_changes(feed, hello.have_version, writer);
     let reports = receive_reports(reader, on_report);
-    // Whichever ends first ends the connection: both halves are dropped together.
+    // The first of the two to end closes the connection, since both halves are dropped together.
     tokio::select! {
-        result = pushing => result,
+        result = sending => result,
         result = reports => result,
     }
 }
@@ -46,7 +46,7 @@
     }
 }
 
-async fn push_changes(
+async fn send_changes(
     feed: &TableFeed,
     mut sent: u64,
     mut writer: PeerWriter,
@@ -62,7 +62,7 @@
                     sent = version;
                 }
             }
-            FeedStep::Image => sent = push_image(feed, &mut writer).await?,
+            FeedStep::Image => sent = send_image(feed, &mut writer).await?,
             FeedStep::Current => {
                 if timeout(HEARTBEAT_INTERVAL, versions.changed())
                     .await
@@ -81,7 +81,7 @@
     }
 }
 
-async fn push_image(feed: &TableFeed, writer: &mut PeerWriter) -> Result<u64, WireError> {
+async fn send_image(feed: &TableFeed, writer: &mut PeerWriter) -> Result<u64, WireError> {
     let image = feed.image();
     writer.send(&FeedMessage::ImageStart).await?;
     for part in &image.parts {
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file operations that the journal depends on.
+//! Replaceable file operations of the journal.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -6,10 +6,10 @@
 /// A file operation that writes bytes at the end of a file.
 type WriteFn = Box<dyn FnMut(&mut File, &[u8]) -> io::Result<()> + Send>;
 
-/// A file operation that makes what was written durable.
+/// A file operation that makes written bytes durable.
 type SyncFn = Box<dyn FnMut(&File) -> io::Result<()> + Send>;
 
-/// Write and sync as the journal calls them; a test replaces them by failing ones.
+/// The write and sync operations of the journal; tests replace them to simulate disk failures.
 pub struct DiskOps {
     pub(crate) write: WriteFn,
     pub(crate) sync: SyncFn,
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,14 +1,14 @@
-//! What can go wrong with the files of a data folder.
+//! Errors of the files in a data folder.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use derive_more::Display;
 
-/// The step of work on the data folder at which an error arose.
+/// The operation on the data folder at which an error occurred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum JournalStep {
-    /// Taking the lock of the folder.
+    /// Locking the folder.
     #[display("lock")]
     Lock,
     /// Reading files at start.
@@ -20,7 +20,7 @@
     /// Syncing a file or the folder.
     #[display("sync")]
     Sync,
-    /// Writing a snapshot and shortening the journal.
+    /// Writing a snapshot and truncating the journal.
     #[display("compact")]
     Compact,
 }
@@ -28,7 +28,7 @@
 /// An error of the data folder, with its step and file.
 #[derive(Debug, Display, derive_more::Error)]
 pub enum JournalError {
-    /// Another process holds the folder.
+    /// Another process has locked the folder.
     #[display("{step}: {} is held by another process", path.display())]
     Locked {
         /// Always [`JournalStep::Lock`].
@@ -36,30 +36,30 @@
         /// The lock file.
         path: PathBuf,
     },
-    /// Bytes that were synced are not what was written.
+    /// Bytes that had been synced do not read back as written.
     #[display("{step}: {} is corrupt at byte {offset}: {reason}", path.display())]
     Corrupt {
-        /// The step that met the corruption.
+        /// The step that found the corruption.
         step: JournalStep,
         /// The file.
         path: PathBuf,
         /// The offset of the first bad frame.
         offset: u64,
-        /// What is wrong there.
+        /// What is wrong with the frame.
         reason: String,
     },
-    /// The disk had no room; nothing of the write was kept and the journal goes on.
-    #[display("{step}: no room for {}: {source}", path.display())]
+    /// The disk was full; the write was undone and the journal stays usable.
+    #[display("{step}: disk full, {} was not written: {source}", path.display())]
     DiskFull {
-        /// The step that met the full disk.
+        /// The step that failed.
         step: JournalStep,
         /// The file.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// A write or sync failed so that what is on the disk is unknown; the process must end.
-    #[display("{step}: {} failed for good: {source}", path.display())]
+    /// A file operation failed and left the state of the disk unknown; the process must end.
+    #[display("{step}: {} failed permanently: {source}", path.display())]
     Fatal {
         /// The step that failed.
         step: JournalStep,
@@ -71,7 +71,7 @@
 }
 
 impl JournalError {
-    /// Says whether the process must end, because the state of the disk is unknown.
+    /// Returns whether the process must end, because the data folder is unusable or in an unknown state.
     pub fn is_fatal(&self) -> bool {
         !matches!(self, JournalError::DiskFull { .. })
     }
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: its lock and the mark of the replica that owns it.
+//! The data folder: its lock and the metadata of the replica that owns it, in the file `mark`.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
@@ -9,47 +9,48 @@
 use crate::{JournalError, JournalStep};
 
 const LOCK_NAME: &str = "lock";
-const MARK_NAME: &str = "mark";
+const METADATA_NAME: &str = "mark";
 
-/// Who owns a data folder. A wiped folder gets a new mark, so its replica is a new replica.
+/// Metadata of the replica that owns a data folder. A wiped folder gets a new identity, so that its replica is
+/// a new replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderMetadata {
-    /// Random number of the replica, made when the folder was blank.
+    /// Random identity of the replica, set when the folder was first opened.
     pub identity: u64,
-    /// The cluster that the replica belongs to, once it was formed or joined.
+    /// The cluster that the replica belongs to; `None` until it forms or joins one.
     pub cluster: Option<u64>,
-    /// How often a process has opened the folder.
+    /// Number of times that a process has opened the folder.
     pub incarnation: u64,
 }
 
-/// A data folder held by this process alone.
+/// A data folder locked by this process.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
-    mark: FolderMetadata,
+    metadata: FolderMetadata,
     _lock: File,
 }
 
 impl DataFolder {
-    /// Opens a folder, making it with `fresh_identity` when it is blank.
+    /// Opens and locks a folder; a folder without metadata and records gets `fresh_identity`.
     ///
     /// # Errors
     ///
-    /// [`JournalError::Locked`] when another process has it, [`JournalError::Corrupt`] when its mark
-    /// cannot be read or records stand in a folder without a mark.
+    /// [`JournalError::Locked`] if another process has locked it, [`JournalError::Corrupt`] if its metadata
+    /// cannot be decoded, or is missing while the folder contains records.
     pub fn open(path: &Path, fresh_identity: u64) -> Result<Self, JournalError> {
         fs::create_dir_all(path)
             .map_err(|error| JournalError::fatal(JournalStep::Lock, path, error))?;
-        let lock = take_lock(&path.join(LOCK_NAME))?;
-        let mut mark = match read_mark(path)? {
-            Some(mark) => mark,
-            None => blank_mark(path, fresh_identity)?,
+        let lock = acquire_lock(&path.join(LOCK_NAME))?;
+        let mut metadata = match read_metadata(path)? {
+            Some(metadata) => metadata,
+            None => new_metadata(path, fresh_identity)?,
         };
-        mark.incarnation += 1;
-        write_mark(path, &mark)?;
+        metadata.incarnation += 1;
+        write_metadata(path, &metadata)?;
         Ok(Self {
             path: path.to_owned(),
-            mark,
+            metadata,
             _lock: lock,
         })
     }
@@ -59,28 +60,28 @@
         &self.path
     }
 
-    /// Returns the mark as it is on the disk.
+    /// Returns the metadata as stored on the disk.
     pub fn metadata(&self) -> FolderMetadata {
-        self.mark
+        self.metadata
     }
 
-    /// Writes the cluster into the mark; done once, when the replica is formed or joins.
+    /// Stores the cluster in the metadata; done once, when the replica forms or joins a cluster.
     ///
     /// # Errors
     ///
-    /// A fatal error when the mark cannot be written and synced.
+    /// A fatal error if the metadata cannot be written and synced.
     pub fn set_cluster(&mut self, cluster: u64) -> Result<(), JournalError> {
-        let mark = FolderMetadata {
+        let metadata = FolderMetadata {
             cluster: Some(cluster),
-            ..self.mark
+            ..self.metadata
         };
-        write_mark(&self.path, &mark)?;
-        self.mark = mark;
+        write_metadata(&self.path, &metadata)?;
+        self.metadata = metadata;
         Ok(())
     }
 }
 
-fn take_lock(path: &Path) -> Result<File, JournalError> {
+fn acquire_lock(path: &Path) -> Result<File, JournalError> {
     let lock = OpenOptions::new()
         .create(true)
         .truncate(false)
@@ -94,8 +95,8 @@
     Ok(lock)
 }
 
-fn read_mark(folder: &Path) -> Result<Option<FolderMetadata>, JournalError> {
-    let path = folder.join(MARK_NAME);
+fn read_metadata(folder: &Path) -> Result<Option<FolderMetadata>, JournalError> {
+    let path = folder.join(METADATA_NAME);
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -109,28 +110,28 @@
     };
     let (sum, body) = bytes
         .split_at_checked(4)
-        .ok_or_else(|| corrupt("the mark is too short"))?;
+        .ok_or_else(|| corrupt("the file is shorter than its checksum"))?;
     if crc32fast::hash(body).to_le_bytes() != sum {
-        return Err(corrupt("the checksum of the mark is wrong"));
+        return Err(corrupt("the checksum does not match"));
     }
     postcard::from_bytes(body)
         .map(Some)
         .map_err(|error| corrupt(&error.to_string()))
 }
 
-// Records without a mark mean that the mark was lost. Making a new identity over the records of
-// another would let a replica vote twice in one term, so the folder is refused.
-fn blank_mark(folder: &Path, identity: u64) -> Result<FolderMetadata, JournalError> {
-    let holds_records = fs::read_dir(folder)
+// Records without metadata mean that the metadata was lost. A new identity for the records of another
+// replica could let it vote twice in one term, so the folder is rejected.
+fn new_metadata(folder: &Path, identity: u64) -> Result<FolderMetadata, JournalError> {
+    let has_records = fs::read_dir(folder)
         .map_err(|error| JournalError::fatal(JournalStep::Recover, folder, error))?
         .filter_map(Result::ok)
         .any(|entry| entry.file_name().to_string_lossy().starts_with("journal-"));
-    if holds_records {
+    if has_records {
         return Err(JournalError::Corrupt {
             step: JournalStep::Recover,
-            path: folder.join(MARK_NAME),
+            path: folder.join(METADATA_NAME),
             offset: 0,
-            reason: "records stand in the folder but its mark is gone".to_owned(),
+            reason: "the file is missing but the folder contains records".to_owned(),
         });
     }
     Ok(FolderMetadata {
@@ -140,24 +141,24 @@
     })
 }
 
-fn write_mark(folder: &Path, mark: &FolderMetadata) -> Result<(), JournalError> {
-    let path = folder.join(MARK_NAME);
-    let body = postcard::to_stdvec(mark).map_err(|error| {
+fn write_metadata(folder: &Path, metadata: &FolderMetadata) -> Result<(), JournalError> {
+    let path = folder.join(METADATA_NAME);
+    let body = postcard::to_stdvec(metadata).map_err(|error| {
         JournalError::fatal(JournalStep::Write, &path, std::io::Error::other(error))
     })?;
     let mut bytes = crc32fast::hash(&body).to_le_bytes().to_vec();
     bytes.extend_from_slice(&body);
-    replace_file(folder, MARK_NAME, &bytes)
+    replace_file(folder, METADATA_NAME, &bytes)
         .map_err(|error| JournalError::fatal(JournalStep::Write, &path, error))
 }
 
-/// Replaces a file so that after a crash either the old or the new one is there, whole.
+/// Replaces a file atomically: after a crash either the old or the new content is there completely.
 pub(crate) fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-    let draft = folder.join(format!("{name}.tmp"));
-    let mut file = File::create(&draft)?;
+    let temporary = folder.join(format!("{name}.tmp"));
+    let mut file = File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    fs::rename(&draft, folder.join(name))?;
+    fs::rename(&temporary, folder.join(name))?;
     // Without this sync the rename itself may be lost.
     File::open(folder)?.sync_all()
 }
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -1,18 +1,18 @@
 //! The layout of a frame: one group of records under one checksum.
 //!
-//! A frame is the unit of one write and one sync, so a torn write can only spoil the last frame.
+//! A frame is the unit of one write and one sync, so a torn write can only corrupt the last frame.
 //! Layout, little endian: magic (4), payload bytes (4), checksum (4), sequence (8), payload.
 
 /// Marks the start of a frame.
 const FRAME_MAGIC: [u8; 4] = *b"LNJ1";
 
-/// Bytes before the payload.
+/// Size of the header before the payload.
 pub(crate) const HEADER_BYTES: usize = 20;
 
-/// The largest payload that a frame may hold.
+/// Maximum size of the payload of a frame.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// A frame read from a file.
+/// A decoded frame; `end` is the offset after it.
 pub(crate) struct Frame<'a> {
     pub(crate) sequence: u64,
     pub(crate) payload: &'a [u8],
@@ -28,7 +28,7 @@
     out.extend_from_slice(payload);
 }
 
-/// Reads the frame that starts at `offset`, or nothing when no whole frame stands there.
+/// Decodes the frame at `offset`; returns `None` if there is no complete, valid frame.
 pub(crate) fn decode_frame(bytes: &[u8], offset: usize) -> Option<Frame<'_>> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     if header[..4] != FRAME_MAGIC {
@@ -42,15 +42,15 @@
     }
     let start = offset + HEADER_BYTES;
     let payload = bytes.get(start..start + length)?;
-    let whole = checksum(sequence, payload) == sum;
-    whole.then_some(Frame {
+    let is_valid = checksum(sequence, payload) == sum;
+    is_valid.then_some(Frame {
         sequence,
         payload,
         end: start + length,
     })
 }
 
-/// Finds a whole frame at any offset after `from`; used only after a bad one was met.
+/// Finds a valid frame at any offset from `from` on; used only after an invalid one was found.
 pub(crate) fn find_frame(bytes: &[u8], from: usize) -> Option<usize> {
     let last = bytes.len().checked_sub(HEADER_BYTES)?;
     (from..=last).find(|offset| {
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,4 +1,4 @@
-//! The journal: an append-only file of frames beside the snapshot that it continues.
+//! The journal: an append-only file of frames that continues a snapshot.
 //!
 //! Generation `g` is the pair `snapshot-g` and `journal-g`; generation 0 has no snapshot.
 
@@ -10,14 +10,14 @@
 use crate::frame::{decode_frame, encode_frame, find_frame};
 use crate::{DataFolder, DiskOps, JournalError, JournalStep};
 
-/// What a journal held when it was opened.
+/// Content of a journal when it was opened.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RecoveredJournal {
-    /// The snapshot that the records continue, if there is one.
+    /// The snapshot before the records, if there is one.
     pub snapshot: Option<Vec<u8>>,
     /// The records after the snapshot, oldest first.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of a torn last frame that were cut off.
+    /// Size of a torn last frame that was truncated.
     pub torn_bytes: u64,
 }
 
@@ -30,16 +30,16 @@
     length: u64,
     next_sequence: u64,
     ops: DiskOps,
-    scratch: Vec<u8>,
+    frame_buffer: Vec<u8>,
 }
 
 impl Journal {
-    /// Opens the journal of a data folder and reads all that it holds.
+    /// Opens the journal of a data folder and reads its snapshot and records.
     ///
     /// # Errors
     ///
-    /// [`JournalError::Corrupt`] when bytes before the last frame are bad, with file and offset;
-    /// a fatal error when files cannot be read.
+    /// [`JournalError::Corrupt`] with file and offset if bytes before the last frame are invalid;
+    /// a fatal error if files cannot be read.
     pub fn open(
         folder: &DataFolder,
         ops: DiskOps,
@@ -55,7 +55,7 @@
             .open(&journal_path)
             .map_err(|error| JournalError::fatal(JournalStep::Recover, &journal_path, error))?;
         let torn_bytes = bytes.len() as u64 - scan.length;
-        cut_to(&mut file, scan.length)
+        truncate_to(&mut file, scan.length)
             .map_err(|error| JournalError::fatal(JournalStep::Recover, &journal_path, error))?;
         remove_other_generations(path, generation);
         let recovered = RecoveredJournal {
@@ -71,7 +71,7 @@
             length: scan.length,
             next_sequence: scan.next_sequence,
             ops,
-            scratch: Vec::new(),
+            frame_buffer: Vec::new(),
         };
         Ok((journal, recovered))
     }
@@ -80,28 +80,29 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::DiskFull`] when there was no room: nothing was kept and the journal goes on.
-    /// A fatal error when a write could not be undone or a sync failed: what is on the disk is
-    /// unknown, and a second sync that succeeds would prove nothing.
+    /// [`JournalError::DiskFull`] if the disk is full: the write is undone and the journal stays usable.
+    /// A fatal error if a write could not be undone or a sync failed: the state of the disk is
+    /// unknown then, and a second sync that succeeds would not prove that the data is durable.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), JournalError> {
-        let payload = join_records(records);
-        self.scratch.clear();
-        encode_frame(self.next_sequence, &payload, &mut self.scratch);
-        if let Err(source) = (self.ops.write)(&mut self.file, &self.scratch) {
+        let payload = encode_records(records);
+        self.frame_buffer.clear();
+        encode_frame(self.next_sequence, &payload, &mut self.frame_buffer);
+        if let Err(source) = (self.ops.write)(&mut self.file, &self.frame_buffer) {
             return Err(self.undo_write(source));
         }
         (self.ops.sync)(&self.file)
             .map_err(|error| JournalError::fatal(JournalStep::Sync, &self.path, error))?;
-        self.length += self.scratch.len() as u64;
+        self.length += self.frame_buffer.len() as u64;
         self.next_sequence += 1;
         Ok(())
     }
 
-    /// Replaces all that the journal holds by a snapshot and the records that continue it.
+    /// Replaces the content of the journal by a snapshot and the records that follow it.
     ///
     /// # Errors
     ///
-    /// [`JournalError::DiskFull`] when there was no room: the old generation goes on.
+    /// [`JournalError::DiskFull`] if the new generation could not be written: the old one stays in use.
+    /// A fatal error if the new journal file cannot be opened.
     pub fn compact(&mut self, snapshot: &[u8], records: &[Vec<u8>]) -> Result<(), JournalError> {
         let generation = self.generation + 1;
         let mut frame = Vec::new();
@@ -109,7 +110,7 @@
         let name = snapshot_name(generation);
         replace_file(&self.folder, &name, &frame).map_err(|error| self.compact_error(error))?;
         frame.clear();
-        encode_frame(0, &join_records(records), &mut frame);
+        encode_frame(0, &encode_records(records), &mut frame);
         let name = journal_name(generation);
         replace_file(&self.folder, &name, &frame).map_err(|error| self.compact_error(error))?;
         let path = self.folder.join(name);
@@ -124,17 +125,17 @@
         Ok(())
     }
 
-    /// Returns the bytes of the journal file.
+    /// Returns the size of the journal file in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
     fn undo_write(&mut self, source: io::Error) -> JournalError {
-        let cut = cut_to(&mut self.file, self.length);
-        let full = source.kind() == io::ErrorKind::StorageFull
+        let truncated = truncate_to(&mut self.file, self.length);
+        let is_full = source.kind() == io::ErrorKind::StorageFull
             || source.kind() == io::ErrorKind::QuotaExceeded;
-        match cut {
-            Ok(()) if full => JournalError::DiskFull {
+        match truncated {
+            Ok(()) if is_full => JournalError::DiskFull {
                 step: JournalStep::Write,
                 path: self.path.clone(),
                 source,
@@ -158,8 +159,8 @@
     next_sequence: u64,
 }
 
-// A bad last frame is a torn write: it was never answered for, so it is cut off. A bad frame with
-// a whole one behind it was synced once, so the file is refused.
+// An invalid last frame is a torn write, which was never acknowledged, so it is truncated. An invalid frame
+// before a valid one had been synced, so the file is rejected as corrupt.
 fn scan_frames(path: &Path, bytes: &[u8]) -> Result<FrameScan, JournalError> {
     let corrupt = |offset: usize, reason: String| JournalError::Corrupt {
         step: JournalStep::Recover,
@@ -176,19 +177,22 @@
     while offset < bytes.len() {
         let Some(frame) = decode_frame(bytes, offset) else {
             return match find_frame(bytes, offset + 1) {
-                Some(next) => Err(corrupt(offset, format!("a whole frame follows at {next}"))),
+                Some(next) => Err(corrupt(
+                    offset,
+                    format!("invalid frame, but a valid one follows at byte {next}"),
+                )),
                 None => Ok(scan),
             };
         };
         if frame.sequence != scan.next_sequence {
             let reason = format!(
-                "sequence {} where {} is due",
+                "sequence number {}, expected {}",
                 frame.sequence, scan.next_sequence
             );
             return Err(corrupt(offset, reason));
         }
-        let records = split_records(frame.payload)
-            .ok_or_else(|| corrupt(offset, "records do not fill their frame".to_owned()))?;
+        let records = decode_records(frame.payload)
+            .ok_or_else(|| corrupt(offset, "record lengths do not match the frame".to_owned()))?;
         scan.records.extend(records);
         scan.next_sequence += 1;
         offset = frame.end;
@@ -197,7 +201,7 @@
     Ok(scan)
 }
 
-fn join_records(records: &[Vec<u8>]) -> Vec<u8> {
+fn encode_records(records: &[Vec<u8>]) -> Vec<u8> {
     let mut payload = Vec::new();
     for record in records {
         payload.extend_from_slice(&(record.len() as u32).to_le_bytes());
@@ -206,7 +210,7 @@
     payload
 }
 
-fn split_records(mut payload: &[u8]) -> Option<Vec<Vec<u8>>> {
+fn decode_records(mut payload: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     while !payload.is_empty() {
         let (head, rest) = payload.split_first_chunk::<4>()?;
@@ -223,12 +227,12 @@
         .map_err(|error| JournalError::fatal(JournalStep::Recover, folder, error))?;
     let newest = listing
         .filter_map(Result::ok)
-        .filter_map(|entry| generation_of(&entry.file_name().to_string_lossy(), "journal-"))
+        .filter_map(|entry| parse_generation(&entry.file_name().to_string_lossy(), "journal-"))
         .max();
     Ok(newest.unwrap_or(0))
 }
 
-fn generation_of(name: &str, prefix: &str) -> Option<u64> {
+fn parse_generation(name: &str, prefix: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix(prefix)?, 16).ok()
 }
 
@@ -255,7 +259,7 @@
             step: JournalStep::Recover,
             path,
             offset: 0,
-            reason: "the snapshot is not whole".to_owned(),
+            reason: "the snapshot is incomplete or invalid".to_owned(),
         }),
     }
 }
@@ -268,21 +272,21 @@
     fs::read(path).map_err(fatal)
 }
 
-fn cut_to(file: &mut File, length: u64) -> io::Result<()> {
+fn truncate_to(file: &mut File, length: u64) -> io::Result<()> {
     file.set_len(length)?;
     file.seek(SeekFrom::Start(length))?;
     file.sync_all()
 }
 
-// Older generations are only garbage once a newer one is whole; a failure to remove them costs
-// room, not data.
+// Called once the given generation is complete, so the others are not needed. A failure to remove them
+// costs disk space, not data.
 fn remove_other_generations(folder: &Path, generation: u64) {
     let Ok(listing) = fs::read_dir(folder) else {
         return;
     };
     for entry in listing.filter_map(Result::ok) {
         let name = entry.file_name().to_string_lossy().into_owned();
-        let found = generation_of(&name, "journal-").or(generation_of(&name, "snapshot-"));
+        let found = parse_generation(&name, "journal-").or(parse_generation(&name, "snapshot-"));
         if found.is_some_and(|found| found != generation) {
             let _ = fs::remove_file(entry.path());
         }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,9 +1,9 @@
-//! Synced records and snapshots in one data folder.
+//! Durable records and snapshots in one data folder.
 //!
-//! - [`DataFolder`] locks the folder and holds the identity of the replica that owns it.
+//! - [`DataFolder`] locks the folder and stores the identity of the replica that owns it.
 //! - [`Journal`] appends checksummed frames, syncs them and recovers them at start.
-//! - [`JournalWriter`] runs a journal on a thread of its own and commits in groups.
-//! - [`DiskOps`] are the file operations, replaceable where a test needs a failing disk.
+//! - [`JournalWriter`] runs a journal on its own thread with group commit.
+//! - [`DiskOps`] are the file operations; tests replace them to simulate disk failures.
 
 mod disk;
 mod error;
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,4 +1,4 @@
-//! Runs a journal on a thread of its own, so that no network task waits for the disk.
+//! Runs a journal on its own thread, so that network tasks do not block on the disk.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
@@ -7,13 +7,13 @@
 
 use crate::{Journal, JournalError};
 
-/// Records that one frame takes at most, so that a group stays within a frame.
+/// Size of the collected records from which a group takes no more; keeps a group within one frame.
 const MAX_GROUP_BYTES: usize = 8 * 1024 * 1024;
 
-/// Resolves when the records are durable, with an error when they were not kept.
+/// Resolves when the records are durable, with an error if the write was refused.
 pub type CommitReceiver = oneshot::Receiver<Result<(), WriteRefusal>>;
 
-/// Why records were not kept; the journal goes on.
+/// Why records were not written; the journal stays usable.
 pub type WriteRefusal = String;
 
 enum Job {
@@ -26,42 +26,43 @@
     Resume,
 }
 
-/// A handle to the thread that owns a journal. Jobs are done in the order they were given.
+/// A handle to the thread that owns a journal. Jobs run in the order in which they are queued.
 ///
-/// After a refused write every later job is refused too, until [`JournalWriter::resume`]: the
-/// records after a refused one would stand in the journal with a gap before them.
+/// After a refused append every later job is refused too, until [`JournalWriter::resume`]: records
+/// after a refused one would leave a gap in the journal.
 #[derive(Clone)]
 pub struct JournalWriter {
     jobs: Sender<Job>,
 }
 
 impl JournalWriter {
-    /// Starts the thread. `on_fatal` runs once when the disk fails for good; it must end the
-    /// process, since nothing that is answered after it would be durable.
+    /// Starts the thread. `on_fatal` is called once on a fatal disk error; it must end the process,
+    /// since nothing acknowledged afterwards would be durable.
     pub fn new(journal: Journal, on_fatal: impl FnOnce(JournalError) + Send + 'static) -> Self {
         let (jobs, queue) = channel();
         thread::spawn(move || run_jobs(journal, queue, on_fatal));
         Self { jobs }
     }
 
-    /// Queues records; all that waits when the disk is free goes into one frame and one sync.
+    /// Queues records; all appends that are queued when the disk is idle share one frame and one sync.
     pub fn append(&self, records: Vec<Vec<u8>>) -> CommitReceiver {
-        let (done, ticket) = oneshot::channel();
-        // A closed queue drops `done`, which the ticket reports.
+        let (done, receiver) = oneshot::channel();
+        // A closed queue drops `done`, which the receiver reports.
         let _ = self.jobs.send(Job::Append(records, done));
-        ticket
+        receiver
     }
 
-    /// Says that the owner took back what was refused; jobs queued from here on are done again.
+    /// Accepts jobs again after a refused append; to be called once the owner has rolled back the refused
+    /// records.
     pub fn resume(&self) {
         let _ = self.jobs.send(Job::Resume);
     }
 
-    /// Queues a snapshot together with the records that continue it.
+    /// Queues a compaction to a snapshot and the records that follow it.
     pub fn compact(&self, snapshot: Vec<u8>, records: Vec<Vec<u8>>) -> CommitReceiver {
-        let (done, ticket) = oneshot::channel();
+        let (done, receiver) = oneshot::channel();
         let _ = self.jobs.send(Job::Compact(snapshot, records, done));
-        ticket
+        receiver
     }
 }
 
@@ -71,12 +72,12 @@
     on_fatal: impl FnOnce(JournalError) + Send + 'static,
 ) {
     let mut blocked = false;
-    let mut held: Option<Job> = None;
+    let mut next_job: Option<Job> = None;
     loop {
-        let Some(job) = held.take().or_else(|| queue.recv().ok()) else {
+        let Some(job) = next_job.take().or_else(|| queue.recv().ok()) else {
             return;
         };
-        let (result, waiting) = match job {
+        let (result, waiters) = match job {
             Job::Resume => {
                 blocked = false;
                 continue;
@@ -86,28 +87,28 @@
                 continue;
             }
             Job::Append(mut records, done) => {
-                let mut waiting = vec![done];
-                held = gather_group(&queue, &mut records, &mut waiting);
+                let mut waiters = vec![done];
+                next_job = collect_group(&queue, &mut records, &mut waiters);
                 let result = journal.append(&records);
                 blocked = result.is_err();
-                (result, waiting)
+                (result, waiters)
             }
             Job::Compact(snapshot, records, done) => {
                 (journal.compact(&snapshot, &records), vec![done])
             }
         };
-        if let Err(error) = finish(result, waiting) {
+        if let Err(error) = notify_waiters(result, waiters) {
             on_fatal(error);
             return;
         }
     }
 }
 
-// Takes appends that already wait into the group, up to its size; returns the first other job.
-fn gather_group(
+// Adds the queued appends to a group until it reaches `MAX_GROUP_BYTES`; returns the first other job.
+fn collect_group(
     queue: &Receiver<Job>,
     records: &mut Vec<Vec<u8>>,
-    waiting: &mut Vec<oneshot::Sender<Result<(), WriteRefusal>>>,
+    waiters: &mut Vec<oneshot::Sender<Result<(), WriteRefusal>>>,
 ) -> Option<Job> {
     let mut bytes: usize = records.iter().map(Vec::len).sum();
     while bytes < MAX_GROUP_BYTES {
@@ -115,7 +116,7 @@
             Ok(Job::Append(more, done)) => {
                 bytes += more.iter().map(Vec::len).sum::<usize>();
                 records.extend(more);
-                waiting.push(done);
+                waiters.push(done);
             }
             Ok(other) => return Some(other),
             Err(_) => return None,
@@ -124,17 +125,18 @@
     None
 }
 
-fn finish(
+// Reports a result to the waiters of a job, unless it is a fatal error, which is returned.
+fn notify_waiters(
     result: Result<(), JournalError>,
-    waiting: Vec<oneshot::Sender<Result<(), WriteRefusal>>>,
+    waiters: Vec<oneshot::Sender<Result<(), WriteRefusal>>>,
 ) -> Result<(), JournalError> {
-    let answer = match result {
+    let outcome = match result {
         Ok(()) => Ok(()),
         Err(error) if error.is_fatal() => return Err(error),
         Err(error) => Err(error.to_string()),
     };
-    for done in waiting {
-        let _ = done.send(answer.clone());
+    for done in waiters {
+        let _ = done.send(outcome.clone());
     }
     Ok(())
 }
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Recovery, corruption, full disks and failed syncs, case by case.
+//! Recovery, corruption, full disks and failed syncs.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -38,15 +38,19 @@
 }
 
 #[test]
-fn torn_write_at_every_byte_of_the_last_record_is_cut_off() {
+fn a_torn_write_at_any_byte_of_the_last_frame_is_truncated() {
     let dir = tempfile::tempdir().unwrap();
     let lengths = write_three(dir.path());
-    let whole = fs::read(journal_file(dir.path())).unwrap();
-    for cut in lengths[1]..lengths[2] {
-        fs::write(journal_file(dir.path()), &whole[..cut]).unwrap();
+    let complete = fs::read(journal_file(dir.path())).unwrap();
+    for length in lengths[1]..lengths[2] {
+        fs::write(journal_file(dir.path()), &complete[..length]).unwrap();
         let (mut journal, recovered, folder) = open(dir.path()).unwrap();
-        assert_eq!(recovered.records, [record(1), record(2)], "cut at {cut}");
-        assert_eq!(recovered.torn_bytes as usize, cut - lengths[1]);
+        assert_eq!(
+            recovered.records,
+            [record(1), record(2)],
+            "torn at byte {length}"
+        );
+        assert_eq!(recovered.torn_bytes as usize, length - lengths[1]);
         journal.append(&[record(9)]).unwrap();
         drop((journal, folder));
         let (_, again, _folder) = open(dir.path()).unwrap();
@@ -55,27 +59,30 @@
 }
 
 #[test]
-fn one_bad_byte_before_the_last_frame_is_refused_with_its_offset() {
+fn a_corrupt_byte_before_the_last_frame_is_rejected_with_the_offset_of_its_frame() {
     let dir = tempfile::tempdir().unwrap();
     let lengths = write_three(dir.path());
-    let whole = fs::read(journal_file(dir.path())).unwrap();
-    for spoiled in 0..lengths[1] {
-        let mut bytes = whole.clone();
-        bytes[spoiled] ^= 0x40;
+    let complete = fs::read(journal_file(dir.path())).unwrap();
+    for position in 0..lengths[1] {
+        let mut bytes = complete.clone();
+        bytes[position] ^= 0x40;
         fs::write(journal_file(dir.path()), &bytes).unwrap();
-        let frame_start = if spoiled < lengths[0] { 0 } else { lengths[0] };
+        let frame_start = if position < lengths[0] { 0 } else { lengths[0] };
         match open(dir.path()) {
             Err(JournalError::Corrupt { offset, path, .. }) => {
-                assert_eq!(offset as usize, frame_start, "byte {spoiled}");
+                assert_eq!(offset as usize, frame_start, "byte {position}");
                 assert_eq!(path, journal_file(dir.path()));
             }
-            other => panic!("byte {spoiled} was taken: {:?}", other.map(|found| found.1)),
+            other => panic!(
+                "corrupt byte {position} was accepted: {:?}",
+                other.map(|found| found.1)
+            ),
         }
     }
 }
 
 #[test]
-fn a_compacted_journal_comes_back_with_snapshot_and_tail() {
+fn a_compacted_journal_is_recovered_with_snapshot_and_later_records() {
     let dir = tempfile::tempdir().unwrap();
     {
         let (mut journal, _, _folder) = open(dir.path()).unwrap();
@@ -89,10 +96,10 @@
 }
 
 #[test]
-fn a_crash_inside_compaction_leaves_one_whole_generation() {
+fn a_crash_during_compaction_leaves_one_complete_generation() {
     let dir = tempfile::tempdir().unwrap();
     write_three(dir.path());
-    // The snapshot of the next generation is there, its journal is not yet.
+    // The snapshot of the next generation exists, its journal does not yet.
     fs::write(dir.path().join("snapshot-0000000000000001"), b"half").unwrap();
     let (_, recovered, _folder) = open(dir.path()).unwrap();
     assert_eq!(recovered.records.len(), 3);
@@ -100,12 +107,12 @@
 }
 
 #[test]
-fn a_full_disk_refuses_the_write_and_keeps_what_was_there() {
+fn a_write_to_a_full_disk_is_refused_and_earlier_records_are_kept() {
     let dir = tempfile::tempdir().unwrap();
     let full = Arc::new(AtomicBool::new(false));
-    let seen = full.clone();
+    let is_full = full.clone();
     let ops = DiskOps::new().with_write(move |file, bytes| {
-        if seen.load(Ordering::Relaxed) {
+        if is_full.load(Ordering::Relaxed) {
             file.write_all(&bytes[..bytes.len() / 2])?;
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
@@ -125,21 +132,21 @@
 }
 
 #[test]
-fn a_failed_sync_is_final_and_never_answered_as_durable() {
+fn a_failed_sync_is_fatal_and_its_records_are_never_acknowledged() {
     let dir = tempfile::tempdir().unwrap();
     let folder = DataFolder::open(dir.path(), 7).unwrap();
     let ops = DiskOps::new().with_sync(|_| Err(io::Error::other("device gone")));
     let (journal, _) = Journal::open(&folder, ops).unwrap();
-    let (told, heard) = std::sync::mpsc::channel();
-    let writer = JournalWriter::new(journal, move |error| told.send(error).unwrap());
+    let (fatal_sender, fatal_receiver) = std::sync::mpsc::channel();
+    let writer = JournalWriter::new(journal, move |error| fatal_sender.send(error).unwrap());
     let first = writer.append(vec![record(1)]);
-    assert!(heard.recv().unwrap().is_fatal());
+    assert!(fatal_receiver.recv().unwrap().is_fatal());
     assert!(first.blocking_recv().is_err());
     assert!(writer.append(vec![record(2)]).blocking_recv().is_err());
 }
 
 #[test]
-fn a_second_process_cannot_open_the_folder() {
+fn a_locked_folder_cannot_be_opened_again() {
     let dir = tempfile::tempdir().unwrap();
     let _first = DataFolder::open(dir.path(), 1).unwrap();
     let second = DataFolder::open(dir.path(), 2).unwrap_err();
@@ -147,7 +154,7 @@
 }
 
 #[test]
-fn a_wiped_folder_gets_a_new_identity_and_records_without_a_mark_are_refused() {
+fn a_wiped_folder_gets_a_new_identity_and_records_without_metadata_are_rejected() {
     let dir = tempfile::tempdir().unwrap();
     write_three(dir.path());
     fs::remove_file(dir.path().join("mark")).unwrap();
@@ -160,12 +167,12 @@
 }
 
 #[test]
-fn nothing_is_written_behind_a_refused_record_until_the_owner_resumes() {
+fn appends_after_a_refused_one_are_refused_until_the_owner_resumes() {
     let dir = tempfile::tempdir().unwrap();
     let full = Arc::new(AtomicBool::new(true));
-    let seen = full.clone();
+    let is_full = full.clone();
     let ops = DiskOps::new().with_write(move |file, bytes| {
-        if seen.load(Ordering::Relaxed) {
+        if is_full.load(Ordering::Relaxed) {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
         file.write_all(bytes)
--- a/crates/telemetry/src/clock.rs
+++ b/crates/telemetry/src/clock.rs
@@ -1,22 +1,22 @@
-//! Hybrid logical clock: wall time in milliseconds, widened by a counter.
+//! Hybrid logical clock: wall time in milliseconds, extended by a counter.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Bits of a stamp that hold the counter of events inside one millisecond.
+/// Number of bits of a stamp for the counter of readings within one millisecond.
 const COUNTER_BITS: u32 = 16;
 
 /// A reading of a [`HybridClock`]: milliseconds since 1970 in the high 48 bits, a counter below.
 pub type Stamp = u64;
 
-/// A clock whose readings only rise and which never reads less than a stamp it has observed.
+/// A monotonic clock whose readings are greater than every stamp that it has observed.
 #[derive(Debug, Default)]
 pub struct HybridClock {
     last: AtomicU64,
 }
 
 impl HybridClock {
-    /// Creates a clock that has observed nothing.
+    /// Creates a clock that has observed no stamps.
     pub fn new() -> Self {
         Self::default()
     }
@@ -26,7 +26,7 @@
         self.advance_past(0)
     }
 
-    /// Takes in a stamp that came with a message, so that later readings sort after it.
+    /// Observes a stamp received with a message, so that later readings sort after it.
     pub fn observe(&self, remote: Stamp) -> Stamp {
         self.advance_past(remote)
     }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -3,8 +3,8 @@
 //! - [`HybridClock`] stamps events so that causes sort before effects across processes.
 //! - [`EventCode`] is the closed set of events; `docs/EVENTS.md` is its catalogue.
 //! - [`EventRecorder`] keeps a bounded ring of events and writes them to the log.
-//! - [`NoticeLine`] is what entry hosts tell operators of what a target asked.
-//! - [`merge_events`] joins the rings of many processes into one time line.
+//! - [`NoticeLine`] reports to operators what a target asked of an entry host.
+//! - [`merge_events`] merges the rings of several processes into one timeline.
 
 mod clock;
 mod code;
--- a/crates/telemetry/src/notice_line.rs
+++ b/crates/telemetry/src/notice_line.rs
@@ -1,41 +1,42 @@
-//! What an entry host tells operators of what targets asked of it.
+//! Report of an entry host to operators on the back-offs, rate limits and departures announced by targets.
 
 use serde::{Deserialize, Serialize};
 
 /// Path, on the metrics port of an entry host, of the list of [`NoticeLine`]s as JSON.
 pub const NOTICES_PATH: &str = "/target-notices";
 
-/// Whether a target gets requests of the host that tells.
+/// Whether the reporting host sends requests to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NoticeState {
-    /// It does again, and is about to be tried.
+    /// The back-off is over and a trial request is next, or no back-off is in force.
     Reopening,
-    /// Not for a while.
+    /// The target is backed off.
     BackedOff,
-    /// No new work any more.
+    /// The target is leaving and gets no new work.
     Leaving,
 }
 
-/// What one target asked.
+/// What one target asked of the reporting host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NoticeLine {
-    /// Its identity.
+    /// Identity of the target.
     pub target: String,
-    /// Its service; empty where it is in no list of targets.
+    /// Service of the target; empty if it is in no target list.
     pub service: String,
-    /// Whether it gets requests.
+    /// Whether the host sends requests to it.
     #[serde(rename = "standing")]
     pub state: NoticeState,
-    /// Time until it gets some again, in milliseconds.
+    /// Remaining time of the back-off, in milliseconds.
     #[serde(rename = "left_ms")]
     pub remaining_ms: u64,
-    /// Sendings that were held back.
+    /// Number of sends that were withheld.
     pub withheld: u64,
-    /// Requests a second that it takes from all hosts together, as a decimal number; nothing where it names none.
+    /// Rate limit of the target for all hosts together, in requests per second as a decimal number; `None` if it
+    /// has none.
     #[serde(default)]
     pub per_second: Option<String>,
-    /// Requests of this host that went to it since it names them.
+    /// Number of requests that this host has sent since the target has a rate limit.
     #[serde(default)]
     pub sent: u64,
 }
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -1,4 +1,4 @@
-//! A bounded ring of events, written to the log as they come.
+//! A bounded ring of events, each of which is also written to the log.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,27 +7,27 @@
 
 use crate::{EventCode, EventLevel, HybridClock, Stamp};
 
-/// Events that a process keeps in memory; older ones are dropped.
+/// Number of events that a process keeps in memory; older ones are dropped.
 pub const RING_CAPACITY: usize = 8_192;
 
-/// One thing that happened in one process.
+/// An event in one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it happened, by the hybrid clock of the process.
+    /// Time of the event, by the hybrid clock of the process.
     pub stamp: Stamp,
-    /// The name of the process.
+    /// Name of the process.
     pub host: String,
-    /// What happened.
+    /// Kind of the event.
     pub code: EventCode,
-    /// The request that it belongs to, or an empty string.
+    /// The request that the event belongs to, or an empty string.
     pub request: String,
-    /// The other side of what happened, or an empty string.
+    /// The peer that is involved, or an empty string.
     pub peer: String,
-    /// Details for a reader, without secrets.
+    /// Details for operators, without secrets.
     pub detail: String,
 }
 
-/// Which events a reader wants.
+/// A filter of events.
 #[derive(Debug, Clone, Default)]
 pub struct EventQuery {
     /// Only events of this request.
@@ -37,14 +37,14 @@
 }
 
 impl EventQuery {
-    /// Says whether an event is wanted.
+    /// Returns whether an event passes the filter.
     pub fn matches(&self, event: &Event) -> bool {
-        let late_enough = HybridClock::unix_millis(event.stamp) >= self.since_millis;
+        let in_period = HybridClock::unix_millis(event.stamp) >= self.since_millis;
         let of_request = self
             .request
             .as_ref()
             .is_none_or(|request| *request == event.request);
-        late_enough && of_request
+        in_period && of_request
     }
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sets how many events are kept.
+    /// Sets the number of events that are kept, at least 1.
     pub fn with_capacity(mut self, capacity: usize) -> Self {
         self.capacity = capacity.max(1);
         self
@@ -122,7 +122,7 @@
             .collect()
     }
 
-    // A panic while the ring is held leaves it whole, so a poisoned lock is taken over.
+    // A panic while the lock is held leaves the ring consistent, so a poisoned lock is used anyway.
     fn lock(&self) -> MutexGuard<'_, VecDeque<Event>> {
         self.ring.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/telemetry/src/timeline.rs
+++ b/crates/telemetry/src/timeline.rs
@@ -1,10 +1,10 @@
-//! Joins the events of many processes into one time line.
+//! Merges the events of several processes into one timeline.
 
 use crate::{Event, HybridClock};
 
-/// Merges the rings of many processes into one list in causal order.
+/// Merges the rings of several processes into one list in causal order.
 ///
-/// Stamps carry the order of cause and effect; the host name only makes ties stable.
+/// Stamps define the order of cause and effect; the host name only makes the order of equal stamps stable.
 pub fn merge_events(rings: Vec<Vec<Event>>) -> Vec<Event> {
     let mut merged: Vec<Event> = rings.into_iter().flatten().collect();
     merged.sort_by(|a, b| (a.stamp, &a.host).cmp(&(b.stamp, &b.host)));
--- a/crates/telemetry/tests/telemetry.rs
+++ b/crates/telemetry/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Behaviour of the clock, the recorder and the time line.
+//! Behaviour of the clock, the recorder and the timeline.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -7,16 +7,16 @@
 use linnet_telemetry::{EventCode, EventQuery, EventRecorder, HybridClock, merge_events};
 
 #[test]
-fn clock_rises_past_what_it_observes() {
+fn clock_readings_exceed_observed_stamps() {
     let clock = HybridClock::new();
     let first = clock.tick();
-    let far = first + (10_000 << 16);
-    clock.observe(far);
-    assert!(clock.tick() > far);
+    let future = first + (10_000 << 16);
+    clock.observe(future);
+    assert!(clock.tick() > future);
 }
 
 #[test]
-fn ring_is_bounded_and_keeps_the_newest() {
+fn ring_is_bounded_and_keeps_the_newest_events() {
     let recorder = EventRecorder::new("a", Arc::new(HybridClock::new())).with_capacity(3);
     for number in 0..10 {
         recorder.record(EventCode::PeerLost, "", number.to_string());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn merged_events_follow_messages_between_processes() {
+fn merged_events_respect_the_order_of_messages_between_processes() {
     let sender = EventRecorder::new("z-sender", Arc::new(HybridClock::new()));
     let receiver = EventRecorder::new("a-receiver", Arc::new(HybridClock::new()));
     sender.record_request(EventCode::AttemptStarted, "r1", "", "sent");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn event_numbers_are_unique_and_rise() {
+fn event_numbers_are_unique_and_ascending() {
     let numbers: Vec<_> = EventCode::ALL.iter().map(|code| code.number()).collect();
     assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]));
 }
@@ -59,7 +59,7 @@
         })
         .map(str::to_owned)
         .collect();
-    let wanted: Vec<_> = EventCode::ALL
+    let expected: Vec<_> = EventCode::ALL
         .iter()
         .map(|code| {
             format!(
@@ -71,5 +71,5 @@
             )
         })
         .collect();
-    assert_eq!(rows, wanted);
+    assert_eq!(rows, expected);
 }
