--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,4 +1,4 @@
-//! Serves the calls of entry hosts over one connection each.
+//! Serves the calls of entry hosts, on one connection per entry host.
 
 use std::sync::Arc;
 
@@ -13,11 +13,11 @@
 
 use crate::machine::{ControlCommand, ControlCommandReply, ControlMachine};
 
-/// Calls of one connection that may wait for their commit at one time.
+/// Maximum number of concurrent calls per connection.
 const MAX_OPEN_CALLS: usize = 512;
 
-/// Serves one entry host until its connection ends. Calls are proposed side by side, so that
-/// they share one sync.
+/// Serves one entry host until its connection ends. Calls are proposed concurrently, so that they
+/// share disk syncs.
 pub(crate) async fn serve_calls(
     replica: &Replica,
     machine: &ControlMachine,
@@ -41,10 +41,10 @@
     mut reader: PeerReader,
     replies: mpsc::Sender<CallReply>,
 ) -> Result<(), WireError> {
-    let open = Arc::new(tokio::sync::Semaphore::new(MAX_OPEN_CALLS));
+    let open_calls = Arc::new(tokio::sync::Semaphore::new(MAX_OPEN_CALLS));
     loop {
         let request: CallRequest = reader.receive().await?;
-        let Ok(permit) = open.clone().acquire_owned().await else {
+        let Ok(permit) = open_calls.clone().acquire_owned().await else {
             return Ok(());
         };
         let (replica, machine) = (replica.clone(), machine.clone());
@@ -52,10 +52,10 @@
         let (recorder, peer) = (recorder.clone(), peer.to_owned());
         ntex::rt::spawn(async move {
             let _permit = permit;
-            let note = CallEvent::of(&request);
-            let reply = answer_call(&replica, &machine, request).await;
-            if let Some(note) = note {
-                note.record(&recorder, &peer, &reply);
+            let event = CallEvent::of(&request);
+            let reply = execute_call(&replica, &machine, request).await;
+            if let Some(event) = event {
+                event.record(&recorder, &peer, &reply);
             }
             let _ = replies.send(reply).await;
         });
@@ -72,8 +72,8 @@
     Ok(())
 }
 
-/// Answers one call: questions under the lease, steps by a commit.
-async fn answer_call(
+/// Executes one call: a query under the lease, a command by committing it.
+async fn execute_call(
     replica: &Replica,
     machine: &ControlMachine,
     request: CallRequest,
@@ -83,12 +83,12 @@
         ControlCall::Claim(step) => ControlCommand::Claim(step),
         ControlCall::Deferred(step) => ControlCommand::Deferred(step),
         ControlCall::Query(query) => {
-            let leads = replica.lease_lasts();
-            let answer = leads.then(|| CallAnswer::Query(machine.query_deferred(&query)));
+            let has_lease = replica.lease_lasts();
+            let answer = has_lease.then(|| CallAnswer::Query(machine.query_deferred(&query)));
             return CallReply {
                 number,
                 answer,
-                not_taken: !leads,
+                not_taken: !has_lease,
             };
         }
     };
@@ -110,7 +110,7 @@
     }
 }
 
-/// What the time line tells of a call, once its outcome is known.
+/// The event of a call, recorded once its outcome is known.
 struct CallEvent {
     code: EventCode,
     detail: String,
@@ -118,7 +118,8 @@
 }
 
 impl CallEvent {
-    /// Returns a note of a step; questions are too many to note.
+    /// Returns the event of a call. There is none for lease renewals and returned leases of deferred
+    /// requests, nor for queries, which are too frequent.
     fn of(request: &CallRequest) -> Option<Self> {
         let (code, detail) = match &request.call {
             ControlCall::Claim(step) => claim_event(step),
@@ -133,7 +134,7 @@
     }
 
     fn record(self, recorder: &EventRecorder, peer: &str, reply: &CallReply) {
-        let taken = matches!(
+        let is_accepted = matches!(
             reply.answer,
             Some(
                 CallAnswer::Claim(ClaimAnswer::Granted | ClaimAnswer::Recorded)
@@ -144,7 +145,7 @@
                     )
             )
         );
-        let code = if taken {
+        let code = if is_accepted {
             self.code
         } else {
             EventCode::ClaimRefused
@@ -171,7 +172,7 @@
 }
 
 fn deferred_event(step: &DeferredCommand) -> Option<(EventCode, String)> {
-    let note = match step {
+    let event = match step {
         DeferredCommand::Accept { job, .. } => (EventCode::DeferredAccepted, job.handle.clone()),
         DeferredCommand::Take { handle, .. } => (EventCode::DeferredTaken, handle.clone()),
         DeferredCommand::Finish { handle, .. } => (EventCode::DeferredFinished, handle.clone()),
@@ -180,5 +181,5 @@
         }
         DeferredCommand::Renew { .. } | DeferredCommand::GiveBack { .. } => return None,
     };
-    Some(note)
+    Some(event)
 }
--- a/crates/control/src/change_store.rs
+++ b/crates/control/src/change_store.rs
@@ -1,23 +1,23 @@
-//! Remembers which change keys were taken, so that a resent change is answered as the first time.
+//! Store of accepted change keys, so that a change that is sent again gets the same response as before.
 
 use std::collections::{HashMap, VecDeque};
 
 use linnet_table::TableChange;
 use serde::{Deserialize, Serialize};
 
-/// Changes that are remembered: 25 days of them at 390 a day.
+/// Maximum number of stored changes; enough for 25 days at 390 changes per day.
 pub const MAX_CHANGE_RECORDS: usize = 10_000;
 
-/// What is remembered of a change that was taken.
+/// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The version that it made.
+    /// Table version that the change created.
     pub version: u64,
-    /// A digest of its rows.
+    /// Digest of the rows of the change.
     pub content_digest: [u8; 16],
 }
 
-/// The changes that were taken, by their keys.
+/// The newest accepted changes, by change key.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ChangeStore {
     order: VecDeque<String>,
@@ -25,12 +25,12 @@
 }
 
 impl ChangeStore {
-    /// Finds the record of a change key.
+    /// Returns the accepted change with a change key.
     pub fn find(&self, change_key: &str) -> Option<ChangeRecord> {
         self.records.get(change_key).copied()
     }
 
-    /// Notes a change that was taken.
+    /// Records an accepted change; removes the oldest one if there are too many.
     pub fn record(&mut self, change: &TableChange, version: u64) {
         let record = ChangeRecord {
             version,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Returns a digest of the rows of a change; its base version may differ when it is sent again.
+/// Returns a digest of the rows of a change, without its base version, which may differ when it is sent again.
 pub(crate) fn content_digest(change: &TableChange) -> [u8; 16] {
     let bytes = postcard::to_stdvec(&(&change.upserts, &change.deletes)).unwrap_or_default();
     let mut short = [0; 16];
--- a/crates/control/src/daemon.rs
+++ b/crates/control/src/daemon.rs
@@ -21,7 +21,7 @@
 use crate::ops::{ControlContext, control_routes};
 use crate::settings::{CheckedControlSettings, ControlSettings};
 
-/// How often the gauges are brought up to date.
+/// Interval at which the gauges are updated.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs the daemon until a planned stop; must run inside an ntex runtime.
@@ -69,24 +69,31 @@
         feed,
         host_reports,
     };
-    let serving = context.clone();
-    let events = recorder.clone();
-    let serve_one = move |greeting, reader, writer| {
-        let (context, events) = (serving.clone(), events.clone());
+    let peer_context = context.clone();
+    let peer_recorder = recorder.clone();
+    let serve_connection = move |greeting, reader, writer| {
+        let (context, recorder) = (peer_context.clone(), peer_recorder.clone());
         async move {
             match greeting {
                 PeerGreeting::Quorum => serve_peer(&context.replica, reader, writer).await,
                 PeerGreeting::Calls => {
-                    serve_calls(&context.replica, &context.machine, &events, reader, writer).await
+                    serve_calls(
+                        &context.replica,
+                        &context.machine,
+                        &recorder,
+                        reader,
+                        writer,
+                    )
+                    .await
                 }
                 PeerGreeting::Follow => {
                     let host_reports = context.host_reports.clone();
-                    let take = move |report: linnet_feed::FollowReport| {
+                    let on_report = move |report: linnet_feed::FollowReport| {
                         host_reports.merge_reports(report.hosts);
                     };
-                    serve_follower(&context.feed, reader, writer, take).await
+                    serve_follower(&context.feed, reader, writer, on_report).await
                 }
-                // Meant for hosts of other roles.
+                // Connections for hosts of other roles.
                 _ => Ok(()),
             }
         }
@@ -95,7 +102,7 @@
         listener,
         identity,
         recorder.clone(),
-        serve_one,
+        serve_connection,
     ));
 
     let registry = Arc::new(Mutex::new(Registry::with_prefix("linnet_control")));
@@ -124,7 +131,7 @@
 
     signals.wait().await;
     recorder.record(EventCode::StopRequested, "", "");
-    // Requests of operators that wait for a commit get their answer before the port closes.
+    // Pending operator requests that wait for a commit get their response before the port closes.
     server.stop(true).await;
     recorder.record(EventCode::ProcessStopped, "", "");
     Ok(())
@@ -132,19 +139,23 @@
 
 async fn update_gauges(context: ControlContext, registry: Arc<Mutex<Registry>>) {
     let gauges: [(&str, &str, Gauge); 7] = [
-        ("term", "Term of the replica", Gauge::default()),
-        ("commit_index", "Last committed index", Gauge::default()),
-        ("is_leader", "1 while the lease lasts", Gauge::default()),
+        ("term", "Current term of the replica", Gauge::default()),
+        ("commit_index", "Last committed log index", Gauge::default()),
+        (
+            "is_leader",
+            "1 while this replica holds a valid lease",
+            Gauge::default(),
+        ),
         ("table_version", "Version of the table", Gauge::default()),
-        ("claims", "Claims that are kept", Gauge::default()),
+        ("claims", "Number of stored claims", Gauge::default()),
         (
             "deferred",
-            "Deferred requests that are kept",
+            "Number of stored deferred requests",
             Gauge::default(),
         ),
         (
             "hosts_behind",
-            "Entry hosts below the version here",
+            "Entry hosts with an older table version than this host",
             Gauge::default(),
         ),
     ];
--- a/crates/control/src/host_reports.rs
+++ b/crates/control/src/host_reports.rs
@@ -1,4 +1,4 @@
-//! What entry hosts last told of themselves and their halls.
+//! Store of the latest reports of entry hosts on themselves and on their data halls.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,40 +6,40 @@
 
 use linnet_feed::HostReport;
 
-/// A host that was not told of for so long is forgotten.
+/// Time without a report on a host after which it is removed.
 const REPORT_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// A host that was heard within so many milliseconds lives.
+/// Age of the last message of a host, in milliseconds, below which the host counts as live.
 const LIVE_MAX_AGE_MS: u64 = 5_000;
 
-/// Hosts that are remembered at one time.
+/// Maximum number of stored hosts.
 const MAX_HOSTS: usize = 4_096;
 
-/// The newest report on each host.
+/// The newest report on each host, with the time at which it was received.
 #[derive(Default)]
 pub(crate) struct HostReportStore {
     hosts: Mutex<HashMap<String, (HostReport, Instant)>>,
 }
 
 impl HostReportStore {
-    /// Takes reports in; of two on one host the younger counts.
+    /// Merges received reports; of two reports on one host the one with the lower age is kept.
     pub(crate) fn merge_reports(&self, reports: Vec<HostReport>) {
         let now = Instant::now();
         let mut hosts = self.lock();
         hosts.retain(|_, (_, at)| now - *at < REPORT_RETENTION);
         for report in reports {
-            let room = hosts.len() < MAX_HOSTS || hosts.contains_key(&report.name);
-            let newer = hosts.get(&report.name).is_none_or(|(known, at)| {
-                let known_age = known.age_ms + (now - *at).as_millis() as u64;
-                report.age_ms <= known_age
+            let has_room = hosts.len() < MAX_HOSTS || hosts.contains_key(&report.name);
+            let is_newer = hosts.get(&report.name).is_none_or(|(stored, at)| {
+                let stored_age_ms = stored.age_ms + (now - *at).as_millis() as u64;
+                report.age_ms <= stored_age_ms
             });
-            if room && newer {
+            if has_room && is_newer {
                 hosts.insert(report.name.clone(), (report, now));
             }
         }
     }
 
-    /// Returns what is known of every host, with its age as of now, by name.
+    /// Returns the reports on all hosts, sorted by name, with their current age.
     pub(crate) fn list_hosts(&self) -> Vec<HostReport> {
         let now = Instant::now();
         let mut reports: Vec<_> = self
@@ -54,7 +54,7 @@
         reports
     }
 
-    /// Returns the number of hosts that were heard lately.
+    /// Returns the number of live hosts.
     pub(crate) fn count_live(&self) -> u32 {
         let hosts = self.list_hosts();
         let live = hosts.iter().filter(|host| host.age_ms < LIVE_MAX_AGE_MS);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,9 @@
-//! The control daemon: a voter that keeps the table and the claims, and serves them.
+//! The control daemon: a voter that replicates the table and the claims, and serves them.
 //!
 //! - [`ControlSettings`] are its settings; [`run_control`] runs it.
 //! - [`ControlMachine`] is the replicated state machine; [`ControlCommand`] and [`ControlCommandReply`]
-//!   are what goes in and out of it.
-//! - [`ControlStatus`], [`ChangeResponse`] and [`FormClusterRequest`] are its operators' interface.
+//!   are its commands and their replies.
+//! - [`ControlStatus`], [`ChangeResponse`] and [`FormClusterRequest`] are the messages of its operators' interface.
 
 mod calls;
 mod change_store;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: the table, the change keys and the claims.
+//! The replicated state machine: the table, the change keys, the claims and the deferred requests.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -19,26 +19,26 @@
 pub enum ControlCommand {
     /// A change of the table.
     Change(TableChange),
-    /// A step of a claim.
+    /// A command on a claim.
     Claim(ClaimCommand),
-    /// A step of a deferred request.
+    /// A command on a deferred request.
     Deferred(DeferredCommand),
 }
 
-/// The answer to a [`ControlCommand`].
+/// The reply to a [`ControlCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommandReply {
-    /// The version that the change made, or why it was refused.
+    /// The version that the change created, or why it was refused.
     Change(Result<u64, ChangeRefusal>),
-    /// The answer of the claim table.
+    /// The reply of the claim table.
     Claim(ClaimAnswer),
-    /// The answer of the table of deferred requests.
+    /// The reply of the table of deferred requests.
     Deferred(DeferredAnswer),
-    /// The command was none that this program knows.
+    /// The command could not be decoded by this build.
     Unreadable,
 }
 
-/// What a snapshot holds.
+/// Content of a snapshot.
 #[derive(Serialize, Deserialize)]
 struct MachineImage {
     version: u64,
@@ -56,7 +56,7 @@
     deferred: DeferredTable,
 }
 
-/// The state machine. The table is shared with those who serve it to followers.
+/// The state machine. The table is shared with the tasks that serve it to followers.
 #[derive(Clone)]
 pub struct ControlMachine {
     feed: Arc<TableFeed>,
@@ -65,7 +65,7 @@
 }
 
 impl ControlMachine {
-    /// Creates a machine that keeps its table in `feed`.
+    /// Creates a state machine that stores its table in `feed`.
     pub fn new(feed: Arc<TableFeed>, recorder: Arc<EventRecorder>) -> Self {
         Self {
             feed,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the closures that the replicated log calls.
+    /// Returns the callbacks for the replicated log.
     pub fn hooks(&self) -> MachineHooks {
         let (apply, snapshot, restore) = (self.clone(), self.clone(), self.clone());
         MachineHooks::new(
@@ -84,27 +84,27 @@
         )
     }
 
-    /// Finds what became of a change key.
+    /// Returns the accepted change with a change key.
     pub fn find_change(&self, change_key: &str) -> Option<ChangeRecord> {
         self.lock().changes.find(change_key)
     }
 
-    /// Returns the number of claims that are kept.
+    /// Returns the number of stored claims.
     pub fn claim_count(&self) -> usize {
         self.lock().claims.len()
     }
 
-    /// Returns the number of deferred requests that are kept.
+    /// Returns the number of stored deferred requests.
     pub fn deferred_count(&self) -> usize {
         self.lock().deferred.len()
     }
 
-    /// Answers a question about deferred requests.
+    /// Executes a query on deferred requests.
     pub fn query_deferred(&self, query: &DeferredQuery) -> DeferredReply {
         self.lock().deferred.query(query)
     }
 
-    /// Takes one committed command and returns its encoded answer.
+    /// Applies one committed command and returns its encoded reply.
     pub fn apply(&self, command: &[u8]) -> Vec<u8> {
         let answer = match postcard::from_bytes(command) {
             Ok(ControlCommand::Change(change)) => {
@@ -167,12 +167,12 @@
     }
 
     fn restore(&self, bytes: &[u8]) {
-        // A snapshot passed its checksum, so bytes that cannot be read come from a newer program.
-        // Going on with an empty state would lose what was accepted.
+        // The checksum of the snapshot was verified, so bytes that cannot be decoded come from a newer
+        // build. Continuing with an empty state would lose accepted changes.
         let image: MachineImage = match postcard::from_bytes(bytes) {
             Ok(image) => image,
             Err(error) => {
-                log::error!(target: "linnetdale", "the snapshot cannot be read: {error}");
+                log::error!(target: "linnetdale", "cannot decode the snapshot, ending the process: {error}");
                 std::process::exit(1);
             }
         };
--- a/crates/control/src/ops.rs
+++ b/crates/control/src/ops.rs
@@ -18,10 +18,10 @@
 use crate::host_reports::HostReportStore;
 use crate::machine::{ControlCommand, ControlCommandReply, ControlMachine};
 
-/// The largest change that an operator may send, in bytes of JSON.
+/// Maximum size of a change sent by an operator, as JSON.
 pub const MAX_CHANGE_BYTES: usize = 96 * 1024 * 1024;
 
-/// What the operators' pages of a control daemon need.
+/// State that the operators' pages of a control daemon use.
 #[derive(Clone)]
 pub(crate) struct ControlContext {
     pub(crate) name: String,
@@ -34,54 +34,55 @@
     pub(crate) host_reports: Arc<HostReportStore>,
 }
 
-/// What a control daemon tells of itself and of the hosts that follow it.
+/// Status of a control daemon and of the entry hosts that were reported to it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ControlStatus {
-    /// The name of the host.
+    /// Name of the host.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of the host.
     pub hall: String,
-    /// Where peers reach it.
+    /// Address of its peer port.
     pub peer: SocketAddr,
-    /// Where operators reach it.
+    /// Address of its operators' port.
     pub ops: SocketAddr,
-    /// Its part in agreement.
+    /// Status of its consensus replica.
     pub replica: ReplicaStatus,
-    /// The version of the table that it holds.
+    /// Version of its table.
     pub table_version: u64,
-    /// Rows of the table.
+    /// Number of rows of its table.
     pub table_rows: usize,
-    /// Claims that are kept.
+    /// Number of stored claims.
     pub claims: usize,
-    /// Entry hosts as they were last told of.
+    /// Latest reports on entry hosts.
     pub hosts: Vec<HostReport>,
 }
 
-/// The answer to a change.
+/// The response to a change.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "result")]
 pub enum ChangeResponse {
-    /// It was taken, now or when it was first sent.
+    /// The change was accepted, now or when it was first sent.
     #[serde(rename = "taken")]
     Accepted {
-        /// The version that it made.
+        /// Table version that the change created.
         version: u64,
     },
-    /// It was refused whole.
+    /// The change was refused completely.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: ChangeRefusal,
     },
-    /// It was not taken here; another host leads.
+    /// The change was not accepted because this host is not the leader.
     NotLeader {
-        /// The leader, where it is known.
+        /// The leader, if known.
         leader: Option<Member>,
     },
-    /// Nobody here can tell yet. Sending it again under the same key is safe and tells.
+    /// The outcome is not known yet. Sending the change again under the same key is safe and returns
+    /// the outcome.
     Unknown,
-    /// It was not taken; try again.
+    /// The change was not accepted; it can be sent again.
     Busy {
-        /// Why.
+        /// The reason.
         cause: String,
     },
 }
@@ -89,9 +90,9 @@
 /// A request to form a cluster.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FormClusterRequest {
-    /// A random number that names the cluster.
+    /// Random identifier of the cluster.
     pub cluster: u64,
-    /// The founders, all of them voters.
+    /// The founding members, all of them voters.
     pub founders: Members,
 }
 
@@ -141,8 +142,8 @@
     if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
-    // The lease is checked after the request came in, so no newer version was accepted elsewhere
-    // before the operator asked. `?stale=1` takes what this host holds.
+    // The lease is checked after the request arrived, so no newer version had been accepted elsewhere
+    // when the operator sent it. `?stale=1` returns the table of this host without that check.
     let stale = request.query_string() == "stale=1";
     if !stale && !context.replica.lease_lasts() {
         return not_leader_response(&context);
@@ -167,11 +168,11 @@
         Ok(change) => change,
         Err(refused) => return refused,
     };
-    let key_fits = (1..=128).contains(&change.change_key.len());
-    if !key_fits {
+    let is_valid_key = (1..=128).contains(&change.change_key.len());
+    if !is_valid_key {
         return json_response(
             400,
-            &error_body("malformed", "a change key has 1 to 128 bytes"),
+            &error_body("malformed", "a change key must have 1 to 128 bytes"),
         );
     }
     let reply = propose_change(&context, change).await;
@@ -228,7 +229,7 @@
                 version: record.version,
             },
         ),
-        // A change that still waits for its commit may be taken yet.
+        // A change that still waits for its commit may be accepted later.
         None => json_response(404, &ChangeResponse::Unknown),
     }
 }
@@ -272,7 +273,7 @@
     }
 }
 
-/// Checks the operator's key and parses the body of a command.
+/// Checks the operator's key and parses the request body.
 fn parse_body<T: DeserializeOwned>(
     request: &HttpRequest,
     ops: &OpsContext,
@@ -285,6 +286,7 @@
         .map_err(|error| json_response(400, &error_body("malformed", error.to_string())))
 }
 
+/// Returns the response to a request without an operator's key; `None` if the key is valid.
 fn check_operator(request: &HttpRequest, ops: &OpsContext) -> Option<HttpResponse> {
     let body = || error_body("unauthorized", "an operator's key is needed");
     (!ops.keys.authorizes(request)).then(|| json_response(401, &body()))
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every linnetdale daemon does the same way.
+//! Common parts of the linnetdale daemons.
 //!
-//! - [`SettingCheck`] collects every wrong setting before a socket opens.
-//! - [`OperatorKeys`] guard the operators' port; [`ops_routes`] are its common pages.
-//! - [`accept_peers`] serves the port for peers; [`watch_key_file`] lets keys roll.
-//! - [`StopSignals`] tell when a planned stop is asked for; [`exit_code`] ends a daemon.
-//! - [`start_logging`] sets up the log.
+//! - [`SettingCheck`] collects all invalid settings before a socket is opened.
+//! - [`OperatorKeys`] protect the operators' port; [`ops_routes`] are its common pages.
+//! - [`accept_peers`] serves the peer port; [`watch_key_file`] reloads the shared keys.
+//! - [`StopSignals`] wait for a planned stop; [`exit_code`] returns the exit code of a daemon.
+//! - [`start_logging`] initialises the log.
 
 mod logging;
 mod ops;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log: one line an event, with key-values, on standard output.
+//! The log: one line per event, with key-values, on standard output.
 //!
-//! Writing a line never waits: lines go through a bounded queue to a thread of their own. Lines that
-//! find the queue full are counted, and the count is told in a line of its own.
+//! Writing a line never blocks: lines go through a bounded queue to a writer thread. Lines that are dropped
+//! because the queue is full are counted, and the count is logged as a separate line.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,16 +11,16 @@
 
 use log::kv::{Error, Key, Value, VisitSource};
 
-/// Lines that may wait for the reader of the log.
+/// Maximum number of lines queued for the writer thread.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Lines are gathered for so long, so that a busy process writes seldom.
+/// Time for which lines are collected before they are written, so that a busy process makes few writes.
 const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long the end of a process waits for the lines that are queued.
+/// Maximum time that a process waits at its end for queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Starts the log; the level comes from `RUST_LOG` and is `info` where that is not set.
+/// Starts the log; the level is taken from `RUST_LOG`, by default `info` for linnetdale and `warn` for the rest.
 pub fn start_logging() {
     let settings = env_logger::Env::default().default_filter_or("linnetdale=info,warn");
     let queue = LineQueue::start(Box::new(io::stdout()), MAX_QUEUED_LINES);
@@ -35,13 +35,13 @@
         })
         .try_init();
     if let Err(error) = started {
-        eprintln!("the log is set up already: {error}");
+        eprintln!("cannot start the log, a logger is already set: {error}");
     }
 }
 
 static LOG_QUEUE: OnceLock<LineQueue> = OnceLock::new();
 
-/// Waits, for a bounded time, until the lines that are queued are written.
+/// Waits, for at most `FLUSH_TIMEOUT`, until the queued lines are written.
 pub fn flush_logs() {
     if let Some(queue) = LOG_QUEUE.get() {
         queue.flush_within(FLUSH_TIMEOUT);
@@ -53,7 +53,7 @@
     Flush(SyncSender<()>),
 }
 
-/// A bounded queue of lines in front of a writer that may be slow.
+/// A bounded queue of lines for a writer thread, whose output may be slow.
 #[derive(Clone)]
 pub struct LineQueue {
     jobs: SyncSender<Job>,
@@ -61,7 +61,7 @@
 }
 
 impl LineQueue {
-    /// Starts the thread that writes; at most `capacity` lines wait for it.
+    /// Starts the writer thread; at most `capacity` lines are queued for it.
     pub fn start(out: Box<dyn Write + Send>, capacity: usize) -> Self {
         let (jobs, queue) = sync_channel(capacity);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -71,11 +71,11 @@
         Self { jobs, dropped }
     }
 
-    /// Waits until everything that was queued before is written, or `bound` is over.
-    pub fn flush_within(&self, bound: Duration) {
+    /// Waits until everything queued so far is written, for at most `limit`.
+    pub fn flush_within(&self, limit: Duration) {
         let (done, written) = sync_channel(1);
         if self.jobs.try_send(Job::Flush(done)).is_ok() {
-            let _ = written.recv_timeout(bound);
+            let _ = written.recv_timeout(limit);
         }
     }
 }
@@ -96,35 +96,38 @@
 fn write_lines(out: &Mutex<Box<dyn Write + Send>>, queue: &Receiver<Job>, dropped: &AtomicU64) {
     let mut out = out.lock().unwrap_or_else(PoisonError::into_inner);
     let mut text = Vec::new();
-    let mut waiting = Vec::new();
+    let mut flush_waiters = Vec::new();
     loop {
         match queue.recv() {
             Ok(Job::Line(line)) => text.extend(line),
-            Ok(Job::Flush(done)) => waiting.push(done),
+            Ok(Job::Flush(done)) => flush_waiters.push(done),
             Err(_) => return,
         }
-        if waiting.is_empty() {
+        if flush_waiters.is_empty() {
             std::thread::sleep(BATCH_INTERVAL);
         }
         loop {
             match queue.try_recv() {
                 Ok(Job::Line(line)) => text.extend(line),
-                Ok(Job::Flush(done)) => waiting.push(done),
+                Ok(Job::Flush(done)) => flush_waiters.push(done),
                 Err(TryRecvError::Empty | TryRecvError::Disconnected) => break,
             }
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
             let now = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
-            let line = format!("{} WARN log lines dropped={lost}\n", now.as_millis());
+            let line = format!(
+                "{} WARN log lines dropped={dropped_lines}\n",
+                now.as_millis()
+            );
             text.extend(line.into_bytes());
         }
-        // Nothing can be told of a log that cannot be written.
+        // An error of the log output cannot be reported anywhere.
         let _ = out.write_all(&text).and_then(|()| out.flush());
         text.clear();
-        for done in waiting.drain(..) {
+        for done in flush_waiters.drain(..) {
             let _ = done.send(());
         }
     }
--- a/crates/daemon/src/ops.rs
+++ b/crates/daemon/src/ops.rs
@@ -1,4 +1,4 @@
-//! The operators' port: keys, and the pages that every daemon has.
+//! The operators' port: keys, and the pages common to all daemons.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -9,41 +9,41 @@
 use prometheus_client::registry::Registry;
 use serde::{Deserialize, Serialize};
 
-/// Digests of the keys that operators may show.
+/// Digests of the accepted operators' keys.
 #[derive(Debug, Clone)]
 pub struct OperatorKeys {
     digests: Vec<KeyDigest>,
 }
 
 impl OperatorKeys {
-    /// Creates the set from digests in hexadecimal, parted by commas or spaces.
+    /// Parses digests in hexadecimal, separated by commas or spaces.
     ///
     /// # Errors
     ///
-    /// What is wrong with the text.
+    /// A description of the expected format.
     pub fn parse(text: &str) -> Result<Self, String> {
         let parts = text.split([',', ' ']).filter(|part| !part.is_empty());
         let digests: Option<Vec<_>> = parts.map(KeyDigest::from_hex).collect();
         match digests {
             Some(digests) if !digests.is_empty() => Ok(Self { digests }),
-            _ => Err("digests of 64 hexadecimal digits, parted by commas".to_owned()),
+            _ => Err("digests of 64 hexadecimal digits, separated by commas".to_owned()),
         }
     }
 
-    /// Says whether a request shows an operator's key as `Authorization: Bearer KEY`.
+    /// Returns whether a request carries an operator's key as `Authorization: Bearer KEY`.
     pub fn authorizes(&self, request: &HttpRequest) -> bool {
         let header = request.headers().get("authorization");
         let key = header
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.strip_prefix("Bearer "));
         key.is_some_and(|key| {
-            let shown = KeyDigest::of_key(key.as_bytes());
-            self.digests.iter().any(|digest| digest.matches(&shown))
+            let presented = KeyDigest::of_key(key.as_bytes());
+            self.digests.iter().any(|digest| digest.matches(&presented))
         })
     }
 }
 
-/// What the common pages need.
+/// State that the common pages use.
 #[derive(Clone)]
 pub struct OpsContext {
     /// The operators' keys.
@@ -54,7 +54,7 @@
     pub registry: Arc<Mutex<Registry>>,
 }
 
-/// Adds the pages that every daemon has: `/metrics`, `/health` and `/v1/timeline`.
+/// Adds the pages common to all daemons: `/metrics`, `/health` and `/v1/timeline`.
 pub fn ops_routes(config: &mut web::ServiceConfig) {
     config
         .route(
@@ -87,7 +87,7 @@
     json_response(200, &context.recorder.select(&query))
 }
 
-/// Writes the counters of the traffic with peers, ahead of the registered metrics.
+/// Appends the counters of the traffic with peers, which precede the registered metrics.
 fn write_traffic(text: &mut String) {
     let counters = [
         ("peer_sent_bytes", PEER_TRAFFIC.sent()),
@@ -123,12 +123,12 @@
     )
 }
 
-/// Returns the JSON form of an error on the operators' port.
+/// Returns the JSON body of an error response on the operators' port.
 pub fn error_body(code: &str, message: impl Into<String>) -> serde_json::Value {
     serde_json::json!({ "code": code, "message": message.into() })
 }
 
-/// Returns a JSON answer.
+/// Returns a JSON response.
 pub fn json_response<T: Serialize>(status: u16, body: &T) -> HttpResponse {
     let status = ntex::http::StatusCode::from_u16(status)
         .unwrap_or(ntex::http::StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -1,4 +1,4 @@
-//! The port for peers.
+//! The peer port.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -12,17 +12,17 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-/// Connections of peers at one time; more are closed at once.
+/// Maximum number of concurrent peer connections; further ones are closed at once.
 const MAX_PEER_CONNECTIONS: usize = 4_096;
 
-/// How often the key file is read again.
+/// Interval at which the key file is reloaded.
 const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a peer may take to say what its connection is for.
+/// Time after the handshake within which a peer must send its greeting.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Serves connections of peers, one task each, until the process ends. `serve` runs a connection
-/// by its greeting.
+/// Accepts and serves peer connections, one task each, until the process ends. `serve` is called with the
+/// greeting of each connection.
 pub async fn accept_peers<S, F>(
     listener: TcpListener,
     identity: PeerIdentity,
@@ -33,20 +33,21 @@
     F: Future<Output = Result<(), WireError>> + 'static,
 {
     let serve = Rc::new(serve);
-    let open = Rc::new(());
+    // Its reference count is the number of open connections plus one.
+    let connection_count = Rc::new(());
     loop {
         let Ok((socket, address)) = listener.accept().await else {
-            // Out of descriptors: waiting lets others end.
+            // Out of file descriptors: other connections may close in the meantime.
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        if Rc::strong_count(&open) > MAX_PEER_CONNECTIONS {
+        if Rc::strong_count(&connection_count) > MAX_PEER_CONNECTIONS {
             continue;
         }
-        let held = open.clone();
+        let counted = connection_count.clone();
         let (serve, identity, recorder) = (serve.clone(), identity.clone(), recorder.clone());
         ntex::rt::spawn(async move {
-            let _held = held;
+            let _counted = counted;
             let greeted = async {
                 let (mut reader, writer) = accept_peer(&identity, socket, address).await?;
                 let greeting = timeout(GREETING_TIMEOUT, reader.receive()).await;
@@ -54,7 +55,7 @@
             };
             match greeted.await {
                 Ok((Ok(Ok(greeting)), reader, writer)) => {
-                    // A lost connection is the peer's matter to report.
+                    // The peer, which opened the connection, reports its loss.
                     let _ = serve(greeting, reader, writer).await;
                 }
                 Ok(_) => {}
@@ -67,21 +68,21 @@
     }
 }
 
-/// Reads the key file again and again on a thread of its own, so that keys roll without a stop.
-/// A wrong file is reported once and the old keys stay.
+/// Starts a thread that reloads the key file periodically, so that keys are rotated without a restart.
+/// An invalid file is reported once per error, and the current keys stay in use.
 pub fn watch_key_file(keys: PeerKeyRing, path: PathBuf) {
     std::thread::spawn(move || {
-        let mut last_fault = String::new();
+        let mut last_error = String::new();
         loop {
             std::thread::sleep(KEY_RELOAD_INTERVAL);
-            let fault = match keys.reload(&path) {
+            let error = match keys.reload(&path) {
                 Ok(()) => String::new(),
                 Err(error) => error.to_string(),
             };
-            if !fault.is_empty() && fault != last_fault {
-                log::error!(target: "linnetdale", "{fault}; the keys read before stay in use");
+            if !error.is_empty() && error != last_error {
+                log::error!(target: "linnetdale", "cannot reload the shared keys, the current ones stay in use: {error}");
             }
-            last_fault = fault;
+            last_error = error;
         }
     });
 }
--- a/crates/daemon/src/setting.rs
+++ b/crates/daemon/src/setting.rs
@@ -1,19 +1,19 @@
-//! Checks settings all at once.
+//! Checks of settings that report all faults at once.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// The exit status of a daemon whose settings are wrong.
-const BAD_SETTINGS_STATUS: u8 = 2;
+/// Exit status of a daemon with invalid settings.
+const INVALID_SETTINGS_STATUS: u8 = 2;
 
-/// One wrong setting.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingFault {
     /// The flag, as on the command line.
     pub flag: &'static str,
-    /// What it was set to.
+    /// The value that was given.
     pub value: String,
-    /// What is allowed.
+    /// The values that are allowed.
     pub allowed: String,
 }
 
@@ -39,15 +39,15 @@
         Self::default()
     }
 
-    /// Notes a fault unless `holds`.
+    /// Records a fault unless `is_valid`.
     pub fn require(
         &mut self,
-        holds: bool,
+        is_valid: bool,
         flag: &'static str,
         value: impl fmt::Display,
         allowed: impl Into<String>,
     ) {
-        if !holds {
+        if !is_valid {
             self.faults.push(SettingFault {
                 flag,
                 value: value.to_string(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes a result, noting its error as a fault.
+    /// Returns the value of a result, or records its error as a fault.
     pub fn check_result<T, E: fmt::Display>(
         &mut self,
         result: Result<T, E>,
@@ -72,23 +72,28 @@
         }
     }
 
-    /// Checks a name of a host or hall.
+    /// Checks the name of a host or data hall.
     pub fn require_name(&mut self, flag: &'static str, value: &str) {
         let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
-        let holds = (1..=64).contains(&value.len()) && value.chars().all(allowed);
-        self.require(holds, flag, value, "1 to 64 of a-z, 0-9, '-', '_' and '.'");
+        let is_valid = (1..=64).contains(&value.len()) && value.chars().all(allowed);
+        self.require(
+            is_valid,
+            flag,
+            value,
+            "1 to 64 of a-z, 0-9, '-', '_' and '.'",
+        );
     }
 
-    /// Returns the faults.
+    /// Returns the recorded faults.
     pub fn faults(&self) -> &[SettingFault] {
         &self.faults
     }
 
-    /// Prints every fault; an exit code where there is any.
+    /// Prints all faults to standard error; returns an exit code if there are any.
     pub fn report(&self) -> Option<ExitCode> {
         for fault in &self.faults {
             eprintln!("setting {fault}");
         }
-        (!self.faults.is_empty()).then(|| ExitCode::from(BAD_SETTINGS_STATUS))
+        (!self.faults.is_empty()).then(|| ExitCode::from(INVALID_SETTINGS_STATUS))
     }
 }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,25 +1,25 @@
-//! Planned stops.
+//! Planned stops and exit codes.
 
 use std::error::Error;
 use std::process::ExitCode;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that ask for a planned stop: SIGTERM and SIGINT.
+/// The signals that request a planned stop: SIGTERM and SIGINT.
 ///
-/// Created before anything else is set up: one that comes while the journal is read or sockets are
-/// opened would end the process at once otherwise, with the status of a crash.
+/// To be created before anything else is set up: otherwise a signal that arrives while the journal is read or
+/// sockets are opened ends the process at once, with the exit status of a crash.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Takes the signals from now on; must run inside a runtime.
+    /// Installs the signal handlers; must run inside a runtime.
     ///
     /// # Errors
     ///
-    /// The cause, where the system does not let the process wait for signals.
+    /// The error of the system if a handler cannot be installed.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -27,7 +27,7 @@
         })
     }
 
-    /// Resolves when one has come, also before this call.
+    /// Waits for a signal; also returns if one arrived before the call.
     pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns the exit code of a daemon that has ended, and logs why it failed.
+/// Returns the exit code of a daemon that has ended, logs its error and flushes the log.
 pub fn exit_code(result: Result<(), Box<dyn Error>>) -> ExitCode {
     let code = match result {
         Ok(()) => ExitCode::SUCCESS,
