--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -98,9 +98,9 @@
     let answer = outcome
         .ok()
         .and_then(|bytes| postcard::from_bytes(&bytes).ok())
-        .and_then(|answer| match answer {
-            ControlCommandReply::Claim(answer) => Some(CallAnswer::Claim(answer)),
-            ControlCommandReply::Deferred(answer) => Some(CallAnswer::Deferred(answer)),
+        .and_then(|reply| match reply {
+            ControlCommandReply::Claim(reply) => Some(CallAnswer::Claim(reply)),
+            ControlCommandReply::Deferred(reply) => Some(CallAnswer::Deferred(reply)),
             _ => None,
         });
     CallReply {
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -106,7 +106,7 @@
 
     /// Applies one committed command and returns its encoded reply.
     pub fn apply(&self, command: &[u8]) -> Vec<u8> {
-        let answer = match postcard::from_bytes(command) {
+        let reply = match postcard::from_bytes(command) {
             Ok(ControlCommand::Change(change)) => {
                 ControlCommandReply::Change(self.apply_change(&change))
             }
@@ -118,7 +118,7 @@
             }
             Err(_) => ControlCommandReply::Unreadable,
         };
-        postcard::to_stdvec(&answer).unwrap_or_default()
+        postcard::to_stdvec(&reply).unwrap_or_default()
     }
 
     fn apply_change(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
--- a/crates/control/src/ops.rs
+++ b/crates/control/src/ops.rs
@@ -195,7 +195,7 @@
     let command = ControlCommand::Change(change);
     let bytes = postcard::to_stdvec(&command).unwrap_or_default();
     match context.replica.propose(bytes).await {
-        Ok(answer) => match postcard::from_bytes(&answer) {
+        Ok(reply) => match postcard::from_bytes(&reply) {
             Ok(ControlCommandReply::Change(Ok(version))) => ChangeResponse::Accepted { version },
             Ok(ControlCommandReply::Change(Err(refusal))) => ChangeResponse::Refused { refusal },
             _ => ChangeResponse::Unknown,
@@ -240,11 +240,12 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    let form: FormClusterRequest = match parse_body(&request, &ops, &body) {
-        Ok(form) => form,
+    let cluster_request: FormClusterRequest = match parse_body(&request, &ops, &body) {
+        Ok(cluster_request) => cluster_request,
         Err(refused) => return refused,
     };
-    match context.replica.form(form.cluster, form.founders).await {
+    let FormClusterRequest { cluster, founders } = cluster_request;
+    match context.replica.form(cluster, founders).await {
         Ok(()) => json_response(200, &serde_json::json!({ "result": "formed" })),
         Err(error @ FormError::Disk(_)) => {
             json_response(503, &error_body("disk", error.to_string()))
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -40,7 +40,7 @@
     pub operator_digests: String,
 }
 
-/// Settings that passed their checks.
+/// Validated settings.
 pub(crate) struct CheckedControlSettings {
     pub(crate) settings: ControlSettings,
     pub(crate) keys: PeerKeyRing,
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the size of the journal file in bytes.
-    pub fn length(&self) -> u64 {
+    pub fn length_bytes(&self) -> u64 {
         self.length
     }
 
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -32,7 +32,7 @@
     (1..=3)
         .map(|number| {
             journal.append(&[record(number)]).unwrap();
-            journal.length() as usize
+            journal.length_bytes() as usize
         })
         .collect()
 }
--- a/crates/telemetry/tests/telemetry.rs
+++ b/crates/telemetry/tests/telemetry.rs
@@ -21,8 +21,8 @@
     for number in 0..10 {
         recorder.record(EventCode::PeerLost, "", number.to_string());
     }
-    let kept = recorder.select(&EventQuery::default());
-    let details: Vec<_> = kept.iter().map(|event| event.detail.as_str()).collect();
+    let events = recorder.select(&EventQuery::default());
+    let details: Vec<_> = events.iter().map(|event| event.detail.as_str()).collect();
     assert_eq!(details, ["7", "8", "9"]);
 }
 
--- a/crates/wire/src/key.rs
+++ b/crates/wire/src/key.rs
@@ -130,9 +130,9 @@
 }
 
 fn read_keys(path: &Path) -> Result<Vec<PeerKey>, KeyError> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| KeyError::Read {
-        path: shown.clone(),
+        path: path_text.clone(),
         source,
     })?;
     let mut keys = Vec::new();
@@ -142,13 +142,13 @@
             continue;
         }
         let key = parse_key(line).ok_or_else(|| KeyError::Line {
-            path: shown.clone(),
+            path: path_text.clone(),
             line: index + 1,
         })?;
         keys.push(key);
     }
     if keys.is_empty() {
-        return Err(KeyError::Empty { path: shown });
+        return Err(KeyError::Empty { path: path_text });
     }
     Ok(keys)
 }
