--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clock, numbered events and metrics that every linnetdale process shares.
+//! Clock, numbered events and target notices shared by all linnetdale processes.
 //!
 //! - [`HybridClock`] stamps events so that causes sort before effects across processes.
 //! - [`EventCode`] is the closed set of events; `docs/EVENTS.md` is its catalogue.
