--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,4 +1,4 @@
-//! Serves the calls of entry hosts over one connection each.
+//! Serves the calls of entry hosts, on one connection per entry host.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 use linnet_wire::{PeerReader, PeerWriter, WireError};
 use tokio::sync::mpsc;
 
-use crate::machine::{ControlAnswer, ControlCommand, ControlMachine};
+use crate::machine::{ControlCommand, ControlCommandReply, ControlMachine};
 
-/// Calls of one connection that may wait for their commit at one time.
+/// Maximum number of concurrent calls per connection.
 const MAX_OPEN_CALLS: usize = 512;
 
-/// Serves one entry host until its connection ends. Calls are proposed side by side, so that
-/// they share one sync.
+/// Serves one entry host until its connection ends. Calls are proposed concurrently, so that they
+/// share disk syncs.
 pub(crate) async fn serve_calls(
     replica: &Replica,
     machine: &ControlMachine,
@@ -28,12 +28,12 @@
     let (replies, outbox) = mpsc::channel(MAX_OPEN_CALLS);
     let peer = reader.peer().to_owned();
     tokio::select! {
-        result = take_requests(replica, machine, recorder, &peer, reader, replies) => result,
+        result = receive_requests(replica, machine, recorder, &peer, reader, replies) => result,
         result = send_replies(outbox, writer) => result,
     }
 }
 
-async fn take_requests(
+async fn receive_requests(
     replica: &Replica,
     machine: &ControlMachine,
     recorder: &Arc<EventRecorder>,
@@ -41,10 +41,10 @@
     mut reader: PeerReader,
     replies: mpsc::Sender<CallReply>,
 ) -> Result<(), WireError> {
-    let open = Arc::new(tokio::sync::Semaphore::new(MAX_OPEN_CALLS));
+    let open_calls = Arc::new(tokio::sync::Semaphore::new(MAX_OPEN_CALLS));
     loop {
         let request: CallRequest = reader.receive().await?;
-        let Ok(permit) = open.clone().acquire_owned().await else {
+        let Ok(permit) = open_calls.clone().acquire_owned().await else {
             return Ok(());
         };
         let (replica, machine) = (replica.clone(), machine.clone());
@@ -52,10 +52,10 @@
         let (recorder, peer) = (recorder.clone(), peer.to_owned());
         ntex::rt::spawn(async move {
             let _permit = permit;
-            let note = CallNote::of(&request);
-            let reply = answer_call(&replica, &machine, request).await;
-            if let Some(note) = note {
-                note.record(&recorder, &peer, &reply);
+            let event = CallEvent::of(&request);
+            let reply = execute_call(&replica, &machine, request).await;
+            if let Some(event) = event {
+                event.record(&recorder, &peer, &reply);
             }
             let _ = replies.send(reply).await;
         });
@@ -72,8 +72,8 @@
     Ok(())
 }
 
-/// Answers one call: questions under the lease, steps by a commit.
-async fn answer_call(
+/// Executes one call: a query under the lease, a command by committing it.
+async fn execute_call(
     replica: &Replica,
     machine: &ControlMachine,
     request: CallRequest,
@@ -83,12 +83,12 @@
         ControlCall::Claim(step) => ControlCommand::Claim(step),
         ControlCall::Deferred(step) => ControlCommand::Deferred(step),
         ControlCall::Query(query) => {
-            let leads = replica.has_valid_lease();
-            let answer = leads.then(|| ControlReply::Query(machine.query_deferred(&query)));
+            let has_lease = replica.has_valid_lease();
+            let answer = has_lease.then(|| ControlReply::Query(machine.query_deferred(&query)));
             return CallReply {
                 id,
                 result: answer,
-                not_applied: !leads,
+                not_applied: !has_lease,
             };
         }
     };
@@ -98,9 +98,9 @@
     let answer = outcome
         .ok()
         .and_then(|bytes| postcard::from_bytes(&bytes).ok())
-        .and_then(|answer| match answer {
-            ControlAnswer::Claim(answer) => Some(ControlReply::Claim(answer)),
-            ControlAnswer::Deferred(answer) => Some(ControlReply::Deferred(answer)),
+        .and_then(|reply| match reply {
+            ControlCommandReply::Claim(reply) => Some(ControlReply::Claim(reply)),
+            ControlCommandReply::Deferred(reply) => Some(ControlReply::Deferred(reply)),
             _ => None,
         });
     CallReply {
@@ -110,19 +110,20 @@
     }
 }
 
-/// What the time line tells of a call, once its outcome is known.
-struct CallNote {
+/// The event of a call, recorded once its outcome is known.
+struct CallEvent {
     code: EventCode,
     detail: String,
     request: String,
 }
 
-impl CallNote {
-    /// Returns a note of a step; questions are too many to note.
+impl CallEvent {
+    /// Returns the event of a call. There is none for lease renewals and returned leases of deferred
+    /// requests, nor for queries, which are too frequent.
     fn of(request: &CallRequest) -> Option<Self> {
         let (code, detail) = match &request.call {
-            ControlCall::Claim(step) => note_of_claim(step),
-            ControlCall::Deferred(step) => note_of_deferred(step)?,
+            ControlCall::Claim(step) => claim_event(step),
+            ControlCall::Deferred(step) => deferred_event(step)?,
             ControlCall::Query(_) => return None,
         };
         Some(Self {
@@ -133,7 +134,7 @@
     }
 
     fn record(self, recorder: &EventRecorder, peer: &str, reply: &CallReply) {
-        let taken = matches!(
+        let is_accepted = matches!(
             reply.result,
             Some(
                 ControlReply::Claim(ClaimReply::Granted | ClaimReply::Recorded)
@@ -144,7 +145,7 @@
                     )
             )
         );
-        let code = if taken {
+        let code = if is_accepted {
             self.code
         } else {
             EventCode::ClaimRefused
@@ -153,7 +154,7 @@
     }
 }
 
-fn note_of_claim(step: &ClaimCommand) -> (EventCode, String) {
+fn claim_event(step: &ClaimCommand) -> (EventCode, String) {
     match step {
         ClaimCommand::Open { claim, .. } => (
             EventCode::ClaimCommitted,
@@ -170,8 +171,8 @@
     }
 }
 
-fn note_of_deferred(step: &DeferredCommand) -> Option<(EventCode, String)> {
-    let note = match step {
+fn deferred_event(step: &DeferredCommand) -> Option<(EventCode, String)> {
+    let event = match step {
         DeferredCommand::Accept { job, .. } => (EventCode::DeferredAccepted, job.handle.clone()),
         DeferredCommand::TakeOver { handle, .. } => (EventCode::DeferredTaken, handle.clone()),
         DeferredCommand::Finish { handle, .. } => (EventCode::DeferredFinished, handle.clone()),
@@ -180,5 +181,5 @@
         }
         DeferredCommand::Renew { .. } | DeferredCommand::Release { .. } => return None,
     };
-    Some(note)
+    Some(event)
 }
--- a/crates/control/src/daemon.rs
+++ b/crates/control/src/daemon.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use linnet_daemon::{OpsContext, StopSignals, accept_peers, exit_code, ops_routes, refresh_keys};
+use linnet_daemon::{OpsContext, StopSignals, accept_peers, exit_code, ops_routes, watch_key_file};
 use linnet_feed::{TableFeed, serve_follower};
 use linnet_journal::DiskOps;
 use linnet_quorum::{QuorumTiming, Replica, ReplicaConfig, serve_peer};
@@ -15,14 +15,14 @@
 use prometheus_client::registry::Registry;
 use tokio::net::TcpListener;
 
-use crate::board::HostBoard;
 use crate::calls::serve_calls;
+use crate::host_reports::HostReportStore;
 use crate::machine::ControlMachine;
 use crate::ops::{ControlContext, control_routes};
-use crate::settings::{CheckedControl, ControlSettings};
+use crate::settings::{CheckedControlSettings, ControlSettings};
 
-/// How often the gauges are brought up to date.
-const GAUGE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the gauges are updated.
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs the daemon until a planned stop; must run inside an ntex runtime.
 pub async fn run_control(settings: ControlSettings) -> ExitCode {
@@ -32,7 +32,7 @@
     }
 }
 
-async fn serve(checked: CheckedControl) -> Result<(), Box<dyn std::error::Error>> {
+async fn serve(checked: CheckedControlSettings) -> Result<(), Box<dyn std::error::Error>> {
     let mut signals = StopSignals::new()?;
     let settings = checked.settings;
     let clock = Arc::new(HybridClock::new());
@@ -55,8 +55,8 @@
         }),
     };
     let replica = Replica::start(&settings.data, machine.hooks(), config)?;
-    let board = Arc::new(HostBoard::default());
-    refresh_keys(checked.keys, settings.peer_keys.clone());
+    let host_reports = Arc::new(HostReportStore::default());
+    watch_key_file(checked.keys, settings.peer_keys.clone());
 
     let listener = TcpListener::bind(settings.peer_listen).await?;
     let context = ControlContext {
@@ -67,26 +67,33 @@
         replica,
         machine,
         feed,
-        board,
+        host_reports,
     };
-    let serving = context.clone();
-    let events = recorder.clone();
-    let serve_one = move |greeting, reader, writer| {
-        let (context, events) = (serving.clone(), events.clone());
+    let peer_context = context.clone();
+    let peer_recorder = recorder.clone();
+    let serve_connection = move |greeting, reader, writer| {
+        let (context, recorder) = (peer_context.clone(), peer_recorder.clone());
         async move {
             match greeting {
                 PeerGreeting::Quorum => serve_peer(&context.replica, reader, writer).await,
                 PeerGreeting::Calls => {
-                    serve_calls(&context.replica, &context.machine, &events, reader, writer).await
+                    serve_calls(
+                        &context.replica,
+                        &context.machine,
+                        &recorder,
+                        reader,
+                        writer,
+                    )
+                    .await
                 }
                 PeerGreeting::Follow => {
-                    let board = context.board.clone();
-                    let take = move |report: linnet_feed::FollowReport| {
-                        board.take_reports(report.hosts);
+                    let host_reports = context.host_reports.clone();
+                    let on_report = move |report: linnet_feed::FollowReport| {
+                        host_reports.merge_reports(report.hosts);
                     };
-                    serve_follower(&context.feed, reader, writer, take).await
+                    serve_follower(&context.feed, reader, writer, on_report).await
                 }
-                // Meant for hosts of other roles.
+                // Connections for hosts of other roles.
                 _ => Ok(()),
             }
         }
@@ -95,7 +102,7 @@
         listener,
         identity,
         recorder.clone(),
-        serve_one,
+        serve_connection,
     ));
 
     let registry = Arc::new(Mutex::new(Registry::with_prefix("linnet_control")));
@@ -122,9 +129,9 @@
     );
     recorder.record(EventCode::ProcessStarted, "", detail);
 
-    signals.requested().await;
+    signals.wait().await;
     recorder.record(EventCode::StopRequested, "", "");
-    // Requests of operators that wait for a commit get their answer before the port closes.
+    // Pending operator requests that wait for a commit get their response before the port closes.
     server.stop(true).await;
     recorder.record(EventCode::ProcessStopped, "", "");
     Ok(())
@@ -132,19 +139,23 @@
 
 async fn update_gauges(context: ControlContext, registry: Arc<Mutex<Registry>>) {
     let gauges: [(&str, &str, Gauge); 7] = [
-        ("term", "Term of the replica", Gauge::default()),
-        ("commit_index", "Last committed index", Gauge::default()),
-        ("is_leader", "1 while the lease lasts", Gauge::default()),
+        ("term", "Current term of the replica", Gauge::default()),
+        ("commit_index", "Last committed log index", Gauge::default()),
+        (
+            "is_leader",
+            "1 while this replica holds a valid lease",
+            Gauge::default(),
+        ),
         ("table_version", "Version of the table", Gauge::default()),
-        ("claims", "Claims that are kept", Gauge::default()),
+        ("claims", "Number of stored claims", Gauge::default()),
         (
             "deferred",
-            "Deferred requests that are kept",
+            "Number of stored deferred requests",
             Gauge::default(),
         ),
         (
             "hosts_behind",
-            "Entry hosts below the version here",
+            "Entry hosts with an older table version than this host",
             Gauge::default(),
         ),
     ];
@@ -156,8 +167,10 @@
     loop {
         let status = context.replica.status();
         let version = context.feed.version();
-        context.feed.set_fleet(context.board.count_live());
-        let hosts = context.board.list_hosts();
+        context
+            .feed
+            .set_entry_host_count(context.host_reports.count_live());
+        let hosts = context.host_reports.list_hosts();
         let behind = hosts.iter().filter(|host| host.version < version).count();
         let values = [
             status.term as i64,
@@ -171,6 +184,6 @@
         for ((_, _, gauge), value) in gauges.iter().zip(values) {
             gauge.set(value);
         }
-        tokio::time::sleep(GAUGE_PERIOD).await;
+        tokio::time::sleep(GAUGE_INTERVAL).await;
     }
 }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: the table, the change keys and the claims.
+//! The replicated state machine: the table, the change keys, the claims and the deferred requests.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,51 +12,51 @@
 use linnet_telemetry::{EventCode, EventRecorder};
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::{ChangeLedger, ChangeRecord, content_of};
+use crate::change_store::{ChangeRecord, ChangeStore, content_digest};
 
 /// A command of the replicated log.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ControlCommand {
     /// A change of the table.
     Change(TableChange),
-    /// A step of a claim.
+    /// A command on a claim.
     Claim(ClaimCommand),
-    /// A step of a deferred request.
+    /// A command on a deferred request.
     Deferred(DeferredCommand),
 }
 
-/// The answer to a [`ControlCommand`].
+/// The reply to a [`ControlCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ControlAnswer {
-    /// The version that the change made, or why it was refused.
+pub enum ControlCommandReply {
+    /// The version that the change created, or why it was refused.
     Change(Result<u64, ChangeRefusal>),
-    /// The answer of the claim table.
+    /// The reply of the claim table.
     Claim(ClaimReply),
-    /// The answer of the table of deferred requests.
+    /// The reply of the table of deferred requests.
     Deferred(DeferredCommandReply),
-    /// The command was none that this program knows.
+    /// The command could not be decoded by this build.
     Unreadable,
 }
 
-/// What a snapshot holds.
+/// Content of a snapshot.
 #[derive(Serialize, Deserialize)]
 struct MachineImage {
     version: u64,
     rows: Vec<VersionedRow>,
     tombstones: Vec<(RowKey, u64)>,
-    ledger: ChangeLedger,
+    changes: ChangeStore,
     claims: ClaimTable,
     deferred: DeferredTable,
 }
 
 #[derive(Default)]
 struct MachineState {
-    ledger: ChangeLedger,
+    changes: ChangeStore,
     claims: ClaimTable,
     deferred: DeferredTable,
 }
 
-/// The state machine. The table is shared with those who serve it to followers.
+/// The state machine. The table is shared with the tasks that serve it to followers.
 #[derive(Clone)]
 pub struct ControlMachine {
     feed: Arc<TableFeed>,
@@ -65,7 +65,7 @@
 }
 
 impl ControlMachine {
-    /// Creates a machine that keeps its table in `feed`.
+    /// Creates a state machine that stores its table in `feed`.
     pub fn new(feed: Arc<TableFeed>, recorder: Arc<EventRecorder>) -> Self {
         Self {
             feed,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the closures that the replicated log calls.
+    /// Returns the callbacks for the replicated log.
     pub fn hooks(&self) -> StateMachineHooks {
         let (apply, snapshot, restore) = (self.clone(), self.clone(), self.clone());
         StateMachineHooks::new(
@@ -84,52 +84,56 @@
         )
     }
 
-    /// Finds what became of a change key.
+    /// Returns the accepted change with a change key.
     pub fn find_change(&self, change_key: &str) -> Option<ChangeRecord> {
-        self.lock().ledger.find(change_key)
+        self.lock().changes.find(change_key)
     }
 
-    /// Returns the number of claims that are kept.
+    /// Returns the number of stored claims.
     pub fn claim_count(&self) -> usize {
         self.lock().claims.len()
     }
 
-    /// Returns the number of deferred requests that are kept.
+    /// Returns the number of stored deferred requests.
     pub fn deferred_count(&self) -> usize {
         self.lock().deferred.len()
     }
 
-    /// Answers a question about deferred requests.
+    /// Executes a query on deferred requests.
     pub fn query_deferred(&self, query: &DeferredQuery) -> DeferredQueryReply {
         self.lock().deferred.query(query)
     }
 
-    /// Takes one committed command and returns its encoded answer.
+    /// Applies one committed command and returns its encoded reply.
     pub fn apply(&self, command: &[u8]) -> Vec<u8> {
-        let answer = match postcard::from_bytes(command) {
-            Ok(ControlCommand::Change(change)) => ControlAnswer::Change(self.apply_change(&change)),
-            Ok(ControlCommand::Claim(step)) => ControlAnswer::Claim(self.lock().claims.apply(step)),
+        let reply = match postcard::from_bytes(command) {
+            Ok(ControlCommand::Change(change)) => {
+                ControlCommandReply::Change(self.apply_change(&change))
+            }
+            Ok(ControlCommand::Claim(step)) => {
+                ControlCommandReply::Claim(self.lock().claims.apply(step))
+            }
             Ok(ControlCommand::Deferred(step)) => {
-                ControlAnswer::Deferred(self.lock().deferred.apply(step))
+                ControlCommandReply::Deferred(self.lock().deferred.apply(step))
             }
-            Err(_) => ControlAnswer::Unreadable,
+            Err(_) => ControlCommandReply::Unreadable,
         };
-        postcard::to_stdvec(&answer).unwrap_or_default()
+        postcard::to_stdvec(&reply).unwrap_or_default()
     }
 
     fn apply_change(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
         let mut state = self.lock();
-        if let Some(record) = state.ledger.find(&change.change_key) {
-            return if record.content == content_of(change) {
+        if let Some(record) = state.changes.find(&change.change_key) {
+            return if record.content_digest == content_digest(change) {
                 Ok(record.version)
             } else {
                 Err(ChangeRefusal::KeyReused(record.version))
             };
         }
-        let result = self.feed.decide(change);
+        let result = self.feed.apply_change(change);
         match &result {
             Ok(version) => {
-                state.ledger.note(change, *version);
+                state.changes.record(change, *version);
                 let detail = format!(
                     "version={version} key={} rows={} deleted={}",
                     change.change_key,
@@ -155,7 +159,7 @@
             version: table.version(),
             rows: table.snapshot_rows(),
             tombstones: table.tombstones(),
-            ledger: state.ledger.clone(),
+            changes: state.changes.clone(),
             claims: state.claims.clone(),
             deferred: state.deferred.clone(),
         };
@@ -163,12 +167,12 @@
     }
 
     fn restore(&self, bytes: &[u8]) {
-        // A snapshot passed its checksum, so bytes that cannot be read come from a newer program.
-        // Going on with an empty state would lose what was accepted.
+        // The checksum of the snapshot was verified, so bytes that cannot be decoded come from a newer
+        // build. Continuing with an empty state would lose accepted changes.
         let image: MachineImage = match postcard::from_bytes(bytes) {
             Ok(image) => image,
             Err(error) => {
-                log::error!(target: "linnetdale", "the snapshot cannot be read: {error}");
+                log::error!(target: "linnetdale", "cannot decode the snapshot, ending the process: {error}");
                 std::process::exit(1);
             }
         };
@@ -176,7 +180,7 @@
         table.add_snapshot_rows(image.rows);
         table.finish_snapshot(image.version, image.tombstones);
         let mut state = self.lock();
-        state.ledger = image.ledger;
+        state.changes = image.changes;
         state.claims = image.claims;
         state.deferred = image.deferred;
         self.feed.restore(table);
--- a/crates/control/src/ops.rs
+++ b/crates/control/src/ops.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use linnet_daemon::{OpsContext, error_body, json_reply};
+use linnet_daemon::{OpsContext, error_body, json_response};
 use linnet_feed::{HostReport, TableFeed};
 use linnet_quorum::{
     FormError, Member, MemberChange, Members, ProposeError, Replica, ReplicaStatus,
@@ -15,13 +15,13 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::board::HostBoard;
-use crate::machine::{ControlAnswer, ControlCommand, ControlMachine};
+use crate::host_reports::HostReportStore;
+use crate::machine::{ControlCommand, ControlCommandReply, ControlMachine};
 
-/// The largest change that an operator may send, in bytes of JSON.
+/// Maximum size of a change sent by an operator, as JSON.
 pub const MAX_CHANGE_BYTES: usize = 96 * 1024 * 1024;
 
-/// What the operators' pages of a control daemon need.
+/// State that the operators' pages of a control daemon use.
 #[derive(Clone)]
 pub(crate) struct ControlContext {
     pub(crate) name: String,
@@ -31,66 +31,68 @@
     pub(crate) replica: Replica,
     pub(crate) machine: ControlMachine,
     pub(crate) feed: Arc<TableFeed>,
-    pub(crate) board: Arc<HostBoard>,
+    pub(crate) host_reports: Arc<HostReportStore>,
 }
 
-/// What a control daemon tells of itself and of the hosts that follow it.
+/// Status of a control daemon and of the entry hosts that were reported to it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ControlStatus {
-    /// The name of the host.
+    /// Name of the host.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of the host.
     pub hall: String,
-    /// Where peers reach it.
+    /// Address of its peer port.
     pub peer: SocketAddr,
-    /// Where operators reach it.
+    /// Address of its operators' port.
     pub ops: SocketAddr,
-    /// Its part in agreement.
+    /// Status of its consensus replica.
     pub replica: ReplicaStatus,
-    /// The version of the table that it holds.
+    /// Version of its table.
     pub table_version: u64,
-    /// Rows of the table.
+    /// Number of rows of its table.
     pub table_rows: usize,
-    /// Claims that are kept.
+    /// Number of stored claims.
     pub claims: usize,
-    /// Entry hosts as they were last told of.
+    /// Latest reports on entry hosts.
     pub hosts: Vec<HostReport>,
 }
 
-/// The answer to a change.
+/// The response to a change.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "result")]
-pub enum ChangeReply {
-    /// It was taken, now or when it was first sent.
-    Taken {
-        /// The version that it made.
+pub enum ChangeResponse {
+    /// The change was accepted, now or when it was first sent.
+    #[serde(rename = "taken")]
+    Accepted {
+        /// Table version that the change created.
         version: u64,
     },
-    /// It was refused whole.
+    /// The change was refused completely.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: ChangeRefusal,
     },
-    /// It was not taken here; another host leads.
+    /// The change was not accepted because this host is not the leader.
     NotLeader {
-        /// The leader, where it is known.
+        /// The leader, if known.
         leader: Option<Member>,
     },
-    /// Nobody here can tell yet. Sending it again under the same key is safe and tells.
+    /// The outcome is not known yet. Sending the change again under the same key is safe and returns
+    /// the outcome.
     Unknown,
-    /// It was not taken; try again.
+    /// The change was not accepted; it can be sent again.
     Busy {
-        /// Why.
+        /// The reason.
         cause: String,
     },
 }
 
 /// A request to form a cluster.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct FormRequest {
-    /// A random number that names the cluster.
+pub struct FormClusterRequest {
+    /// Random identifier of the cluster.
     pub cluster: u64,
-    /// The founders, all of them voters.
+    /// The founding members, all of them voters.
     pub founders: Members,
 }
 
@@ -100,7 +102,7 @@
         .state(PayloadConfig::new(MAX_CHANGE_BYTES))
         .route("/v1/status", web::get().to(show_status))
         .route("/v1/table", web::get().to(show_table))
-        .route("/v1/changes", web::post().to(take_change))
+        .route("/v1/changes", web::post().to(submit_change))
         .route("/v1/changes/{key}", web::get().to(show_change))
         .route("/v1/form", web::post().to(form_cluster))
         .route("/v1/members", web::post().to(change_members));
@@ -111,7 +113,7 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    if let Some(refused) = refuse(&request, &ops) {
+    if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
     let (table_version, table_rows) = {
@@ -127,9 +129,9 @@
         table_version,
         table_rows,
         claims: context.machine.claim_count(),
-        hosts: context.board.list_hosts(),
+        hosts: context.host_reports.list_hosts(),
     };
-    json_reply(200, &status)
+    json_response(200, &status)
 }
 
 async fn show_table(
@@ -137,14 +139,14 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    if let Some(refused) = refuse(&request, &ops) {
+    if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
-    // The lease is checked after the request came in, so no newer version was accepted elsewhere
-    // before the operator asked. `?stale=1` takes what this host holds.
+    // The lease is checked after the request arrived, so no newer version had been accepted elsewhere
+    // when the operator sent it. `?stale=1` returns the table of this host without that check.
     let stale = request.query_string() == "stale=1";
     if !stale && !context.replica.has_valid_lease() {
-        return not_leader(&context);
+        return not_leader_response(&context);
     }
     let (version, rows) = {
         let table = context.feed.read();
@@ -156,7 +158,7 @@
         .body(write_csv(&rows))
 }
 
-async fn take_change(
+async fn submit_change(
     request: HttpRequest,
     body: Bytes,
     ops: State<OpsContext>,
@@ -166,43 +168,43 @@
         Ok(change) => change,
         Err(refused) => return refused,
     };
-    let key_fits = (1..=128).contains(&change.change_key.len());
-    if !key_fits {
-        return json_reply(
+    let is_valid_key = (1..=128).contains(&change.change_key.len());
+    if !is_valid_key {
+        return json_response(
             400,
-            &error_body("malformed", "a change key has 1 to 128 bytes"),
+            &error_body("malformed", "a change key must have 1 to 128 bytes"),
         );
     }
     let reply = propose_change(&context, change).await;
-    json_reply(change_status(&reply), &reply)
+    json_response(change_status_code(&reply), &reply)
 }
 
-fn change_status(reply: &ChangeReply) -> u16 {
+fn change_status_code(reply: &ChangeResponse) -> u16 {
     match reply {
-        ChangeReply::Taken { .. } => 200,
-        ChangeReply::Refused {
+        ChangeResponse::Accepted { .. } => 200,
+        ChangeResponse::Refused {
             refusal: ChangeRefusal::Faults(_),
         } => 422,
-        ChangeReply::Refused { .. } => 409,
-        ChangeReply::NotLeader { .. } => 421,
-        ChangeReply::Unknown | ChangeReply::Busy { .. } => 503,
+        ChangeResponse::Refused { .. } => 409,
+        ChangeResponse::NotLeader { .. } => 421,
+        ChangeResponse::Unknown | ChangeResponse::Busy { .. } => 503,
     }
 }
 
-async fn propose_change(context: &ControlContext, change: TableChange) -> ChangeReply {
+async fn propose_change(context: &ControlContext, change: TableChange) -> ChangeResponse {
     let command = ControlCommand::Change(change);
     let bytes = postcard::to_stdvec(&command).unwrap_or_default();
     match context.replica.propose(bytes).await {
-        Ok(answer) => match postcard::from_bytes(&answer) {
-            Ok(ControlAnswer::Change(Ok(version))) => ChangeReply::Taken { version },
-            Ok(ControlAnswer::Change(Err(refusal))) => ChangeReply::Refused { refusal },
-            _ => ChangeReply::Unknown,
+        Ok(reply) => match postcard::from_bytes(&reply) {
+            Ok(ControlCommandReply::Change(Ok(version))) => ChangeResponse::Accepted { version },
+            Ok(ControlCommandReply::Change(Err(refusal))) => ChangeResponse::Refused { refusal },
+            _ => ChangeResponse::Unknown,
         },
-        Err(ProposeError::NotLeader { leader }) => ChangeReply::NotLeader {
+        Err(ProposeError::NotLeader { leader }) => ChangeResponse::NotLeader {
             leader: leader.map(|leader| *leader),
         },
-        Err(ProposeError::Unknown) => ChangeReply::Unknown,
-        Err(other) => ChangeReply::Busy {
+        Err(ProposeError::Unknown) => ChangeResponse::Unknown,
+        Err(other) => ChangeResponse::Busy {
             cause: other.to_string(),
         },
     }
@@ -214,21 +216,21 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    if let Some(refused) = refuse(&request, &ops) {
+    if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
     if !context.replica.has_valid_lease() {
-        return not_leader(&context);
+        return not_leader_response(&context);
     }
     match context.machine.find_change(&key) {
-        Some(record) => json_reply(
+        Some(record) => json_response(
             200,
-            &ChangeReply::Taken {
+            &ChangeResponse::Accepted {
                 version: record.version,
             },
         ),
-        // A change that still waits for its commit may be taken yet.
-        None => json_reply(404, &ChangeReply::Unknown),
+        // A change that still waits for its commit may be accepted later.
+        None => json_response(404, &ChangeResponse::Unknown),
     }
 }
 
@@ -238,18 +240,21 @@
     ops: State<OpsContext>,
     context: State<ControlContext>,
 ) -> HttpResponse {
-    let form: FormRequest = match parse_body(&request, &ops, &body) {
-        Ok(form) => form,
+    let cluster_request: FormClusterRequest = match parse_body(&request, &ops, &body) {
+        Ok(cluster_request) => cluster_request,
         Err(refused) => return refused,
     };
+    let FormClusterRequest { cluster, founders } = cluster_request;
     match context
         .replica
-        .form_cluster(form.cluster, form.founders)
+        .form_cluster(cluster, founders)
         .await
     {
-        Ok(()) => json_reply(200, &serde_json::json!({ "result": "formed" })),
-        Err(error @ FormError::Disk(_)) => json_reply(503, &error_body("disk", error.to_string())),
-        Err(error) => json_reply(409, &error_body("refused", error.to_string())),
+        Ok(()) => json_response(200, &serde_json::json!({ "result": "formed" })),
+        Err(error @ FormError::Disk(_)) => {
+            json_response(503, &error_body("disk", error.to_string()))
+        }
+        Err(error) => json_response(409, &error_body("refused", error.to_string())),
     }
 }
 
@@ -264,38 +269,39 @@
         Err(refused) => return refused,
     };
     match context.replica.change_members(&change).await {
-        Ok(()) => json_reply(200, &serde_json::json!({ "result": "taken" })),
-        Err(ProposeError::NotLeader { .. }) => not_leader(&context),
+        Ok(()) => json_response(200, &serde_json::json!({ "result": "taken" })),
+        Err(ProposeError::NotLeader { .. }) => not_leader_response(&context),
         Err(ProposeError::Members(error)) => {
-            json_reply(409, &error_body("refused", error.to_string()))
+            json_response(409, &error_body("refused", error.to_string()))
         }
-        Err(error) => json_reply(503, &error_body("unknown", error.to_string())),
+        Err(error) => json_response(503, &error_body("unknown", error.to_string())),
     }
 }
 
-/// Checks the operator's key and parses the body of a command.
+/// Checks the operator's key and parses the request body.
 fn parse_body<T: DeserializeOwned>(
     request: &HttpRequest,
     ops: &OpsContext,
     body: &[u8],
 ) -> Result<T, HttpResponse> {
-    if let Some(refused) = refuse(request, ops) {
+    if let Some(refused) = check_operator(request, ops) {
         return Err(refused);
     }
     serde_json::from_slice(body)
-        .map_err(|error| json_reply(400, &error_body("malformed", error.to_string())))
+        .map_err(|error| json_response(400, &error_body("malformed", error.to_string())))
 }
 
-fn refuse(request: &HttpRequest, ops: &OpsContext) -> Option<HttpResponse> {
+/// Returns the response to a request without an operator's key; `None` if the key is valid.
+fn check_operator(request: &HttpRequest, ops: &OpsContext) -> Option<HttpResponse> {
     let body = || error_body("unauthorized", "an operator's key is needed");
-    (!ops.keys.admits(request)).then(|| json_reply(401, &body()))
+    (!ops.keys.authorizes(request)).then(|| json_response(401, &body()))
 }
 
-fn not_leader(context: &ControlContext) -> HttpResponse {
+fn not_leader_response(context: &ControlContext) -> HttpResponse {
     let status = context.replica.status();
     let leader = status
         .leader
         .filter(|id| *id != status.id)
         .and_then(|id| status.members.find(id).cloned());
-    json_reply(421, &ChangeReply::NotLeader { leader })
+    json_response(421, &ChangeResponse::NotLeader { leader })
 }
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -15,7 +15,7 @@
 use linnet_rollout::PhaseCounts;
 use linnet_telemetry::{EventCode, EventRecorder};
 use linnet_wire::{
-    MessageForm, PeerGreeting, PeerIdentity, PeerReader, PeerWriter, WireError, connect_peer,
+    MessageVersion, PeerGreeting, PeerIdentity, PeerReader, PeerWriter, WireError, connect_peer,
 };
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -134,9 +134,9 @@
     }
 
     /// Records whether a control host runs an earlier build, by the message version that it announced.
-    fn record_build(&self, address: SocketAddr, message_version: Option<MessageForm>) {
+    fn record_build(&self, address: SocketAddr, message_version: Option<MessageVersion>) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
-            host.runs_earlier_build = message_version < Some(MessageForm::Third);
+            host.runs_earlier_build = message_version < Some(MessageVersion::V3);
         }
     }
 
@@ -263,7 +263,7 @@
             let detail = format!("have_version={}", state.document_version());
             record(config, EventCode::ControlFollowed, address, detail);
             state.set_connected(address, true);
-            state.record_build(address, reader.form());
+            state.record_build(address, reader.message_version());
             let ended = tokio::select! {
                 ended = run_connection(&state, address, reader, writer) => ended,
                 () = state.wait_until_unfollowed(address) => Ok(()),
@@ -307,8 +307,8 @@
     };
     writer.send(&hello).await?;
     Ok((
-        reader.with_silence_limit(PEER_SILENCE_TIMEOUT),
-        writer.with_silence_limit(PEER_SILENCE_TIMEOUT),
+        reader.with_silence_timeout(PEER_SILENCE_TIMEOUT),
+        writer.with_silence_timeout(PEER_SILENCE_TIMEOUT),
     ))
 }
 
@@ -370,12 +370,12 @@
     address: SocketAddr,
     reader: &mut PeerReader,
 ) -> Result<DirectoryUpdate, WireError> {
-    let known = reader.form();
+    let known = reader.message_version();
     let (update, tail, rate_limits) = reader
-        .receive_tailed::<DirectoryUpdate, DirectoryUpdateV1, UpdateTail, Vec<RateObservation>>()
+        .receive_with_tails::<DirectoryUpdate, DirectoryUpdateV1, UpdateTail, Vec<RateObservation>>()
         .await?;
     let update = update.with_tails(tail, rate_limits);
-    if let (None, Some(message_version)) = (known, reader.form()) {
+    if let (None, Some(message_version)) = (known, reader.message_version()) {
         let detail = format!("peer={} form={message_version}", reader.peer());
         record(&state.config, EventCode::PeerEarlier, address, detail);
     }
--- a/crates/directory/src/message_v1/tests.rs
+++ b/crates/directory/src/message_v1/tests.rs
@@ -1,5 +1,5 @@
 use fastrand::Rng;
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 
 use super::*;
 use crate::message::tests::{hex, report, target, update};
@@ -74,24 +74,24 @@
 /// Messages of both versions are recognised, and are read with all fields that the version has.
 #[test]
 fn update_encoding_reveals_the_message_version() {
-    let decode = MessageForm::tell::<DirectoryUpdate, DirectoryUpdateV1>;
+    let decode = MessageVersion::detect::<DirectoryUpdate, DirectoryUpdateV1>;
     for seed in 0..5_000 {
         let update = any_update(&mut Rng::with_seed(seed));
         let second = postcard::to_stdvec(&update).unwrap();
         let (read, version) = decode(&second).unwrap();
-        assert_eq!(version, Some(MessageForm::Second), "seed {seed}");
+        assert_eq!(version, Some(MessageVersion::V2), "seed {seed}");
         assert_eq!(hex(&read), hex(&update), "seed {seed}");
         let first = DirectoryUpdateV1::from(update);
         let bytes = postcard::to_stdvec(&first).unwrap();
         let (read, version) = decode(&bytes).unwrap();
-        assert_eq!(version, Some(MessageForm::First), "seed {seed}");
+        assert_eq!(version, Some(MessageVersion::V1), "seed {seed}");
         assert_eq!(DirectoryUpdateV1::from(read), first, "seed {seed}");
     }
 }
 
 #[test]
 fn report_encoding_reveals_the_message_version_and_v1_skips_the_rest() {
-    let decode = MessageForm::tell::<SubscriberReport, SubscriberReportV1>;
+    let decode = MessageVersion::detect::<SubscriberReport, SubscriberReportV1>;
     let mut message = report();
     for suspects in [message.suspects.clone(), Vec::new()] {
         message.suspects = suspects;
@@ -99,7 +99,7 @@
         let (read, version) = decode(&second).unwrap();
         assert_eq!(
             (hex(&read), version),
-            (hex(&message), Some(MessageForm::Second))
+            (hex(&message), Some(MessageVersion::V2))
         );
         // A build that knows only version 1 reads it like this.
         let first = report_v1(message.clone());
@@ -111,19 +111,19 @@
         let (read, version) = decode(&bytes).unwrap();
         assert_eq!(
             (report_v1(read), version),
-            (first, Some(MessageForm::First))
+            (first, Some(MessageVersion::V1))
         );
     }
 }
 
 #[test]
 fn bytes_of_no_message_version_are_rejected() {
-    let decode = MessageForm::tell::<DirectoryUpdate, DirectoryUpdateV1>;
+    let decode = MessageVersion::detect::<DirectoryUpdate, DirectoryUpdateV1>;
     let complete = postcard::to_stdvec(&update()).unwrap();
     for length in 0..complete.len() {
         // Truncated at any length, it is not taken for a message of version 2.
         if let Ok((_, version)) = decode(&complete[..length]) {
-            assert_eq!(version, Some(MessageForm::First), "{length} bytes");
+            assert_eq!(version, Some(MessageVersion::V1), "{length} bytes");
         }
     }
     assert!(decode(&[]).is_err());
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -8,7 +8,7 @@
 use linnet_quarantine::SuspectStore;
 use linnet_rate::RateStore;
 use linnet_rollout::{EvidenceStore, ExposureLimit};
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 
 use super::suspects::LivenessProbes;
 use crate::{DocumentRequest, EntryHostRecord, LocalEntryHosts, Registry};
@@ -26,7 +26,7 @@
     /// Whether this control host sends it the lists of targets and entry hosts.
     pub(crate) wants_lists: bool,
     /// Its message version; `None` until its first report reveals it.
-    pub(crate) message_version: Option<MessageForm>,
+    pub(crate) message_version: Option<MessageVersion>,
 }
 
 #[derive(Default)]
--- a/crates/directory/src/node/suspects.rs
+++ b/crates/directory/src/node/suspects.rs
@@ -6,7 +6,7 @@
 
 use linnet_quarantine::{CrashKey, RequestKey, SuspectRecord};
 use linnet_telemetry::EventCode;
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::time::sleep;
 
 use super::{DirectoryNode, NodeState};
@@ -59,13 +59,13 @@
     /// Returns whether a connected control host speaks only message version 1.
     pub(super) fn has_v1_control(&self) -> bool {
         let mut subscribers = self.subscribers.values();
-        subscribers.any(|one| one.is_control && one.message_version == Some(MessageForm::First))
+        subscribers.any(|one| one.is_control && one.message_version == Some(MessageVersion::V1))
     }
 
     /// Returns whether all connected control hosts support roll-outs.
     pub(super) fn all_controls_support_rollouts(&self) -> bool {
         let mut controls = self.subscribers.values().filter(|one| one.is_control);
-        controls.all(|one| one.message_version >= Some(MessageForm::Third))
+        controls.all(|one| one.message_version >= Some(MessageVersion::V3))
     }
 }
 
@@ -75,7 +75,7 @@
         &self,
         subscriber_id: u64,
         peer: &str,
-        message_version: MessageForm,
+        message_version: MessageVersion,
     ) {
         if let Some(known) = self.lock().subscribers.get_mut(&subscriber_id) {
             known.message_version = Some(message_version);
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -8,7 +8,7 @@
 use linnet_clock::BootInstant;
 use linnet_rate::RateObservation;
 use linnet_rollout::RolloutStore;
-use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
+use linnet_wire::{MessageVersion, PeerReader, PeerWriter, WireError};
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 
@@ -89,12 +89,12 @@
     reader: PeerReader,
     writer: PeerWriter,
 ) -> Result<(), WireError> {
-    let mut reader = reader.with_silence_limit(PEER_SILENCE_TIMEOUT);
-    let writer = writer.with_silence_limit(PEER_SILENCE_TIMEOUT);
+    let mut reader = reader.with_silence_timeout(PEER_SILENCE_TIMEOUT);
+    let writer = writer.with_silence_timeout(PEER_SILENCE_TIMEOUT);
     let hello: SubscriberHello = reader.receive().await?;
     let request_changed = Arc::new(Notify::new());
-    let (version_sender, message_version) = watch::channel(reader.form());
-    let subscriber_id = add_subscriber(node, &hello, reader.form());
+    let (version_sender, message_version) = watch::channel(reader.message_version());
+    let subscriber_id = add_subscriber(node, &hello, reader.message_version());
     let receiving = receive_reports(
         node,
         subscriber_id,
@@ -122,7 +122,7 @@
 fn add_subscriber(
     node: &DirectoryNode,
     hello: &SubscriberHello,
-    message_version: Option<MessageForm>,
+    message_version: Option<MessageVersion>,
 ) -> u64 {
     let mut state = node.lock();
     state.last_subscriber_id += 1;
@@ -154,7 +154,7 @@
     node: &DirectoryNode,
     subscriber_id: u64,
     request_changed: &Notify,
-    version_sender: watch::Sender<Option<MessageForm>>,
+    version_sender: watch::Sender<Option<MessageVersion>>,
     mut reader: PeerReader,
 ) -> Result<(), WireError> {
     loop {
@@ -193,17 +193,17 @@
 async fn receive_report(
     node: &DirectoryNode,
     subscriber_id: u64,
-    version_sender: &watch::Sender<Option<MessageForm>>,
+    version_sender: &watch::Sender<Option<MessageVersion>>,
     reader: &mut PeerReader,
 ) -> Result<SubscriberReport, WireError> {
-    let known = reader.form();
+    let known = reader.message_version();
     let (mut report, tail, rate_limits) = reader
-        .receive_tailed::<SubscriberReport, SubscriberReportV1, ReportTail, Vec<RateObservation>>()
+        .receive_with_tails::<SubscriberReport, SubscriberReportV1, ReportTail, Vec<RateObservation>>()
         .await?;
     report.rate_limits = rate_limits;
     report.incarnation = tail.incarnation;
     report.phase_counts = tail.phase_counts;
-    if let (None, Some(message_version)) = (known, reader.form()) {
+    if let (None, Some(message_version)) = (known, reader.message_version()) {
         node.record_message_version(subscriber_id, reader.peer(), message_version);
         version_sender.send_replace(Some(message_version));
     }
@@ -215,7 +215,7 @@
     subscriber_id: u64,
     hello: &SubscriberHello,
     request_changed: &Notify,
-    mut message_version: watch::Receiver<Option<MessageForm>>,
+    mut message_version: watch::Receiver<Option<MessageVersion>>,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
     // The task that receives reports ended before the first report, and removes the subscriber.
@@ -281,10 +281,10 @@
 
 async fn send_update(
     writer: &mut PeerWriter,
-    message_version: Option<MessageForm>,
+    message_version: Option<MessageVersion>,
     update: &DirectoryUpdate,
 ) -> Result<(), WireError> {
-    if message_version == Some(MessageForm::First) {
+    if message_version == Some(MessageVersion::V1) {
         return writer.send(&DirectoryUpdateV1::from(update.clone())).await;
     }
     match update.tail() {
--- a/crates/entry/src/shares.rs
+++ b/crates/entry/src/shares.rs
@@ -78,7 +78,7 @@
     let hall = view.hall_size();
     let inputs = |local_demand, peer_demand| ShareInputs {
         // Until the size of the fleet is known, the hall counts as the complete fleet.
-        fleet_hosts: entry.feed.fleet().max(hall),
+        fleet_hosts: entry.feed.entry_host_count().max(hall),
         hall_hosts: hall,
         live_peers: peers.hosts,
         local_demand,
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -1,4 +1,4 @@
-//! The table in force in one process.
+//! The table in force in one process, and its newest changes.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,53 +7,53 @@
 use linnet_table::{ChangeRefusal, RowKey, TableChange, TableStore, VersionedRow};
 use tokio::sync::watch;
 
-/// Changes that are kept for followers which are a little behind.
-const KEPT_CHANGES: usize = 1_024;
+/// Maximum number of changes retained for followers that lag behind.
+const MAX_RETAINED_CHANGES: usize = 1_024;
 
-/// Rows that the kept changes may have together; more are dropped from the oldest on.
-const KEPT_ROWS: usize = 20_000;
+/// Maximum number of rows in all retained changes together; the oldest changes are dropped first.
+const MAX_RETAINED_ROWS: usize = 20_000;
 
-/// What a follower at some version needs next.
+/// What a follower at a given version needs next.
 #[derive(Debug)]
 pub enum FeedStep {
-    /// Nothing; it has the newest.
+    /// Nothing; it has the newest version.
     Current,
-    /// These changes, in order.
+    /// These changes, in order of their versions.
     Deltas(Vec<(u64, Arc<TableChange>)>),
-    /// The whole table, because it is too far behind.
+    /// The complete table, because the changes that it needs are no longer retained.
     Image,
 }
 
-/// A change with the version that it made and its number of rows.
-struct KeptChange {
+/// A change with the version that it created and its number of rows.
+struct RetainedChange {
     version: u64,
     rows: usize,
     change: Arc<TableChange>,
 }
 
-/// The whole table of one version, in parts, as it is sent to followers.
+/// The complete table of one version, split into parts as it is sent to followers.
 #[derive(Debug)]
 pub struct TableImage {
-    /// The version.
+    /// Version of the table.
     pub version: u64,
     /// The rows, in parts of one message each.
     pub parts: Vec<Vec<VersionedRow>>,
-    /// Deletions that are remembered.
+    /// Retained tombstones of deleted rows.
     pub tombstones: Vec<(RowKey, u64)>,
 }
 
-/// Rows of an image that one message carries.
-const IMAGE_ROWS: usize = 2_000;
+/// Maximum number of rows in one part of an image.
+const MAX_ROWS_PER_PART: usize = 2_000;
 
-/// The table in force, the newest changes, and a signal for those who wait for the next.
+/// The table in force, the newest changes, and a notification of each new version.
 ///
-/// Invariant: the version seen by any reader never falls, but for [`TableFeed::restore`].
+/// Invariant: the version seen by any reader never decreases, except by [`TableFeed::restore`].
 pub struct TableFeed {
     table: RwLock<TableStore>,
-    kept: Mutex<VecDeque<KeptChange>>,
+    retained: Mutex<VecDeque<RetainedChange>>,
     image: Mutex<Weak<TableImage>>,
     version: watch::Sender<u64>,
-    fleet: AtomicU32,
+    entry_host_count: AtomicU32,
 }
 
 impl Default for TableFeed {
@@ -63,18 +63,18 @@
 }
 
 impl TableFeed {
-    /// Creates a feed that has no table yet.
+    /// Creates a feed without a table.
     pub fn new() -> Self {
         Self {
             table: RwLock::new(TableStore::new()),
-            kept: Mutex::new(VecDeque::new()),
+            retained: Mutex::new(VecDeque::new()),
             image: Mutex::new(Weak::new()),
             version: watch::Sender::new(0),
-            fleet: AtomicU32::new(0),
+            entry_host_count: AtomicU32::new(0),
         }
     }
 
-    /// Returns the table in force. Held only for a moment, never over an await.
+    /// Locks the table in force for reading. The guard must be dropped soon and not be held across an await.
     pub fn read(&self) -> RwLockReadGuard<'_, TableStore> {
         self.table.read().unwrap_or_else(PoisonError::into_inner)
     }
@@ -84,34 +84,34 @@
         *self.version.borrow()
     }
 
-    /// Returns how many entry hosts live in the whole fleet; 0 for unknown.
-    pub fn fleet(&self) -> u32 {
-        self.fleet.load(Ordering::Relaxed)
+    /// Returns the number of live entry hosts in the whole deployment; 0 for unknown.
+    pub fn entry_host_count(&self) -> u32 {
+        self.entry_host_count.load(Ordering::Relaxed)
     }
 
-    /// Sets how many entry hosts live in the whole fleet.
-    pub fn set_fleet(&self, hosts: u32) {
-        self.fleet.store(hosts, Ordering::Relaxed);
+    /// Sets the number of live entry hosts in the whole deployment.
+    pub fn set_entry_host_count(&self, hosts: u32) {
+        self.entry_host_count.store(hosts, Ordering::Relaxed);
     }
 
-    /// Returns a receiver that wakes with each version.
+    /// Returns a receiver that is notified of each new version.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// Checks a change and takes it as the next version; for the process that decides.
+    /// Validates a change and applies it as the next version; for the process that accepts changes.
     ///
     /// # Errors
     ///
-    /// [`ChangeRefusal`]; the table is as it was.
-    pub fn decide(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
+    /// [`ChangeRefusal`]; the table is unchanged.
+    pub fn apply_change(&self, change: &TableChange) -> Result<u64, ChangeRefusal> {
         let version = self.write().apply(change)?;
-        self.keep(version, change.clone());
+        self.retain_change(version, change.clone());
         Ok(version)
     }
 
-    /// Takes a change that another process has checked; false when it is not the next one.
-    pub fn take_change(&self, version: u64, change: TableChange) -> bool {
+    /// Applies a change that another process has validated; returns false if it is not the next version.
+    pub fn apply_checked_change(&self, version: u64, change: TableChange) -> bool {
         {
             let mut table = self.write();
             if version != table.version() + 1 {
@@ -119,12 +119,12 @@
             }
             table.apply_checked(&change, version);
         }
-        self.keep(version, change);
+        self.retain_change(version, change);
         true
     }
 
-    /// Puts a whole table in force; false when it is not newer.
-    pub fn take_image(&self, image: TableStore) -> bool {
+    /// Replaces the table by a complete one; returns false if that is not newer.
+    pub fn apply_image(&self, image: TableStore) -> bool {
         let version = image.version();
         {
             let mut table = self.write();
@@ -133,26 +133,26 @@
             }
             *table = image;
         }
-        self.lock_kept().clear();
+        self.lock_retained().clear();
         self.version.send_replace(version);
         true
     }
 
-    /// Sets the table whatever its version; only for the start of a replica and its snapshots.
+    /// Replaces the table regardless of its version; only for a replica that starts or installs a snapshot.
     pub fn restore(&self, image: TableStore) {
         let version = image.version();
         *self.write() = image;
-        self.lock_kept().clear();
+        self.lock_retained().clear();
         self.version.send_replace(version);
     }
 
     /// Returns what a follower at a version needs next.
-    pub fn step_after(&self, version: u64) -> FeedStep {
+    pub fn next_step(&self, version: u64) -> FeedStep {
         if version >= self.version() {
             return FeedStep::Current;
         }
-        let kept = self.lock_kept();
-        let deltas: Vec<_> = kept
+        let retained = self.lock_retained();
+        let deltas: Vec<_> = retained
             .iter()
             .filter(|entry| entry.version > version)
             .map(|entry| (entry.version, entry.change.clone()))
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Returns the whole table in parts. Followers that are served at one time share one image, so
-    /// that a hall that starts at once does not take its memory many times over.
+    /// Returns the complete table in parts. Followers that are served at the same time share one image, so
+    /// that a data hall whose hosts all start at once does not multiply its memory.
     pub fn image(&self) -> Arc<TableImage> {
         let mut cached = self.image.lock().unwrap_or_else(PoisonError::into_inner);
         let table = self.read();
@@ -177,7 +177,7 @@
         let image = Arc::new(TableImage {
             version: table.version(),
             parts: rows
-                .chunks(IMAGE_ROWS)
+                .chunks(MAX_ROWS_PER_PART)
                 .map(<[VersionedRow]>::to_vec)
                 .collect(),
             tombstones: table.tombstones(),
@@ -186,23 +186,24 @@
         image
     }
 
-    fn keep(&self, version: u64, change: TableChange) {
+    /// Retains an applied change and publishes its version.
+    fn retain_change(&self, version: u64, change: TableChange) {
         let rows = change.upserts.len() + change.deletes.len();
         let change = Arc::new(change);
-        let mut kept = self.lock_kept();
-        kept.push_back(KeptChange {
+        let mut retained = self.lock_retained();
+        retained.push_back(RetainedChange {
             version,
             rows,
             change,
         });
-        let mut total: usize = kept.iter().map(|entry| entry.rows).sum();
-        while kept.len() > KEPT_CHANGES || total > KEPT_ROWS {
-            match kept.pop_front() {
+        let mut total: usize = retained.iter().map(|entry| entry.rows).sum();
+        while retained.len() > MAX_RETAINED_CHANGES || total > MAX_RETAINED_ROWS {
+            match retained.pop_front() {
                 Some(oldest) => total -= oldest.rows,
                 None => break,
             }
         }
-        drop(kept);
+        drop(retained);
         self.version.send_replace(version);
     }
 
@@ -210,7 +211,7 @@
         self.table.write().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_kept(&self) -> std::sync::MutexGuard<'_, VecDeque<KeptChange>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_retained(&self) -> std::sync::MutexGuard<'_, VecDeque<RetainedChange>> {
+        self.retained.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/feed/src/follow.rs
+++ b/crates/feed/src/follow.rs
@@ -1,4 +1,4 @@
-//! Takes the table in from one source.
+//! Receives and applies the table from one source.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 use linnet_wire::{PeerGreeting, PeerIdentity, PeerReader, PeerWriter, WireError, connect_peer};
 use tokio::time::sleep;
 
-use crate::serve::IDLE_PERIOD;
+use crate::serve::HEARTBEAT_INTERVAL;
 use crate::{FeedMessage, FollowHello, FollowReport, TableFeed};
 
-/// A source from which no byte came for so long is taken as gone or cut off.
-const SOURCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time without a byte after which a source counts as stopped or unreachable.
+const SOURCE_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why following a source ended.
+/// Why [`follow_source`] ended.
 #[derive(Debug)]
 pub enum FollowError {
     /// The connection failed.
     Wire(WireError),
-    /// The source sent what does not follow what is in force.
+    /// The source sent a change that does not follow the version in force.
     OutOfOrder,
 }
 
@@ -40,27 +40,27 @@
     }
 }
 
-/// Follows one source until it is lost. `heard` runs with the source's version for each message,
-/// `report` gives what is told to the source now and then.
+/// Follows one source until the connection is lost. `on_version` is called with the version of the source
+/// for each message, `report` returns the report that is sent to the source periodically.
 ///
 /// # Errors
 ///
-/// [`FollowError`]; what was taken in so far stays in force.
+/// [`FollowError`]; the changes applied so far stay in force.
 pub async fn follow_source(
     feed: &TableFeed,
     identity: &PeerIdentity,
     source: SocketAddr,
-    heard: impl Fn(u64),
+    on_version: impl Fn(u64),
     report: impl Fn() -> FollowReport,
 ) -> Result<(), FollowError> {
     let (reader, writer) = connect_peer(identity, source).await?;
-    let reader = reader.with_silence_limit(SOURCE_TIMEOUT);
-    let mut writer = writer.with_silence_limit(SOURCE_TIMEOUT);
+    let reader = reader.with_silence_timeout(SOURCE_SILENCE_TIMEOUT);
+    let mut writer = writer.with_silence_timeout(SOURCE_SILENCE_TIMEOUT);
     writer.send(&PeerGreeting::Follow).await?;
     let have_version = feed.version();
     writer.send(&FollowHello { have_version }).await?;
     tokio::select! {
-        result = take_messages(feed, reader, heard) => result,
+        result = receive_messages(feed, reader, on_version) => result,
         result = send_reports(writer, report) => result,
     }
 }
@@ -71,24 +71,24 @@
 ) -> Result<(), FollowError> {
     loop {
         writer.send(&report()).await?;
-        sleep(IDLE_PERIOD).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-async fn take_messages(
+async fn receive_messages(
     feed: &TableFeed,
     mut reader: PeerReader,
-    heard: impl Fn(u64),
+    on_version: impl Fn(u64),
 ) -> Result<(), FollowError> {
     let mut image: Option<TableStore> = None;
     loop {
         match reader.receive::<FeedMessage>().await? {
             FeedMessage::Delta { version, change } => {
-                // A change that another source brought already is passed over.
-                if version > feed.version() && !feed.take_change(version, change) {
+                // A change that was already received from another source is skipped.
+                if version > feed.version() && !feed.apply_checked_change(version, change) {
                     return Err(FollowError::OutOfOrder);
                 }
-                heard(version);
+                on_version(version);
             }
             FeedMessage::ImageStart => image = Some(TableStore::new()),
             FeedMessage::ImageRows(rows) => match &mut image {
@@ -99,14 +99,17 @@
                 version,
                 tombstones,
             } => {
-                let mut whole = image.take().ok_or(FollowError::OutOfOrder)?;
-                whole.finish_snapshot(version, tombstones);
-                feed.take_image(whole);
-                heard(version);
+                let mut complete = image.take().ok_or(FollowError::OutOfOrder)?;
+                complete.finish_snapshot(version, tombstones);
+                feed.apply_image(complete);
+                on_version(version);
             }
-            FeedMessage::Idle { version, fleet } => {
-                feed.set_fleet(fleet);
-                heard(version);
+            FeedMessage::Heartbeat {
+                version,
+                entry_hosts,
+            } => {
+                feed.set_entry_host_count(entry_hosts);
+                on_version(version);
             }
         }
     }
--- a/crates/gateway/src/message_v1.rs
+++ b/crates/gateway/src/message_v1.rs
@@ -4,7 +4,7 @@
 mod reply;
 mod request;
 
-use linnet_wire::{MessageForm, PeerWriter, WireError};
+use linnet_wire::{MessageVersion, PeerWriter, WireError};
 
 use crate::piece_message::{PieceReply, PieceRequest};
 
@@ -22,11 +22,11 @@
 /// [`WireError`] of the connection.
 pub(crate) fn queue_request(
     writer: &mut PeerWriter,
-    version: MessageForm,
+    version: MessageVersion,
     request: &PieceRequest,
 ) -> Result<bool, WireError> {
     match version {
-        MessageForm::First => {
+        MessageVersion::V1 => {
             to_request_v1(request).map_or(Ok(false), |message| writer.queue(&message))
         }
         _ if version < request.min_message_version() => Ok(false),
@@ -41,11 +41,11 @@
 /// [`WireError`] of the connection.
 pub(crate) fn queue_reply(
     writer: &mut PeerWriter,
-    version: MessageForm,
+    version: MessageVersion,
     reply: &PieceReply,
 ) -> Result<bool, WireError> {
     match version {
-        MessageForm::First => {
+        MessageVersion::V1 => {
             to_reply_v1(reply).map_or(Ok(false), |message| writer.queue(&message))
         }
         _ => writer.queue(reply),
--- a/crates/gateway/src/message_v1/tests.rs
+++ b/crates/gateway/src/message_v1/tests.rs
@@ -24,7 +24,7 @@
 /// Requests with the same bytes in both versions leave the version open; no other may be misread.
 #[test]
 fn a_first_request_reveals_the_message_version_unless_both_versions_have_the_same_bytes() {
-    let detect = MessageForm::tell::<PieceRequest, PieceRequestV1>;
+    let detect = MessageVersion::detect::<PieceRequest, PieceRequestV1>;
     for request in requests() {
         let bytes = postcard::to_allocvec(&request).unwrap();
         let (read, version) = detect(&bytes).unwrap();
@@ -33,7 +33,7 @@
             .as_ref()
             .map(|message| postcard::to_allocvec(message).unwrap());
         let same_bytes = first_bytes.as_ref() == Some(&bytes);
-        let second = (!same_bytes).then_some(MessageForm::Second);
+        let second = (!same_bytes).then_some(MessageVersion::V2);
         assert_eq!((hex(&read), version), (hex(&request), second));
         let Some((first, bytes)) = first.zip(first_bytes) else {
             continue;
@@ -42,7 +42,7 @@
         assert_eq!(to_request_v1(&read), Some(first), "{request:?}");
         assert_eq!(
             version,
-            (!same_bytes).then_some(MessageForm::First),
+            (!same_bytes).then_some(MessageVersion::V1),
             "{request:?}"
         );
     }
@@ -50,12 +50,12 @@
 
 #[test]
 fn a_first_heartbeat_or_usage_report_reveals_the_message_version_of_the_coordinator() {
-    let detect = MessageForm::tell::<PieceReply, PieceReplyV1>;
+    let detect = MessageVersion::detect::<PieceReply, PieceReplyV1>;
     for reply in replies() {
         let bytes = postcard::to_allocvec(&reply).unwrap();
         let (read, version) = detect(&bytes).unwrap();
         let first = to_reply_v1(&reply).map(|reply| postcard::to_allocvec(&reply).unwrap());
-        let second = (first.as_ref() != Some(&bytes)).then_some(MessageForm::Second);
+        let second = (first.as_ref() != Some(&bytes)).then_some(MessageVersion::V2);
         assert_eq!((hex(&read), version), (hex(&reply), second));
         // Only these are sent before the first request.
         let Some(first @ (PieceReplyV1::Heartbeat { .. } | PieceReplyV1::TargetUsage { .. })) =
@@ -65,7 +65,7 @@
         };
         let bytes = postcard::to_allocvec(&first).unwrap();
         let (read, version) = detect(&bytes).unwrap();
-        assert_eq!(version, Some(MessageForm::First), "{reply:?}");
+        assert_eq!(version, Some(MessageVersion::V1), "{reply:?}");
         assert_eq!(to_reply_v1(&read), Some(first));
     }
 }
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -1,7 +1,7 @@
 //! Messages between entry hosts about pieces, prompts and permits.
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use serde::{Deserialize, Serialize};
 
 use crate::engine::{PlacementFacts, PlacementRequest};
@@ -75,10 +75,10 @@
 impl PieceRequest {
     /// Returns the oldest message version from the second on that has this request. For the first
     /// version see [`crate::message_v1`].
-    pub(crate) fn min_message_version(&self) -> MessageForm {
+    pub(crate) fn min_message_version(&self) -> MessageVersion {
         match self {
-            Self::AcquireSendPermit { .. } => MessageForm::Fourth,
-            _ => MessageForm::Second,
+            Self::AcquireSendPermit { .. } => MessageVersion::V4,
+            _ => MessageVersion::V2,
         }
     }
 }
--- a/crates/gateway/src/rate_tracker.rs
+++ b/crates/gateway/src/rate_tracker.rs
@@ -14,7 +14,7 @@
 use linnet_rate::{
     IncarnationEffect, RateChange, RateChanges, RateLimit, RateObservation, RatePacer, RateStore,
 };
-use linnet_telemetry::{EventCode, EventRecorder, NoticeLine, NoticeStanding};
+use linnet_telemetry::{EventCode, EventRecorder, NoticeLine, NoticeState};
 use tokio::sync::watch;
 
 use crate::notice::RateNotice;
@@ -285,8 +285,8 @@
         NoticeLine {
             target: target.to_owned(),
             service: self.service_of(target),
-            standing: NoticeStanding::Reopening,
-            left_ms: 0,
+            state: NoticeState::Reopening,
+            remaining_ms: 0,
             withheld: 0,
             per_second: None,
             sent: 0,
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -7,7 +7,7 @@
 
 use linnet_quarantine::RequestKey;
 use linnet_telemetry::EventCode;
-use linnet_wire::{MessageForm, PeerReader, PeerWriter, WireError};
+use linnet_wire::{MessageVersion, PeerReader, PeerWriter, WireError};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
@@ -40,7 +40,7 @@
 ) -> Result<(), WireError> {
     let (replies, queue) = mpsc::unbounded_channel();
     let peer = reader.peer().to_owned();
-    let (version_sender, version) = watch::channel(reader.form());
+    let (version_sender, version) = watch::channel(reader.message_version());
     let session = PieceSession::new(gateway, replies.clone());
     let work = session.work.clone();
     tokio::select! {
@@ -52,15 +52,15 @@
 
 async fn receive_requests(
     mut session: PieceSession,
-    version_sender: watch::Sender<Option<MessageForm>>,
+    version_sender: watch::Sender<Option<MessageVersion>>,
     reader: PeerReader,
 ) -> Result<(), WireError> {
     let mut reader = reader;
     loop {
-        reader = reader.with_silence_limit(session.work.silence_timeout());
-        let known_version = reader.form();
-        let request = reader.receive_formed::<_, PieceRequestV1>().await?;
-        if let (None, Some(version)) = (known_version, reader.form()) {
+        reader = reader.with_silence_timeout(session.work.silence_timeout());
+        let known_version = reader.message_version();
+        let request = reader.receive_versioned::<_, PieceRequestV1>().await?;
+        if let (None, Some(version)) = (known_version, reader.message_version()) {
             session.record_peer_version(reader.peer(), version);
             version_sender.send_replace(Some(version));
         }
@@ -128,7 +128,7 @@
     }
 
     /// Records the message version of a host that did not announce one.
-    fn record_peer_version(&self, peer: &str, version: MessageForm) {
+    fn record_peer_version(&self, peer: &str, version: MessageVersion) {
         let detail = format!("peer={peer} form={version}");
         self.gateway.record_event(EventCode::PeerEarlier, &detail);
     }
@@ -340,7 +340,7 @@
 async fn send_replies(
     gateway: &Gateway,
     work: &SessionWork,
-    mut version: watch::Receiver<Option<MessageForm>>,
+    mut version: watch::Receiver<Option<MessageVersion>>,
     mut queue: mpsc::UnboundedReceiver<PieceReply>,
     mut writer: PeerWriter,
 ) -> Result<(), WireError> {
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_directory::EntryHostRecord;
-use linnet_wire::{MessageForm, PeerIdentity};
+use linnet_wire::{MessageVersion, PeerIdentity};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::coordinator::{CallDelegate, Coordinator};
@@ -441,7 +441,7 @@
         ntex::rt::spawn(run_link(self.clone(), address, queue));
         Link {
             state: LinkState::Opening(Instant::now()),
-            message_version: MessageForm::NEWEST,
+            message_version: MessageVersion::NEWEST,
             last_received: Instant::now(),
             last_used: Instant::now(),
             remote_holds: 0,
@@ -460,7 +460,7 @@
     }
 
     /// Records that a connection is up, and the message version of the peer.
-    fn mark_link_up(&self, address: SocketAddr, version: MessageForm) {
+    fn mark_link_up(&self, address: SocketAddr, version: MessageVersion) {
         if let Some(link) = self.state.borrow_mut().links.get_mut(&address) {
             link.message_version = version;
         }
@@ -468,7 +468,7 @@
     }
 
     /// Returns whether a host supports a message version. Without a connection to it the newest is assumed.
-    fn supports(&self, address: SocketAddr, version: MessageForm) -> bool {
+    fn supports(&self, address: SocketAddr, version: MessageVersion) -> bool {
         let state = self.state.borrow();
         let link = state.links.get(&address);
         link.is_none_or(|link| link.message_version >= version)
--- a/crates/gateway/src/stage_client/link.rs
+++ b/crates/gateway/src/stage_client/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use linnet_telemetry::EventCode;
-use linnet_wire::{MessageForm, PeerGreeting, PeerReader, PeerWriter, WireError, connect_peer};
+use linnet_wire::{MessageVersion, PeerGreeting, PeerReader, PeerWriter, WireError, connect_peer};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
@@ -56,9 +56,9 @@
         return Ok(LinkEnd::Lost);
     };
     let (reader, mut writer) = connected?;
-    let mut reader = reader.with_silence_limit(IDLE_SILENCE_TIMEOUT);
+    let mut reader = reader.with_silence_timeout(IDLE_SILENCE_TIMEOUT);
     writer.send(&PeerGreeting::Pieces).await?;
-    let version = match reader.form() {
+    let version = match reader.message_version() {
         Some(version) => version,
         None => detect_message_version(client, address, &mut reader).await?,
     };
@@ -75,10 +75,10 @@
     client: &StageClient,
     address: SocketAddr,
     reader: &mut PeerReader,
-) -> Result<MessageForm, WireError> {
+) -> Result<MessageVersion, WireError> {
     loop {
         receive_reply(client, address, reader).await?;
-        if let Some(version) = reader.form() {
+        if let Some(version) = reader.message_version() {
             let detail = format!("peer={} form={version}", reader.peer());
             let recorder = &client.coordinator.recorder;
             recorder.record(EventCode::PeerEarlier, &address.to_string(), detail);
@@ -102,7 +102,7 @@
     address: SocketAddr,
     reader: &mut PeerReader,
 ) -> Result<(), WireError> {
-    let reply = reader.receive_formed::<_, PieceReplyV1>().await?;
+    let reply = reader.receive_versioned::<_, PieceReplyV1>().await?;
     client.record_received(address);
     match reply {
         PieceReply::BatchDone { number, results } => {
@@ -131,7 +131,7 @@
 async fn send_queued(
     client: &StageClient,
     address: SocketAddr,
-    version: MessageForm,
+    version: MessageVersion,
     queue: &mut mpsc::UnboundedReceiver<PieceRequest>,
     mut writer: PeerWriter,
 ) -> Result<LinkEnd, WireError> {
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::sync::{mpsc, oneshot};
 
 use super::{PieceResults, SILENCE_TIMEOUT};
@@ -28,7 +28,7 @@
 pub(super) struct Link {
     pub(super) state: LinkState,
     /// The message version that the peer used last; the newest until it has announced one.
-    pub(super) message_version: MessageForm,
+    pub(super) message_version: MessageVersion,
     /// The time of the last message from the peer, or of the first pending request if that is later.
     pub(super) last_received: Instant,
     /// The time of the last message to the peer other than a heartbeat.
--- a/crates/gateway/src/stage_client/run_permit.rs
+++ b/crates/gateway/src/stage_client/run_permit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -35,7 +35,7 @@
         ranked.sort_by_key(|candidate| Reverse(*candidate));
         let is_usable = |address: &Option<SocketAddr>| {
             address.is_none_or(|address| {
-                self.connect_or_check(address) && self.supports(address, MessageForm::Second)
+                self.connect_or_check(address) && self.supports(address, MessageVersion::V2)
             })
         };
         ranked
--- a/crates/gateway/src/stage_client/send_permit.rs
+++ b/crates/gateway/src/stage_client/send_permit.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use linnet_wire::MessageForm;
+use linnet_wire::MessageVersion;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -56,7 +56,7 @@
         // Hosts with an older message version issue no send permits.
         let issues_permits = |address: &Option<SocketAddr>| {
             let link = address.and_then(|address| state.links.get(&address));
-            link.is_none_or(|link| link.message_version >= MessageForm::Fourth)
+            link.is_none_or(|link| link.message_version >= MessageVersion::V4)
         };
         known.retain(|(.., address)| issues_permits(address));
         if known.iter().any(|(host_hall, ..)| *host_hall == hall) {
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -98,7 +98,7 @@
 fn link(state: LinkState, last_received: Instant) -> Link {
     Link {
         state,
-        message_version: MessageForm::NEWEST,
+        message_version: MessageVersion::NEWEST,
         last_received,
         last_used: last_received,
         remote_holds: 0,
--- a/crates/gateway/src/target_restriction.rs
+++ b/crates/gateway/src/target_restriction.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use linnet_clock::BootInstant;
-use linnet_telemetry::{NoticeLine, NoticeStanding};
+use linnet_telemetry::{NoticeLine, NoticeState};
 
 /// Random extension of a back-off, as a fraction of its duration and as an upper bound, so that
 /// hosts which were refused at the same time do not return at the same time.
@@ -180,16 +180,16 @@
     pub(crate) fn line(&self, target: &str, now: BootInstant) -> NoticeLine {
         let (standing, left) = match self.availability(now) {
             TargetAvailability::Open | TargetAvailability::RateLimited(_) => {
-                (NoticeStanding::Reopening, Duration::ZERO)
+                (NoticeState::Reopening, Duration::ZERO)
             }
-            TargetAvailability::BackedOff(left) => (NoticeStanding::BackedOff, left),
-            TargetAvailability::Leaving => (NoticeStanding::Leaving, Duration::ZERO),
+            TargetAvailability::BackedOff(left) => (NoticeState::BackedOff, left),
+            TargetAvailability::Leaving => (NoticeState::Leaving, Duration::ZERO),
         };
         NoticeLine {
             target: target.to_owned(),
             service: self.service.clone(),
-            standing,
-            left_ms: left.as_millis() as u64,
+            state: standing,
+            remaining_ms: left.as_millis() as u64,
             withheld: self.back_off.map_or(0, |one| one.withheld),
             per_second: None,
             sent: 0,
--- a/crates/quorum/src/propose.rs
+++ b/crates/quorum/src/propose.rs
@@ -117,7 +117,7 @@
     /// it: a newer leader may have replaced it in the meantime.
     pub(crate) async fn wait_until_synced(
         &self,
-        ticket: Option<linnet_journal::JournalTicket>,
+        ticket: Option<linnet_journal::CommitReceiver>,
         position: LogPosition,
     ) -> Result<(), String> {
         let outcome = match ticket {
--- a/crates/quorum/src/replica.rs
+++ b/crates/quorum/src/replica.rs
@@ -148,7 +148,7 @@
         let (journal, recovered) = Journal::open(&folder, config.disk)?;
         let torn_bytes = recovered.torn_bytes;
         let stored = restore_state(recovered)?;
-        let mark = folder.mark();
+        let mark = folder.metadata();
         let mut state = ReplicaState::new(NodeId(mark.identity), mark.cluster, &config.timing);
         let mut machine = AppliedStateMachine {
             hooks,
@@ -283,7 +283,7 @@
 
     /// Returns the status of the replica.
     pub fn status(&self) -> ReplicaStatus {
-        let incarnation = self.shared.lock_folder().mark().incarnation;
+        let incarnation = self.shared.lock_folder().metadata().incarnation;
         let state = self.shared.lock();
         ReplicaStatus {
             id: state.own_id,
@@ -354,7 +354,7 @@
         cluster: u64,
     ) -> Result<(), String> {
         if state.cluster != Some(cluster) {
-            let joined = self.lock_folder().join_cluster(cluster);
+            let joined = self.lock_folder().set_cluster(cluster);
             joined.map_err(|error| error.to_string())?;
             state.cluster = Some(cluster);
         }
--- a/crates/quorum/src/state.rs
+++ b/crates/quorum/src/state.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use linnet_clock::BootInstant;
-use linnet_journal::{JournalTicket, JournalWriter};
+use linnet_journal::{CommitReceiver, JournalWriter};
 use tokio::sync::oneshot;
 
 use crate::log::ReplicaLog;
@@ -103,7 +103,7 @@
     }
 
     /// Passes pending records to the journal; the ticket resolves once they are synced.
-    pub(crate) fn flush(&mut self, writer: &JournalWriter) -> Option<JournalTicket> {
+    pub(crate) fn flush(&mut self, writer: &JournalWriter) -> Option<CommitReceiver> {
         if self.ballot_unsaved {
             self.ballot_unsaved = false;
             let ballot = StoredRecord::Ballot {
