--- a/crates/control/src/ops.rs
+++ b/crates/control/src/ops.rs
@@ -245,11 +245,7 @@
         Err(refused) => return refused,
     };
     let FormClusterRequest { cluster, founders } = cluster_request;
-    match context
-        .replica
-        .form_cluster(cluster, founders)
-        .await
-    {
+    match context.replica.form_cluster(cluster, founders).await {
         Ok(()) => json_response(200, &serde_json::json!({ "result": "formed" })),
         Err(error @ FormError::Disk(_)) => {
             json_response(503, &error_body("disk", error.to_string()))
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -372,7 +372,8 @@
 ) -> Result<DirectoryUpdate, WireError> {
     let known = reader.message_version();
     let (update, tail, rate_limits) = reader
-        .receive_with_tails::<DirectoryUpdate, DirectoryUpdateV1, UpdateTail, Vec<RateObservation>>()
+        .receive_with_tails::<DirectoryUpdate, DirectoryUpdateV1, UpdateTail, Vec<RateObservation>>(
+        )
         .await?;
     let update = update.with_tails(tail, rate_limits);
     if let (None, Some(message_version)) = (known, reader.message_version()) {
