--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -15,10 +15,10 @@
 use crate::{CtlError, CtlSettings, CtlStep};
 
 /// The largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 128 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 128 * 1024 * 1024;
 
 /// Wait before the leader is looked for again.
-const LEADER_WAIT: Duration = Duration::from_millis(150);
+const LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// A client with the operator's key.
 pub(crate) struct OpsClient {
@@ -29,7 +29,7 @@
 }
 
 /// An answer with its status.
-pub(crate) struct OpsAnswer {
+pub(crate) struct OpsResponse {
     pub(crate) status: u16,
     pub(crate) version: Option<u64>,
     pub(crate) body: Bytes,
@@ -42,7 +42,7 @@
             .disable_timeout()
             .build(SharedCfg::new("linnetctl"))
             .await
-            .map_err(|error| CtlError::refused(CtlStep::Ask, "", error.to_string()))?;
+            .map_err(|error| CtlError::failed(CtlStep::Request, "", error.to_string()))?;
         Ok(Self {
             http,
             control: settings.control.clone(),
@@ -52,23 +52,24 @@
     }
 
     /// Returns the control hosts that were named.
-    pub(crate) fn control(&self) -> Result<&[SocketAddr], CtlError> {
+    pub(crate) fn control_hosts(&self) -> Result<&[SocketAddr], CtlError> {
         if self.control.is_empty() {
             let message = "no control host is named; use --control or LINNET_CONTROL_OPS";
-            return Err(CtlError::refused(CtlStep::Ask, "", message));
+            return Err(CtlError::failed(CtlStep::Request, "", message));
         }
         Ok(&self.control)
     }
 
     /// Asks one host.
-    pub(crate) async fn ask(
+    pub(crate) async fn send(
         &self,
         host: SocketAddr,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<OpsAnswer, CtlError> {
-        let failed = |message: String| CtlError::refused(CtlStep::Ask, host.to_string(), message);
+    ) -> Result<OpsResponse, CtlError> {
+        let failed =
+            |message: String| CtlError::failed(CtlStep::Request, host.to_string(), message);
         let request = self
             .http
             .request(method, format!("http://{host}{path}"))
@@ -80,7 +81,7 @@
                 .send_body(body)
                 .await
                 .map_err(|error| failed(error.to_string()))?;
-            read_answer(response).await.map_err(failed)
+            read_response(response).await.map_err(failed)
         };
         match tokio::time::timeout(self.timeout, work).await {
             Ok(answer) => answer,
@@ -93,17 +94,17 @@
     /// # Errors
     ///
     /// [`CtlStep::Apply`] with what the host says, where it does not do it.
-    pub(crate) async fn order(
+    pub(crate) async fn execute(
         &self,
         host: SocketAddr,
         method: Method,
         path: &str,
         body: Bytes,
     ) -> Result<(), CtlError> {
-        let answer = self.ask(host, method, path, body).await?;
+        let answer = self.send(host, method, path, body).await?;
         if answer.status != 200 {
             let peer = host.to_string();
-            return Err(CtlError::refused(CtlStep::Apply, peer, error_text(&answer)));
+            return Err(CtlError::failed(CtlStep::Apply, peer, error_text(&answer)));
         }
         Ok(())
     }
@@ -114,16 +115,16 @@
         host: SocketAddr,
         path: &str,
     ) -> Result<T, CtlError> {
-        let answer = self.ask(host, Method::GET, path, Bytes::new()).await?;
+        let answer = self.send(host, Method::GET, path, Bytes::new()).await?;
         parse_ok(host, &answer)
     }
 
     /// Returns the status of every control host, or why it could not be had.
-    pub(crate) async fn all_status(
+    pub(crate) async fn all_statuses(
         &self,
     ) -> Result<Vec<(SocketAddr, Result<ControlStatus, CtlError>)>, CtlError> {
         let mut all = Vec::new();
-        for host in self.control()? {
+        for host in self.control_hosts()? {
             all.push((*host, self.get(*host, "/v1/status").await));
         }
         Ok(all)
@@ -133,15 +134,15 @@
     ///
     /// A connection lost after the request was sent leaves the outcome open; the caller decides
     /// whether sending it again is safe.
-    pub(crate) async fn ask_leader<T: Serialize>(
+    pub(crate) async fn send_to_leader<T: Serialize>(
         &self,
         method: Method,
         path: &str,
         body: Option<&T>,
-    ) -> Result<OpsAnswer, CtlError> {
+    ) -> Result<OpsResponse, CtlError> {
         let bytes = match body {
             Some(body) => serde_json::to_vec(body)
-                .map_err(|error| CtlError::refused(CtlStep::Ask, "", error.to_string()))?,
+                .map_err(|error| CtlError::failed(CtlStep::Request, "", error.to_string()))?,
             None => Vec::new(),
         };
         let bytes = Bytes::from(bytes);
@@ -149,13 +150,13 @@
         let mut hint: Option<SocketAddr> = None;
         let mut turn = 0;
         loop {
-            let control = self.control()?;
+            let control = self.control_hosts()?;
             let host = hint.take().unwrap_or(control[turn % control.len()]);
             turn += 1;
-            let failure = match self.ask(host, method.clone(), path, bytes.clone()).await {
+            let failure = match self.send(host, method.clone(), path, bytes.clone()).await {
                 Ok(answer) if answer.status == 421 => {
                     hint = leader_hint(&answer);
-                    CtlError::refused(CtlStep::Ask, host.to_string(), "no host leads")
+                    CtlError::failed(CtlStep::Request, host.to_string(), "no host leads")
                 }
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
@@ -164,13 +165,13 @@
                 return Err(failure);
             }
             if hint.is_none() {
-                sleep(LEADER_WAIT).await;
+                sleep(LEADER_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-fn leader_hint(answer: &OpsAnswer) -> Option<SocketAddr> {
+fn leader_hint(answer: &OpsResponse) -> Option<SocketAddr> {
     match serde_json::from_slice(&answer.body) {
         Ok(ChangeReply::NotLeader { leader }) => leader.map(|leader| leader.ops),
         _ => None,
@@ -180,9 +181,9 @@
 /// Parses the body of an answer that must be a success.
 pub(crate) fn parse_ok<T: DeserializeOwned>(
     host: SocketAddr,
-    answer: &OpsAnswer,
+    answer: &OpsResponse,
 ) -> Result<T, CtlError> {
-    let refused = |message: String| CtlError::refused(CtlStep::Ask, host.to_string(), message);
+    let refused = |message: String| CtlError::failed(CtlStep::Request, host.to_string(), message);
     if answer.status != 200 {
         return Err(refused(error_text(answer)));
     }
@@ -190,7 +191,7 @@
 }
 
 /// Returns what an answer that is no success says.
-pub(crate) fn error_text(answer: &OpsAnswer) -> String {
+pub(crate) fn error_text(answer: &OpsResponse) -> String {
     let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let message = body.get("message").and_then(|message| message.as_str());
     match message {
@@ -199,15 +200,15 @@
     }
 }
 
-async fn read_answer(response: ClientResponse) -> Result<OpsAnswer, String> {
+async fn read_response(response: ClientResponse) -> Result<OpsResponse, String> {
     let version = response
         .headers()
         .get("x-table-version")
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
     let status = response.status().as_u16();
-    let body = response.body().limit(MAX_ANSWER_BYTES).await;
-    Ok(OpsAnswer {
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await;
+    Ok(OpsResponse {
         status,
         version,
         body: body.map_err(|error| error.to_string())?,
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -13,7 +13,7 @@
     Check,
     /// Asking a host.
     #[display("ask")]
-    Ask,
+    Request,
     /// Applying a change.
     #[display("apply")]
     Apply,
@@ -27,7 +27,7 @@
 pub enum CtlError {
     /// Something was refused, or is wrong.
     #[display("{step} {peer}: {message}")]
-    Refused {
+    Failed {
         /// The step.
         step: CtlStep,
         /// The host or file.
@@ -47,8 +47,8 @@
 
 impl CtlError {
     /// Creates a refusal.
-    pub fn refused(step: CtlStep, peer: impl Into<String>, message: impl Into<String>) -> Self {
-        CtlError::Refused {
+    pub fn failed(step: CtlStep, peer: impl Into<String>, message: impl Into<String>) -> Self {
+        CtlError::Failed {
             step,
             peer: peer.into(),
             message: message.into(),
@@ -58,7 +58,7 @@
     /// Returns the exit status of the command.
     pub fn exit_status(&self) -> u8 {
         match self {
-            CtlError::Refused { .. } => 1,
+            CtlError::Failed { .. } => 1,
             CtlError::Unknown { .. } => 3,
         }
     }
--- a/crates/ctl/src/form.rs
+++ b/crates/ctl/src/form.rs
@@ -14,25 +14,25 @@
 /// on with the cluster that was begun.
 pub(crate) async fn form_cluster(client: &OpsClient) -> Result<(), CtlError> {
     let mut found: Vec<(SocketAddr, ControlStatus)> = Vec::new();
-    for (host, status) in client.all_status().await? {
+    for (host, status) in client.all_statuses().await? {
         found.push((host, status?));
     }
     let begun = found
         .iter()
         .find(|(_, status)| status.replica.cluster.is_some());
     let request = match begun {
-        Some((host, status)) => begun_cluster(*host, status, &found)?,
+        Some((host, status)) => resume_cluster(*host, status, &found)?,
         None => new_cluster(&found)?,
     };
     let body = serde_json::to_vec(&request)
-        .map_err(|error| CtlError::refused(CtlStep::Apply, "", error.to_string()))?;
+        .map_err(|error| CtlError::failed(CtlStep::Apply, "", error.to_string()))?;
     for (host, status) in &found {
         let answer = client
-            .ask(*host, Method::POST, "/v1/form", Bytes::from(body.clone()))
+            .send(*host, Method::POST, "/v1/form", Bytes::from(body.clone()))
             .await?;
         if answer.status != 200 {
             let message = error_text(&answer);
-            return Err(CtlError::refused(
+            return Err(CtlError::failed(
                 CtlStep::Apply,
                 status.name.clone(),
                 message,
@@ -49,7 +49,7 @@
 
 fn new_cluster(found: &[(SocketAddr, ControlStatus)]) -> Result<FormRequest, CtlError> {
     let cluster = getrandom::u64()
-        .map_err(|error| CtlError::refused(CtlStep::Apply, "", error.to_string()))?;
+        .map_err(|error| CtlError::failed(CtlStep::Apply, "", error.to_string()))?;
     let voters = found.iter().map(|(_, status)| member_of(status));
     Ok(FormRequest {
         cluster,
@@ -62,7 +62,7 @@
 
 // Only identities that were named at the beginning may be formed: a host whose disk was wiped
 // since then has another one, and must be repaired instead.
-fn begun_cluster(
+fn resume_cluster(
     host: SocketAddr,
     begun: &ControlStatus,
     found: &[(SocketAddr, ControlStatus)],
@@ -76,7 +76,7 @@
             "{} is no founder of the cluster that was begun here; see `linnetctl member repair`",
             stranger.name
         );
-        return Err(CtlError::refused(CtlStep::Check, host.to_string(), message));
+        return Err(CtlError::failed(CtlStep::Check, host.to_string(), message));
     }
     Ok(FormRequest {
         cluster: begun.replica.cluster.unwrap_or_default(),
--- a/crates/ctl/src/held.rs
+++ b/crates/ctl/src/held.rs
@@ -13,7 +13,7 @@
 /// Runs a command on held requests. Every control host knows the same, so the first that answers is asked.
 pub(crate) async fn run_held(client: &OpsClient, command: HeldCommand) -> Result<(), CtlError> {
     let mut failure = None;
-    for host in client.control()? {
+    for host in client.control_hosts()? {
         let outcome = match &command {
             HeldCommand::List => list_held(client, *host).await,
             HeldCommand::Release { key } => release_held(client, *host, key).await,
@@ -23,7 +23,8 @@
             Err(error) => failure = Some(error),
         }
     }
-    Err(failure.unwrap_or_else(|| CtlError::refused(CtlStep::Ask, "", "no control host answers")))
+    Err(failure
+        .unwrap_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers")))
 }
 
 async fn list_held(client: &OpsClient, host: SocketAddr) -> Result<(), CtlError> {
@@ -47,7 +48,7 @@
 async fn release_held(client: &OpsClient, host: SocketAddr, key: &str) -> Result<(), CtlError> {
     let path = format!("{HELD_PATH}/{key}");
     client
-        .order(host, Method::DELETE, &path, Bytes::new())
+        .execute(host, Method::DELETE, &path, Bytes::new())
         .await?;
     println!("released; every host lets it run again");
     Ok(())
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -12,12 +12,12 @@
 mod logs;
 mod member;
 mod notices;
-mod picture;
 mod rollout;
 mod settings;
 mod status;
 mod table;
 mod timeline;
+mod timeline_svg;
 
 pub use error::{CtlError, CtlStep};
 pub use settings::CtlSettings;
--- a/crates/ctl/src/logs.rs
+++ b/crates/ctl/src/logs.rs
@@ -25,20 +25,20 @@
 /// Prints what some logs tell of one request.
 pub(crate) fn explain(args: &ExplainArgs) -> Result<(), CtlError> {
     let lines = read_logs(&args.logs)?;
-    let story = explain_request(&lines, &args.request).ok_or_else(|| {
+    let history = explain_request(&lines, &args.request).ok_or_else(|| {
         let cause = format!("none of {} lines names it", lines.len());
-        CtlError::refused(CtlStep::Read, args.request.clone(), cause)
+        CtlError::failed(CtlStep::Read, args.request.clone(), cause)
     })?;
-    story.lines.iter().for_each(print_line);
-    if !story.target_lines.is_empty() {
+    history.lines.iter().for_each(print_line);
+    if !history.target_lines.is_empty() {
         println!("its targets before:");
-        story.target_lines.iter().for_each(print_line);
+        history.target_lines.iter().for_each(print_line);
     }
-    if !story.held_lines.is_empty() {
+    if !history.held_lines.is_empty() {
         println!("what was held against it:");
-        story.held_lines.iter().for_each(print_line);
+        history.held_lines.iter().for_each(print_line);
     }
-    println!("{}", story.verdict);
+    println!("{}", history.summary);
     Ok(())
 }
 
@@ -86,5 +86,5 @@
 }
 
 fn read_error(path: &Path, error: &io::Error) -> CtlError {
-    CtlError::refused(CtlStep::Read, path.display().to_string(), error.to_string())
+    CtlError::failed(CtlStep::Read, path.display().to_string(), error.to_string())
 }
--- a/crates/ctl/src/member.rs
+++ b/crates/ctl/src/member.rs
@@ -67,10 +67,10 @@
 
 async fn change(client: &OpsClient, change: MemberChange) -> Result<(), CtlError> {
     let answer = client
-        .ask_leader(Method::POST, "/v1/members", Some(&change))
+        .send_to_leader(Method::POST, "/v1/members", Some(&change))
         .await?;
     if answer.status != 200 {
-        return Err(CtlError::refused(CtlStep::Apply, "", error_text(&answer)));
+        return Err(CtlError::failed(CtlStep::Apply, "", error_text(&answer)));
     }
     println!("taken; a new member votes once it is caught up (see `linnetctl member list`)");
     Ok(())
@@ -78,7 +78,7 @@
 
 /// Returns the members as the host with the newest log knows them.
 async fn current_members(client: &OpsClient) -> Result<Members, CtlError> {
-    let all = client.all_status().await?;
+    let all = client.all_statuses().await?;
     let known = all.into_iter().filter_map(|(_, status)| status.ok());
     known
         .filter(|status| status.replica.cluster.is_some())
@@ -90,11 +90,11 @@
             )
         })
         .map(|status| status.replica.members)
-        .ok_or_else(|| CtlError::refused(CtlStep::Ask, "", "no control host answers"))
+        .ok_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers"))
 }
 
 fn find_by_name<'a>(members: &'a Members, name: &str) -> Result<&'a Member, CtlError> {
     let mut all = members.all();
     all.find(|member| member.name == name)
-        .ok_or_else(|| CtlError::refused(CtlStep::Check, name, "no member has this name"))
+        .ok_or_else(|| CtlError::failed(CtlStep::Check, name, "no member has this name"))
 }
--- a/crates/ctl/src/notices.rs
+++ b/crates/ctl/src/notices.rs
@@ -23,8 +23,8 @@
     if silent.is_empty() {
         return Ok(());
     }
-    Err(CtlError::refused(
-        CtlStep::Ask,
+    Err(CtlError::failed(
+        CtlStep::Request,
         silent.join(","),
         "no answer",
     ))
--- a/crates/ctl/src/rollout.rs
+++ b/crates/ctl/src/rollout.rs
@@ -7,29 +7,30 @@
 use ntex::util::Bytes;
 
 use crate::client::OpsClient;
-use crate::settings::RolloutVerb;
+use crate::settings::RolloutCommand;
 use crate::{CtlError, CtlStep};
 
 /// Runs a command on roll-outs at the first control host that does it.
-pub(crate) async fn run_rollout(client: &OpsClient, verb: RolloutVerb) -> Result<(), CtlError> {
+pub(crate) async fn run_rollout(client: &OpsClient, verb: RolloutCommand) -> Result<(), CtlError> {
     let mut failure = None;
-    for host in client.control()? {
+    for host in client.control_hosts()? {
         let outcome = match &verb {
-            RolloutVerb::Start {
+            RolloutCommand::Start {
                 service,
                 version,
                 seconds,
             } => start(client, *host, service, version, *seconds).await,
-            RolloutVerb::Status => show(client, *host, is_in_progress).await,
-            RolloutVerb::History => show(client, *host, |_| true).await,
-            RolloutVerb::Abort { service } => abort(client, *host, service).await,
+            RolloutCommand::Status => show(client, *host, is_in_progress).await,
+            RolloutCommand::History => show(client, *host, |_| true).await,
+            RolloutCommand::Abort { service } => abort(client, *host, service).await,
         };
         match outcome {
             Ok(()) => return Ok(()),
             Err(error) => failure = Some(error),
         }
     }
-    Err(failure.unwrap_or_else(|| CtlError::refused(CtlStep::Ask, "", "no control host answers")))
+    Err(failure
+        .unwrap_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers")))
 }
 
 fn is_in_progress(line: &RolloutLine) -> bool {
@@ -50,9 +51,9 @@
     };
     let peer = host.to_string();
     let body = serde_json::to_vec(&order)
-        .map_err(|error| CtlError::refused(CtlStep::Apply, peer, error.to_string()))?;
+        .map_err(|error| CtlError::failed(CtlStep::Apply, peer, error.to_string()))?;
     client
-        .order(host, Method::POST, ROLLOUTS_PATH, Bytes::from(body))
+        .execute(host, Method::POST, ROLLOUTS_PATH, Bytes::from(body))
         .await?;
     println!("under way; `linnetctl rollout status` shows how it goes");
     Ok(())
@@ -86,7 +87,7 @@
 async fn abort(client: &OpsClient, host: SocketAddr, service: &str) -> Result<(), CtlError> {
     let path = format!("{ROLLOUTS_PATH}/{service}");
     client
-        .order(host, Method::DELETE, &path, Bytes::new())
+        .execute(host, Method::DELETE, &path, Bytes::new())
         .await?;
     println!("ended; no request goes to the version any more");
     Ok(())
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -61,7 +61,7 @@
     Held(HeldCommand),
     /// Move the requests of a service to another version of its software
     #[command(subcommand)]
-    Rollout(RolloutVerb),
+    Rollout(RolloutCommand),
     /// Show what targets asked of entry hosts: no requests for a while, or no new work
     Notices(NoticesArgs),
     /// Count what became of requests in collected logs, with planned against real times
@@ -112,7 +112,7 @@
 
 /// Commands on roll-outs.
 #[derive(Debug, Clone, Subcommand)]
-pub(crate) enum RolloutVerb {
+pub(crate) enum RolloutCommand {
     /// Begin one; its targets have to be up, or come up within the time
     Start {
         /// The service
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -11,7 +11,7 @@
 
 /// Shows control hosts, entry hosts and how far each is.
 pub(crate) async fn show_status(client: &OpsClient, json: bool) -> Result<(), CtlError> {
-    let all = client.all_status().await?;
+    let all = client.all_statuses().await?;
     if json {
         let known: Vec<_> = all
             .into_iter()
@@ -67,7 +67,7 @@
 
 /// Returns the youngest report on each entry host, over all control hosts that answer.
 pub(crate) async fn newest_reports(client: &OpsClient) -> Result<Vec<HostReport>, CtlError> {
-    let all = client.all_status().await?;
+    let all = client.all_statuses().await?;
     Ok(newest_of(
         all.into_iter().filter_map(|(_, status)| status.ok()),
     ))
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -18,13 +18,13 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How often `--wait` looks.
-const WAIT_TICK: Duration = Duration::from_millis(50);
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A host that was not heard for so long cannot be reached, in milliseconds.
-const UNREACHABLE_MS: u64 = 5_000;
+const MAX_REPORT_AGE_MS: u64 = 5_000;
 
 /// Rows that are printed of a long difference or conflict.
-const MAX_SHOWN: usize = 200;
+const MAX_PRINTED_ROWS: usize = 200;
 
 /// Runs a command on the table.
 pub(crate) async fn run_table(client: &OpsClient, command: TableCommand) -> Result<(), CtlError> {
@@ -47,7 +47,7 @@
 
 async fn get_table(client: &OpsClient, stale: bool) -> Result<(), CtlError> {
     let (version, text) = if stale {
-        fetch_stale(client).await?
+        fetch_newest_copy(client).await?
     } else {
         fetch_text(client, "/v1/table").await?
     };
@@ -57,19 +57,21 @@
 }
 
 async fn fetch_text(client: &OpsClient, path: &str) -> Result<(u64, String), CtlError> {
-    let answer = client.ask_leader(Method::GET, path, None::<&()>).await?;
+    let answer = client
+        .send_to_leader(Method::GET, path, None::<&()>)
+        .await?;
     match (answer.status, answer.version) {
         (200, Some(version)) => Ok((version, String::from_utf8_lossy(&answer.body).into_owned())),
-        _ => Err(CtlError::refused(CtlStep::Ask, "", error_text(&answer))),
+        _ => Err(CtlError::failed(CtlStep::Request, "", error_text(&answer))),
     }
 }
 
 /// Returns the newest table that any reachable control host holds.
-async fn fetch_stale(client: &OpsClient) -> Result<(u64, String), CtlError> {
+async fn fetch_newest_copy(client: &OpsClient) -> Result<(u64, String), CtlError> {
     let mut newest: Option<(u64, String)> = None;
-    for host in client.control()? {
+    for host in client.control_hosts()? {
         let asked = client
-            .ask(*host, Method::GET, "/v1/table?stale=1", Default::default())
+            .send(*host, Method::GET, "/v1/table?stale=1", Default::default())
             .await;
         if let Ok(answer) = asked
             && let (200, Some(version)) = (answer.status, answer.version)
@@ -78,7 +80,7 @@
             newest = Some((version, String::from_utf8_lossy(&answer.body).into_owned()));
         }
     }
-    newest.ok_or_else(|| CtlError::refused(CtlStep::Ask, "", "no control host answers"))
+    newest.ok_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers"))
 }
 
 async fn fetch_table(client: &OpsClient, path: &str) -> Result<(u64, Vec<TableRow>), CtlError> {
@@ -90,7 +92,7 @@
 fn read_checked(file: &Path) -> Result<Vec<TableRow>, CtlError> {
     let shown = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|error| CtlError::refused(CtlStep::Read, &shown, error.to_string()))?;
+        .map_err(|error| CtlError::failed(CtlStep::Read, &shown, error.to_string()))?;
     let parsed = parse_csv(&text);
     let mut faults = parsed.faults.clone();
     for fault in verify_rows(&parsed.rows) {
@@ -102,7 +104,7 @@
     }
     print_faults(&faults);
     let message = format!("{} faults", faults.len());
-    Err(CtlError::refused(CtlStep::Check, shown, message))
+    Err(CtlError::failed(CtlStep::Check, shown, message))
 }
 
 fn print_faults(faults: &[RowFault]) {
@@ -117,10 +119,10 @@
         diff.upserts.len(),
         diff.deletes.len()
     );
-    for row in diff.upserts.iter().take(MAX_SHOWN) {
+    for row in diff.upserts.iter().take(MAX_PRINTED_ROWS) {
         println!("put {}", row.key());
     }
-    for key in diff.deletes.iter().take(MAX_SHOWN) {
+    for key in diff.deletes.iter().take(MAX_PRINTED_ROWS) {
         println!("delete {key}");
     }
 }
@@ -135,7 +137,7 @@
                 let message = format!(
                     "the table is at version {version}, not {base}; with --base-file and --rebase the change may still be taken"
                 );
-                return Err(CtlError::refused(CtlStep::Apply, "", message));
+                return Err(CtlError::failed(CtlStep::Apply, "", message));
             }
             (version, current)
         }
@@ -148,7 +150,7 @@
         return Ok(());
     }
     let change = TableChange {
-        change_key: args.key.clone().unwrap_or_else(fresh_key),
+        change_key: args.key.clone().unwrap_or_else(new_change_key),
         author: args.author.clone(),
         base_version,
         rebase: args.rebase,
@@ -163,7 +165,7 @@
     Ok(())
 }
 
-fn fresh_key() -> String {
+fn new_change_key() -> String {
     format!("{:032x}", fastrand::u128(..))
 }
 
@@ -174,15 +176,15 @@
         key: change.change_key.clone(),
     };
     let answer = client
-        .ask_leader(Method::POST, "/v1/changes", Some(change))
+        .send_to_leader(Method::POST, "/v1/changes", Some(change))
         .await
         .map_err(|_| unknown())?;
     let reply: ChangeReply = serde_json::from_slice(&answer.body)
-        .map_err(|_| CtlError::refused(CtlStep::Apply, "", error_text(&answer)))?;
+        .map_err(|_| CtlError::failed(CtlStep::Apply, "", error_text(&answer)))?;
     match reply {
         ChangeReply::Taken { version } => Ok(version),
         ChangeReply::Refused { refusal } => Err(show_refusal(refusal)),
-        ChangeReply::Busy { cause } => Err(CtlError::refused(CtlStep::Apply, "", cause)),
+        ChangeReply::Busy { cause } => Err(CtlError::failed(CtlStep::Apply, "", cause)),
         ChangeReply::Unknown | ChangeReply::NotLeader { .. } => Err(unknown()),
     }
 }
@@ -191,20 +193,20 @@
     match &refusal {
         ChangeRefusal::Faults(faults) => print_faults(faults),
         ChangeRefusal::Conflict(conflict) => {
-            for key in conflict.clashing.iter().take(MAX_SHOWN) {
+            for key in conflict.clashing.iter().take(MAX_PRINTED_ROWS) {
                 eprintln!("changed on both sides: {key}");
             }
         }
         ChangeRefusal::KeyReused(_) => {}
     }
-    CtlError::refused(CtlStep::Apply, "", refusal.to_string())
+    CtlError::failed(CtlStep::Apply, "", refusal.to_string())
 }
 
 /// Waits until a version is in force on every host that can be reached, and names the rest.
 async fn wait_in_force(client: &OpsClient, version: u64) -> Result<(), CtlError> {
     let until = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let (behind, unreachable) = hosts_behind(client, version).await?;
+        let (behind, unreachable) = outdated_hosts(client, version).await?;
         if behind.is_empty() {
             println!("in force on every host that can be reached");
             if !unreachable.is_empty() {
@@ -214,19 +216,19 @@
         }
         if Instant::now() >= until {
             let message = format!("not in force yet on {}", behind.join(", "));
-            return Err(CtlError::refused(CtlStep::Wait, "", message));
+            return Err(CtlError::failed(CtlStep::Wait, "", message));
         }
-        sleep(WAIT_TICK).await;
+        sleep(WAIT_POLL_INTERVAL).await;
     }
 }
 
-async fn hosts_behind(
+async fn outdated_hosts(
     client: &OpsClient,
     version: u64,
 ) -> Result<(Vec<String>, Vec<String>), CtlError> {
     let mut behind = Vec::new();
     let mut unreachable = Vec::new();
-    for (host, status) in client.all_status().await? {
+    for (host, status) in client.all_statuses().await? {
         match status {
             Ok(status) if status.table_version < version => behind.push(status.name),
             Ok(_) => {}
@@ -234,7 +236,7 @@
         }
     }
     for report in crate::status::newest_reports(client).await? {
-        if report.age_ms >= UNREACHABLE_MS {
+        if report.age_ms >= MAX_REPORT_AGE_MS {
             unreachable.push(report.name);
         } else if report.version < version {
             behind.push(report.name);
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -7,8 +7,8 @@
 use linnet_telemetry::{Event, format_event, merge_events};
 
 use crate::client::OpsClient;
-use crate::picture::draw_lanes;
 use crate::settings::TimelineArgs;
+use crate::timeline_svg::render_svg;
 use crate::{CtlError, CtlStep};
 
 /// Prints the events of all processes that can be reached, in causal order.
@@ -26,8 +26,8 @@
         events.retain(|event| event.host == *host);
     }
     if let Some(path) = &args.svg {
-        std::fs::write(path, draw_lanes(&events)).map_err(|error| {
-            CtlError::refused(CtlStep::Read, path.display().to_string(), error.to_string())
+        std::fs::write(path, render_svg(&events)).map_err(|error| {
+            CtlError::failed(CtlStep::Read, path.display().to_string(), error.to_string())
         })?;
     }
     if args.json {
@@ -60,7 +60,7 @@
     client: &OpsClient,
     args: &TimelineArgs,
 ) -> Result<BTreeSet<SocketAddr>, CtlError> {
-    let mut hosts: BTreeSet<SocketAddr> = client.control()?.iter().copied().collect();
+    let mut hosts: BTreeSet<SocketAddr> = client.control_hosts()?.iter().copied().collect();
     hosts.extend(&args.entries);
     let reports = crate::status::newest_reports(client).await?;
     hosts.extend(
--- a/crates/ctl/src/picture.rs
+++ b/crates/ctl/src/timeline_svg.rs
@@ -10,7 +10,7 @@
 const TOP: usize = 30;
 
 /// Returns an SVG of events that are in causal order. Marks carry their text as a tooltip.
-pub(crate) fn draw_lanes(events: &[Event]) -> String {
+pub(crate) fn render_svg(events: &[Event]) -> String {
     let mut hosts: Vec<&str> = events.iter().map(|event| event.host.as_str()).collect();
     hosts.sort_unstable();
     hosts.dedup();
--- a/crates/logbook/src/explain.rs
+++ b/crates/logbook/src/explain.rs
@@ -9,7 +9,7 @@
 
 /// What is known of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RequestStory {
+pub struct RequestHistory {
     /// The lines about it, in the order of their times.
     pub lines: Vec<LogLine>,
     /// What happened to targets that it was sent to, until its last line.
@@ -17,39 +17,39 @@
     /// What was held against it, also when it came under other ids and at other hosts, until its last line.
     pub held_lines: Vec<LogLine>,
     /// What decided its end, in a sentence.
-    pub verdict: String,
+    pub summary: String,
 }
 
 /// Gathers what was written of a request; nothing where no line names it.
-pub fn explain_request(all: &[LogLine], request: &str) -> Option<RequestStory> {
-    let named = all.iter().filter(|line| line.names(request));
+pub fn explain_request(all: &[LogLine], request: &str) -> Option<RequestHistory> {
+    let named = all.iter().filter(|line| line.concerns(request));
     let mut lines: Vec<LogLine> = named.cloned().collect();
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     let last = lines.last()?;
     let own = lines.iter().filter(|line| line.request.is_some());
     let targets: Vec<&str> = own.filter_map(|line| line.peer.as_deref()).collect();
-    let closed = lines.iter().find_map(closed_service);
+    let closed = lines.iter().find_map(unavailable_service);
     let mut target_lines: Vec<LogLine> = all
         .iter()
-        .filter(|line| tells_of_target(line) && line.time <= last.time)
+        .filter(|line| is_target_event(line) && line.time <= last.time)
         .filter(|line| {
             let peer = line.peer.as_deref();
             let sent_to = peer.is_some_and(|peer| targets.contains(&peer));
-            sent_to || closed.is_some_and(|closed| closes(line, closed))
+            sent_to || closed.is_some_and(|closed| explains_refusal(line, closed))
         })
-        .filter(|line| !line.names(request))
+        .filter(|line| !line.concerns(request))
         .cloned()
         .collect();
     target_lines.sort_by(|a, b| a.time.cmp(&b.time));
     let more = target_lines.len().saturating_sub(MAX_TARGET_LINES);
     target_lines.drain(..more);
     let held_lines = held_lines(all, &lines, &last.time);
-    let verdict = verdict_of(&lines);
-    Some(RequestStory {
+    let summary = summarize(&lines);
+    Some(RequestHistory {
         lines,
         target_lines,
         held_lines,
-        verdict,
+        summary,
     })
 }
 
@@ -82,27 +82,27 @@
 }
 
 /// What a refusal says of all targets of a service behind its name: they wanted nothing, or their rates were used up.
-const CLOSED_FOR: [&str; 2] = [" wants no requests", " names a rate"];
+const UNAVAILABLE_PHRASES: [&str; 2] = [" wants no requests", " names a rate"];
 
 /// Where a request was refused since all targets of a service wanted none.
 #[derive(Clone, Copy)]
-struct ClosedService<'a> {
+struct UnavailableService<'a> {
     host: &'a str,
     service: &'a str,
 }
 
-fn closed_service(line: &LogLine) -> Option<ClosedService<'_>> {
+fn unavailable_service(line: &LogLine) -> Option<UnavailableService<'_>> {
     let (_, told) = line.detail.split_once("every target of ")?;
-    let mut causes = CLOSED_FOR.iter();
+    let mut causes = UNAVAILABLE_PHRASES.iter();
     let (service, _) = causes.find_map(|cause| told.split_once(cause))?;
-    Some(ClosedService {
+    Some(UnavailableService {
         host: &line.host,
         service,
     })
 }
 
 /// Says whether a line tells that a target of a closed service wanted no requests of the host.
-fn closes(line: &LogLine, closed: ClosedService<'_>) -> bool {
+fn explains_refusal(line: &LogLine, closed: UnavailableService<'_>) -> bool {
     let asked = matches!(
         line.code,
         EventCode::TargetBackedOff | EventCode::TargetLeaving | EventCode::RateNamed
@@ -111,7 +111,7 @@
 }
 
 /// Says whether a line tells that a target failed, leaves or is silent.
-fn tells_of_target(line: &LogLine) -> bool {
+fn is_target_event(line: &LogLine) -> bool {
     matches!(
         line.code,
         EventCode::TargetEjected
@@ -128,7 +128,7 @@
     )
 }
 
-fn verdict_of(lines: &[LogLine]) -> String {
+fn summarize(lines: &[LogLine]) -> String {
     let mut ends = lines.iter().filter(|line| {
         matches!(
             line.code,
@@ -147,15 +147,15 @@
         EventCode::RequestFailed => "failed, it may have run",
         _ => "finished",
     };
-    format!("{what} at {}: {outcome}{}", end.host, times_of(lines))
+    format!("{what} at {}: {outcome}{}", end.host, describe_times(lines))
 }
 
 /// Returns the planned and the real time until the answer of a request began, where a line has both;
 /// lines of calls have times of their own.
-fn times_of(lines: &[LogLine]) -> String {
+fn describe_times(lines: &[LogLine]) -> String {
     let both = lines.iter().find_map(|line| {
-        let planned = line.milliseconds("planned_ms")?;
-        Some((planned, line.milliseconds("took_ms")?))
+        let planned = line.field_ms("planned_ms")?;
+        Some((planned, line.field_ms("took_ms")?))
     });
     both.map_or_else(String::new, |(planned, took)| {
         format!("; planned {planned} ms, took {took} ms")
--- a/crates/logbook/src/explain/tests.rs
+++ b/crates/logbook/src/explain/tests.rs
@@ -15,8 +15,8 @@
 
 #[test]
 fn a_failure_comes_with_its_stages_and_what_its_target_did_before() {
-    let story = explain_request(&lines(), "ab12").unwrap();
-    let codes: Vec<EventCode> = story.lines.iter().map(|line| line.code).collect();
+    let history = explain_request(&lines(), "ab12").unwrap();
+    let codes: Vec<EventCode> = history.lines.iter().map(|line| line.code).collect();
     assert_eq!(
         codes,
         [
@@ -25,25 +25,25 @@
             EventCode::RequestFailed
         ]
     );
-    let [target] = &story.target_lines[..] else {
-        panic!("{:?}", story.target_lines);
+    let [target] = &history.target_lines[..] else {
+        panic!("{:?}", history.target_lines);
     };
     assert_eq!(target.code, EventCode::TargetEjected);
     assert_eq!(
-        story.verdict,
+        history.summary,
         "failed, it may have run at edge-1: target_failed: reset; planned 500 ms, took 2400 ms"
     );
 }
 
 #[test]
 fn a_refusal_says_that_it_did_not_run() {
-    let story = explain_request(&lines(), "cd34").unwrap();
+    let history = explain_request(&lines(), "cd34").unwrap();
     assert!(
-        story
-            .verdict
+        history
+            .summary
             .starts_with("refused, it did not run at edge-1")
     );
-    assert!(story.target_lines.is_empty());
+    assert!(history.target_lines.is_empty());
 }
 
 /// A caller's next try has another id; the key tells why it was refused.
@@ -55,10 +55,10 @@
 2026-09-17T19:28:21.000Z WARN event=422 host=edge-3 RequestHeld: key=f00 account=a method=GET path=h/x ends=3
 2026-09-17T19:28:24.000Z WARN event=402 host=edge-1 request=a9 RequestRefused: took_ms=0 outcome=ends_targets: 3 targets ended while this request ran, the last one 3000 ms ago; key=f00";
     let lines = read_lines(LOG.as_bytes()).unwrap();
-    let story = explain_request(&lines, "a9").unwrap();
-    let held: Vec<EventCode> = story.held_lines.iter().map(|line| line.code).collect();
+    let history = explain_request(&lines, "a9").unwrap();
+    let held: Vec<EventCode> = history.held_lines.iter().map(|line| line.code).collect();
     assert_eq!(held, [EventCode::RequestAccused, EventCode::RequestHeld]);
-    assert!(story.verdict.contains("ends_targets: 3 targets ended"));
+    assert!(history.summary.contains("ends_targets: 3 targets ended"));
 }
 
 /// Such a request was sent to none of them.
@@ -71,8 +71,8 @@
 2026-09-17T19:28:20.500Z INFO event=502 host=edge-1 peer=i-4 TargetLeaving: service=s cause=said in an answer
 2026-09-17T19:28:21.000Z WARN event=402 host=edge-1 request=a9 RequestRefused: took_ms=0 outcome=overloaded: every target of s wants no requests, the first one for 1999 ms";
     let lines = read_lines(LOG.as_bytes()).unwrap();
-    let story = explain_request(&lines, "a9").unwrap();
-    let targets = story.target_lines.iter().map(|line| line.peer.as_deref());
+    let history = explain_request(&lines, "a9").unwrap();
+    let targets = history.target_lines.iter().map(|line| line.peer.as_deref());
     assert_eq!(targets.collect::<Vec<_>>(), [Some("i-1"), Some("i-4")]);
 }
 
@@ -83,15 +83,15 @@
 2026-09-17T19:28:20.000Z WARN event=509 host=edge-1 peer=i-2 RateNamed: service=t per_s=1 former=any sent=0 withheld=0 cause=answered
 2026-09-17T19:28:21.000Z WARN event=402 host=edge-1 request=a9 RequestRefused: took_ms=0 outcome=overloaded: every target of s names a rate that is used up, the first one for 700 ms";
     let lines = read_lines(LOG.as_bytes()).unwrap();
-    let story = explain_request(&lines, "a9").unwrap();
-    let targets = story.target_lines.iter().map(|line| line.peer.as_deref());
+    let history = explain_request(&lines, "a9").unwrap();
+    let targets = history.target_lines.iter().map(|line| line.peer.as_deref());
     assert_eq!(targets.collect::<Vec<_>>(), [Some("i-1")]);
-    assert!(story.verdict.contains("names a rate that is used up"));
+    assert!(history.summary.contains("names a rate that is used up"));
 }
 
 #[test]
 fn a_request_without_an_end_or_without_lines_is_told_so() {
-    let story = explain_request(&lines(), "zz").unwrap();
-    assert!(story.verdict.starts_with("no line tells its end"));
+    let history = explain_request(&lines(), "zz").unwrap();
+    assert!(history.summary.starts_with("no line tells its end"));
     assert_eq!(explain_request(&lines(), "unknown"), None);
 }
--- a/crates/logbook/src/lib.rs
+++ b/crates/logbook/src/lib.rs
@@ -8,6 +8,6 @@
 mod line;
 mod losses;
 
-pub use explain::{RequestStory, explain_request};
+pub use explain::{RequestHistory, explain_request};
 pub use line::{LogLine, read_lines};
 pub use losses::{LossGroup, LossRow, LossTable, Quantiles};
--- a/crates/logbook/src/line.rs
+++ b/crates/logbook/src/line.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns a field in milliseconds.
-    pub fn milliseconds(&self, name: &str) -> Option<u64> {
+    pub fn field_ms(&self, name: &str) -> Option<u64> {
         self.field(name)?.parse().ok()
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Says whether it is about a request.
-    pub fn names(&self, request: &str) -> bool {
+    pub fn concerns(&self, request: &str) -> bool {
         let own = self.request.as_deref() == Some(request);
         let among = |all: &str| all.split(',').any(|one| one == request);
         own || self.field("requests").is_some_and(among)
--- a/crates/logbook/src/line/tests.rs
+++ b/crates/logbook/src/line/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!((line.request.as_deref(), line.peer), (Some("ab12"), None));
     let line = LogLine::parse(REFUSED).unwrap();
     assert_eq!(line.field("rank"), Some("1.2"));
-    assert_eq!(line.milliseconds("planned_ms"), Some(900));
+    assert_eq!(line.field_ms("planned_ms"), Some(900));
     assert_eq!(line.outcome(), Some("overloaded"));
 }
 
@@ -45,7 +45,7 @@
     let call = "2026-09-17T19:28:22.010Z INFO event=701 host=edge-1 peer=i-1 StageCallFinished: \
         service=s pieces=3 sender=- requests=ab12,cd34";
     let line = LogLine::parse(call).unwrap();
-    assert!(line.names("cd34") && line.names("ab12") && !line.names("ab1"));
+    assert!(line.concerns("cd34") && line.concerns("ab12") && !line.concerns("ab1"));
 }
 
 #[test]
--- a/crates/logbook/src/losses.rs
+++ b/crates/logbook/src/losses.rs
@@ -89,10 +89,10 @@
 }
 
 impl RowTimes {
-    fn note(&mut self, line: &LogLine) {
-        self.planned.extend(line.milliseconds("planned_ms"));
-        self.stages.extend(line.milliseconds("stages_ms"));
-        self.took.extend(line.milliseconds("took_ms"));
+    fn record(&mut self, line: &LogLine) {
+        self.planned.extend(line.field_ms("planned_ms"));
+        self.stages.extend(line.field_ms("stages_ms"));
+        self.took.extend(line.field_ms("took_ms"));
     }
 }
 
@@ -122,7 +122,7 @@
                 EventCode::RequestFailed if outcome.starts_with("status") => row.answered += 1,
                 EventCode::RequestFinished => {
                     row.answered += 1;
-                    times.entry(key).or_default().note(line);
+                    times.entry(key).or_default().record(line);
                 }
                 EventCode::RequestRefused => {
                     *row.refused.entry(outcome.to_owned()).or_default() += 1
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -26,26 +26,26 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::held_door::answer_held;
-use crate::http_door::{DoorAnswer, DoorRequest, serve_door};
+use crate::held_api::handle_held_request;
+use crate::http_server::{HttpRequest, HttpResponse, serve_http};
 use crate::metrics_page::serve_metrics;
 use crate::peers::peer_identity;
 use crate::reload::{SettingsSource, reload_settings};
-use crate::rollout_door::answer_rollouts;
+use crate::rollout_api::handle_rollout_request;
 use crate::settings::NodeRole;
-use crate::{ControlAsk, ControlDialect, ControlFault, NodeDialect, NodeSettings};
+use crate::{ControlProtocol, ControlRequest, ControlRequestError, NodeProtocol, NodeSettings};
 
 /// The largest body that operators may send, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Between two heartbeats of the leading control host.
-const QUORUM_HEARTBEAT: Duration = Duration::from_millis(100);
+const QUORUM_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a member may be silent before it is taken out, where enough others are left.
-const LOST_MEMBER_SPAN: Duration = Duration::from_millis(2_500);
+const MEMBER_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How often the gauges are brought up to date.
-const GAUGE_PERIOD: Duration = Duration::from_secs(1);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 type AnyError = Box<dyn std::error::Error>;
 
@@ -53,7 +53,7 @@
 pub async fn run_control_node(
     path: PathBuf,
     overrides: Vec<String>,
-    dialect: NodeDialect,
+    protocol: NodeProtocol,
 ) -> ExitCode {
     let source = SettingsSource {
         path,
@@ -65,7 +65,7 @@
         Err(error) => return exit_code(Err(error.into())),
     };
     match NodeSettings::load(&source.path, &source.overrides, source.role) {
-        Ok(settings) => exit_code(serve(settings, source, dialect, signals).await),
+        Ok(settings) => exit_code(serve(settings, source, protocol, signals).await),
         Err(fault) => {
             eprintln!("{fault}");
             ExitCode::from(2)
@@ -76,7 +76,7 @@
 async fn serve(
     settings: NodeSettings,
     source: SettingsSource,
-    dialect: NodeDialect,
+    protocol: NodeProtocol,
     mut signals: StopSignals,
 ) -> Result<(), AnyError> {
     let clock = Arc::new(HybridClock::new());
@@ -97,8 +97,8 @@
         identity: identity.clone(),
         recorder: recorder.clone(),
         timing: QuorumTiming::new()
-            .with_heartbeat(QUORUM_HEARTBEAT)
-            .with_removal(LOST_MEMBER_SPAN),
+            .with_heartbeat(QUORUM_HEARTBEAT_INTERVAL)
+            .with_removal(MEMBER_SILENCE_TIMEOUT),
         disk: DiskOps::new(),
         on_fatal: Box::new(|error| {
             log::error!(target: "linnetdale", "{error}");
@@ -107,7 +107,7 @@
         }),
     };
     let replica = Replica::start(&data, machine.hooks(), config)?;
-    let read_config = dialect.control.read_config;
+    let read_config = protocol.control.read_config;
     let parser = DocumentParser {
         version: Arc::new(move |body| read_config(body).map(|config| config.version)),
         services: Arc::new(move |body| {
@@ -134,7 +134,7 @@
     ntex::rt::spawn(reload_settings(source, seeds, recorder.clone()));
 
     let serving = node.clone();
-    let serve_one = move |greeting, reader, writer| {
+    let serve_connection = move |greeting, reader, writer| {
         let node = serving.clone();
         async move {
             match greeting {
@@ -145,12 +145,12 @@
             }
         }
     };
-    let listener = TcpListener::bind(settings.listen.peers_at(peers)).await?;
+    let listener = TcpListener::bind(settings.listen.peer_bind_address(peers)).await?;
     ntex::rt::spawn(accept_peers(
         listener,
         identity.clone(),
         recorder.clone(),
-        serve_one,
+        serve_connection,
     ));
     let forming = FormConfig {
         first_start: settings.cluster.first_start,
@@ -167,13 +167,13 @@
     }
     let listener = TcpListener::bind(operators).await?;
     let answering = (
-        Rc::new(dialect.control),
+        Rc::new(protocol.control),
         node.clone(),
         Rc::new(settings.halls.clone()),
     );
-    ntex::rt::spawn(serve_door(listener, MAX_BODY_BYTES, move |request| {
-        let (dialect, node, halls) = answering.clone();
-        async move { answer(&dialect, &node, &halls, request).await }
+    ntex::rt::spawn(serve_http(listener, MAX_BODY_BYTES, move |request| {
+        let (protocol, node, halls) = answering.clone();
+        async move { answer(&protocol, &node, &halls, request).await }
     }));
     let detail = format!(
         "role=control hall={} peers={peers} operators={operators} build={} form={}",
@@ -223,69 +223,69 @@
 }
 
 async fn answer(
-    dialect: &ControlDialect,
+    protocol: &ControlProtocol,
     node: &DirectoryNode,
     halls: &BTreeMap<String, String>,
-    request: DoorRequest,
-) -> DoorAnswer {
-    if let Some(answer) = answer_held(node, &request) {
+    request: HttpRequest,
+) -> HttpResponse {
+    if let Some(answer) = handle_held_request(node, &request) {
         return answer;
     }
-    if let Some(answer) = answer_rollouts(node, &request).await {
+    if let Some(answer) = handle_rollout_request(node, &request).await {
         return answer;
     }
-    let ask = match (dialect.read)(&request.method, &request.path, &request.body) {
+    let ask = match (protocol.parse_request)(&request.method, &request.path, &request.body) {
         Ok(ask) => ask,
-        Err(fault) => return fault_answer(&fault),
+        Err(fault) => return request_error_response(&fault),
     };
-    match do_ask(dialect, node, halls, ask, &request).await {
+    match execute_request(protocol, node, halls, ask, &request).await {
         Ok(answer) => answer,
-        Err(error) => error_answer(&error),
+        Err(error) => error_response(&error),
     }
 }
 
-async fn do_ask(
-    dialect: &ControlDialect,
+async fn execute_request(
+    protocol: &ControlProtocol,
     node: &DirectoryNode,
     halls: &BTreeMap<String, String>,
-    ask: ControlAsk,
-    request: &DoorRequest,
-) -> Result<DoorAnswer, DirectoryError> {
+    ask: ControlRequest,
+    request: &HttpRequest,
+) -> Result<HttpResponse, DirectoryError> {
     match ask {
-        ControlAsk::PutRouting => node.put_document(request.body.to_vec()).await.map(|_| ())?,
-        ControlAsk::ReadRouting => return node.read_document().await.map(config_answer),
-        ControlAsk::Heartbeat(record) => node.receive_heartbeat(record).await?,
-        ControlAsk::Leave(id, born) => node.deregister_target(&id, born).await?,
-        ControlAsk::Evacuate(hall) => order_evacuation(node, halls, &hall, true).await?,
-        ControlAsk::EndEvacuation(hall) => order_evacuation(node, halls, &hall, false).await?,
-        ControlAsk::Rollout(order) => node.order_rollout(order).await.map(|_| ())?,
-        ControlAsk::ReadRollout(service) => {
+        ControlRequest::PutRouting => node.put_document(request.body.to_vec()).await.map(|_| ())?,
+        ControlRequest::ReadRouting => return node.read_document().await.map(config_response),
+        ControlRequest::Heartbeat(record) => node.receive_heartbeat(record).await?,
+        ControlRequest::Deregister(id, born) => node.deregister_target(&id, born).await?,
+        ControlRequest::Evacuate(hall) => order_evacuation(node, halls, &hall, true).await?,
+        ControlRequest::EndEvacuation(hall) => order_evacuation(node, halls, &hall, false).await?,
+        ControlRequest::StartRollout(order) => node.order_rollout(order).await.map(|_| ())?,
+        ControlRequest::ReadRollout(service) => {
             let record = node.read_rollout(&service).await?;
-            return Ok(rollout_answer(dialect, record));
+            return Ok(rollout_response(protocol, record));
         }
     }
-    Ok(DoorAnswer::json(StatusCode::OK, dialect.done_body))
+    Ok(HttpResponse::json(StatusCode::OK, protocol.success_body))
 }
 
-fn config_answer(document: Option<Document>) -> DoorAnswer {
+fn config_response(document: Option<Document>) -> HttpResponse {
     match document {
-        Some(document) => DoorAnswer::json(StatusCode::OK, document.body),
-        None => DoorAnswer::text(
+        Some(document) => HttpResponse::json(StatusCode::OK, document.body),
+        None => HttpResponse::text(
             StatusCode::NOT_FOUND,
             "no configuration was ever accepted\n",
         ),
     }
 }
 
-fn rollout_answer(dialect: &ControlDialect, record: Option<RolloutRecord>) -> DoorAnswer {
+fn rollout_response(protocol: &ControlProtocol, record: Option<RolloutRecord>) -> HttpResponse {
     match record {
-        Some(record) => DoorAnswer::json(StatusCode::OK, (dialect.write_rollout)(&record)),
-        None => DoorAnswer::text(StatusCode::NOT_FOUND, "no roll-out was ever ordered\n"),
+        Some(record) => HttpResponse::json(StatusCode::OK, (protocol.write_rollout)(&record)),
+        None => HttpResponse::text(StatusCode::NOT_FOUND, "no roll-out was ever ordered\n"),
     }
 }
 
 /// Returns the answer that tells an operator or a target why something was not done.
-pub(crate) fn error_answer(error: &DirectoryError) -> DoorAnswer {
+pub(crate) fn error_response(error: &DirectoryError) -> HttpResponse {
     let status = match error {
         DirectoryError::UnknownHall(_) | DirectoryError::UnknownService(_) => StatusCode::NOT_FOUND,
         DirectoryError::Invalid(_) | DirectoryError::InvalidOrder(_) => StatusCode::BAD_REQUEST,
@@ -294,7 +294,7 @@
         | DirectoryError::NotPropagated
         | DirectoryError::OutdatedControlHost => StatusCode::SERVICE_UNAVAILABLE,
     };
-    DoorAnswer::text(status, format!("{error}\n"))
+    HttpResponse::text(status, format!("{error}\n"))
 }
 
 async fn order_evacuation(
@@ -309,12 +309,12 @@
     node.order_evacuation(hall, evacuated).await
 }
 
-fn fault_answer(fault: &ControlFault) -> DoorAnswer {
+fn request_error_response(fault: &ControlRequestError) -> HttpResponse {
     let status = match fault {
-        ControlFault::NotFound => StatusCode::NOT_FOUND,
-        ControlFault::BadBody(_) => StatusCode::BAD_REQUEST,
+        ControlRequestError::NotFound => StatusCode::NOT_FOUND,
+        ControlRequestError::BadBody(_) => StatusCode::BAD_REQUEST,
     };
-    DoorAnswer::text(status, format!("{fault}\n"))
+    HttpResponse::text(status, format!("{fault}\n"))
 }
 
 async fn update_gauges(node: DirectoryNode, registry: Arc<Mutex<Registry>>) {
@@ -377,6 +377,6 @@
         for ((_, _, gauge), value) in gauges.iter().zip(values) {
             gauge.set(value);
         }
-        sleep(GAUGE_PERIOD).await;
+        sleep(GAUGE_INTERVAL).await;
     }
 }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -16,22 +16,22 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::http_door::{DoorAnswer, DoorRequest, serve_door};
+use crate::http_server::{HttpRequest, HttpResponse, serve_http};
 use crate::metrics_page::serve_metrics;
-use crate::notices_page::answer_notices;
+use crate::notices_page::notices_response;
 use crate::peers::peer_identity;
 use crate::reload::{SettingsSource, reload_settings};
 use crate::settings::NodeRole;
-use crate::{NodeDialect, NodeSettings};
+use crate::{NodeProtocol, NodeSettings};
 
 /// How often a planned stop looks whether anything is in flight.
-const STOP_TICK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time before the bound of a planned stop at which the process ends, whatever is in flight.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 
 /// Time before that at which requests in flight are given up, so that their answers get through.
-const LAST_ANSWERS: Duration = Duration::from_millis(500);
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(500);
 
 type AnyError = Box<dyn std::error::Error>;
 
@@ -39,7 +39,7 @@
 pub async fn run_entry_node(
     path: PathBuf,
     overrides: Vec<String>,
-    dialect: NodeDialect,
+    protocol: NodeProtocol,
 ) -> ExitCode {
     let source = SettingsSource {
         path,
@@ -51,7 +51,7 @@
         Err(error) => return exit_code(Err(error.into())),
     };
     match NodeSettings::load(&source.path, &source.overrides, source.role) {
-        Ok(settings) => exit_code(serve(settings, source, dialect, signals).await),
+        Ok(settings) => exit_code(serve(settings, source, protocol, signals).await),
         Err(fault) => {
             eprintln!("{fault}");
             ExitCode::from(2)
@@ -62,7 +62,7 @@
 async fn serve(
     settings: NodeSettings,
     source: SettingsSource,
-    dialect: NodeDialect,
+    protocol: NodeProtocol,
     mut signals: StopSignals,
 ) -> Result<(), AnyError> {
     let clock = Arc::new(HybridClock::new());
@@ -75,8 +75,8 @@
         .readiness
         .ok_or("listen.readiness: missing")?;
     let gateway = Gateway::new(GatewayConfig {
-        protocol: dialect.data.clone(),
-        read_config: Box::new(dialect.control.read_config),
+        protocol: protocol.data.clone(),
+        read_config: Box::new(protocol.control.read_config),
         identity: identity.clone(),
         recorder: recorder.clone(),
         name: settings.name.clone(),
@@ -93,7 +93,7 @@
     ntex::rt::spawn(reload_settings(source, seeds, recorder.clone()));
 
     let serving = gateway.clone();
-    let serve_one = move |greeting, reader, writer| {
+    let serve_connection = move |greeting, reader, writer| {
         let gateway = serving.clone();
         async move {
             match greeting {
@@ -102,12 +102,12 @@
             }
         }
     };
-    let listener = TcpListener::bind(settings.listen.peers_at(peers)).await?;
+    let listener = TcpListener::bind(settings.listen.peer_bind_address(peers)).await?;
     ntex::rt::spawn(accept_peers(
         listener,
         identity.clone(),
         recorder.clone(),
-        serve_one,
+        serve_connection,
     ));
     let (updated, lost) = (gateway.clone(), gateway.clone());
     let (holding, taking) = (gateway.clone(), gateway.clone());
@@ -133,13 +133,13 @@
     if let Some(metrics) = settings.listen.metrics {
         let listener = TcpListener::bind(metrics).await?;
         let (registry, asked) = (gateway.metrics.registry.clone(), gateway.clone());
-        let more = move |path: &str| (path == NOTICES_PATH).then(|| answer_notices(&asked));
+        let more = move |path: &str| (path == NOTICES_PATH).then(|| notices_response(&asked));
         ntex::rt::spawn(serve_metrics(listener, registry, Box::new(more)));
     }
     let listener = TcpListener::bind(readiness).await?;
-    let (asked, path) = (gateway.clone(), dialect.readiness_path);
-    ntex::rt::spawn(serve_door(listener, 0, move |request: DoorRequest| {
-        let answer = answer_readiness(&asked, path, &request);
+    let (asked, path) = (gateway.clone(), protocol.readiness_path);
+    ntex::rt::spawn(serve_http(listener, 0, move |request: HttpRequest| {
+        let answer = readiness_response(&asked, path, &request);
         async move { answer }
     }));
     let (closing, closed) = watch::channel(false);
@@ -163,13 +163,13 @@
     Ok(())
 }
 
-fn answer_readiness(gateway: &Gateway, path: &str, request: &DoorRequest) -> DoorAnswer {
+fn readiness_response(gateway: &Gateway, path: &str, request: &HttpRequest) -> HttpResponse {
     if request.path != path {
-        return DoorAnswer::text(StatusCode::NOT_FOUND, "nothing at this path\n");
+        return HttpResponse::text(StatusCode::NOT_FOUND, "nothing at this path\n");
     }
     match gateway.not_ready() {
-        None => DoorAnswer::text(StatusCode::OK, "ready\n"),
-        Some(reason) => DoorAnswer::text(
+        None => HttpResponse::text(StatusCode::OK, "ready\n"),
+        Some(reason) => HttpResponse::text(
             StatusCode::SERVICE_UNAVAILABLE,
             format!("not ready: {reason}\n"),
         ),
@@ -187,16 +187,16 @@
     let began = Instant::now();
     let leave = Duration::from_millis(settings.times.leave_ms);
     let bound = Duration::from_millis(settings.times.stop_ms).saturating_sub(STOP_MARGIN);
-    gateway.begin_stop(began + bound.saturating_sub(LAST_ANSWERS));
+    gateway.begin_stop(began + bound.saturating_sub(FINAL_RESPONSE_TIME));
     sleep(leave).await;
     closing.send_replace(true);
     // Connections that were accepted a moment ago still bring their request.
-    sleep(STOP_TICK * 4).await;
+    sleep(STOP_POLL_INTERVAL * 4).await;
     while gateway.open_requests() > 0 && began.elapsed() < bound {
-        sleep(STOP_TICK).await;
+        sleep(STOP_POLL_INTERVAL).await;
     }
     // The last answers are still being written.
-    sleep(STOP_TICK * 2).await;
+    sleep(STOP_POLL_INTERVAL * 2).await;
     let open = gateway.open_requests();
     let code = if open == 0 {
         EventCode::ProcessStopped
--- a/crates/node/src/held_door.rs
+++ b/crates/node/src/held_api.rs
@@ -4,34 +4,37 @@
 use linnet_directory::DirectoryNode;
 use linnet_quarantine::{HELD_PATH, HeldLine, RequestKey};
 
-use crate::http_door::{DoorAnswer, DoorRequest};
+use crate::http_server::{HttpRequest, HttpResponse};
 
 /// Answers a call on held requests; nothing for any other one.
-pub(crate) fn answer_held(node: &DirectoryNode, request: &DoorRequest) -> Option<DoorAnswer> {
+pub(crate) fn handle_held_request(
+    node: &DirectoryNode,
+    request: &HttpRequest,
+) -> Option<HttpResponse> {
     let key = request.path.strip_prefix(HELD_PATH)?;
     Some(match (key, &request.method) {
         ("", &Method::GET) => list_held(node),
         (key, &Method::DELETE) => release_held(node, key.trim_start_matches('/')),
-        _ => DoorAnswer::text(StatusCode::NOT_FOUND, "nothing at this path\n"),
+        _ => HttpResponse::text(StatusCode::NOT_FOUND, "nothing at this path\n"),
     })
 }
 
-fn list_held(node: &DirectoryNode) -> DoorAnswer {
+fn list_held(node: &DirectoryNode) -> HttpResponse {
     let lines: Vec<HeldLine> = node.suspects().into_iter().map(HeldLine::new).collect();
     match serde_json::to_vec(&lines) {
-        Ok(body) => DoorAnswer::json(StatusCode::OK, body),
-        Err(error) => DoorAnswer::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
+        Ok(body) => HttpResponse::json(StatusCode::OK, body),
+        Err(error) => HttpResponse::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
     }
 }
 
-fn release_held(node: &DirectoryNode, key: &str) -> DoorAnswer {
+fn release_held(node: &DirectoryNode, key: &str) -> HttpResponse {
     let Some(key) = RequestKey::parse(key) else {
-        return DoorAnswer::text(StatusCode::BAD_REQUEST, "this is no key of a request\n");
+        return HttpResponse::text(StatusCode::BAD_REQUEST, "this is no key of a request\n");
     };
     if node.release_suspect(key) {
-        DoorAnswer::json(StatusCode::OK, "{}")
+        HttpResponse::json(StatusCode::OK, "{}")
     } else {
-        DoorAnswer::text(
+        HttpResponse::text(
             StatusCode::NOT_FOUND,
             "nothing is held against this request\n",
         )
--- a/crates/node/src/http_door.rs
+++ b/crates/node/src/http_server.rs
@@ -21,20 +21,20 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A request with its whole body.
-pub(crate) struct DoorRequest {
+pub(crate) struct HttpRequest {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) body: Bytes,
 }
 
 /// A whole answer.
-pub(crate) struct DoorAnswer {
+pub(crate) struct HttpResponse {
     pub(crate) status: StatusCode,
     pub(crate) content_type: &'static str,
     pub(crate) body: Bytes,
 }
 
-impl DoorAnswer {
+impl HttpResponse {
     pub(crate) fn json(status: StatusCode, body: impl Into<Bytes>) -> Self {
         Self {
             status,
@@ -53,10 +53,10 @@
 }
 
 /// Serves a port until the process ends; bodies over `most` bytes are answered 413.
-pub(crate) async fn serve_door<F, A>(listener: TcpListener, most: usize, answer: F)
+pub(crate) async fn serve_http<F, A>(listener: TcpListener, most: usize, answer: F)
 where
-    F: Fn(DoorRequest) -> A + 'static,
-    A: Future<Output = DoorAnswer> + 'static,
+    F: Fn(HttpRequest) -> A + 'static,
+    A: Future<Output = HttpResponse> + 'static,
 {
     let answer = Rc::new(answer);
     loop {
@@ -72,8 +72,8 @@
 
 async fn serve_connection<F, A>(socket: TcpStream, most: usize, answer: Rc<F>)
 where
-    F: Fn(DoorRequest) -> A + 'static,
-    A: Future<Output = DoorAnswer> + 'static,
+    F: Fn(HttpRequest) -> A + 'static,
+    A: Future<Output = HttpResponse> + 'static,
 {
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
@@ -94,30 +94,35 @@
         .await;
 }
 
-async fn read_request(request: Request<Incoming>, most: usize) -> Result<DoorRequest, DoorAnswer> {
+async fn read_request(
+    request: Request<Incoming>,
+    most: usize,
+) -> Result<HttpRequest, HttpResponse> {
     let (head, body) = request.into_parts();
     match timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await {
-        Ok(Ok(body)) => Ok(DoorRequest {
+        Ok(Ok(body)) => Ok(HttpRequest {
             method: head.method,
             path: head.uri.path().to_owned(),
             body: body.to_bytes(),
         }),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(DoorAnswer::text(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            format!("body over {most} bytes\n"),
-        )),
-        Ok(Err(error)) => Err(DoorAnswer::text(
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+            Err(HttpResponse::text(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                format!("body over {most} bytes\n"),
+            ))
+        }
+        Ok(Err(error)) => Err(HttpResponse::text(
             StatusCode::BAD_REQUEST,
             format!("body cut short: {error}\n"),
         )),
-        Err(_) => Err(DoorAnswer::text(
+        Err(_) => Err(HttpResponse::text(
             StatusCode::REQUEST_TIMEOUT,
             "the body did not come in time\n",
         )),
     }
 }
 
-fn write_answer(given: DoorAnswer) -> Response<Full<Bytes>> {
+fn write_answer(given: HttpResponse) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::new(given.body));
     *answer.status_mut() = given.status;
     let content_type = http::HeaderValue::from_static(given.content_type);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -13,7 +13,7 @@
 
 /// The key that everybody knows. Messages are still checked against damage, but anybody who reaches
 /// the peer port may speak: the network has to keep others away from it.
-const OPEN_KEY: [u8; 32] = [0; 32];
+const WELL_KNOWN_KEY: [u8; 32] = [0; 32];
 
 /// Returns name, keys and clock of this process.
 pub(crate) fn peer_identity(
@@ -21,7 +21,7 @@
     clock: Arc<HybridClock>,
 ) -> Result<PeerIdentity, KeyError> {
     let keys = if settings.cluster.peer_keys == NO_KEYS {
-        PeerKeyRing::new(vec![PeerKey::new("open", OPEN_KEY)])
+        PeerKeyRing::new(vec![PeerKey::new("open", WELL_KNOWN_KEY)])
     } else {
         PeerKeyRing::load(Path::new(&settings.cluster.peer_keys))?
     };
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/protocol.rs
@@ -8,7 +8,7 @@
 
 /// What a caller of a control host asks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ControlAsk {
+pub enum ControlRequest {
     /// Take the body as the routing configuration.
     PutRouting,
     /// Answer the newest routing configuration.
@@ -16,20 +16,20 @@
     /// Take the heartbeat of a target.
     Heartbeat(TargetRecord),
     /// The target of this identity leaves: the start with this birth, or the newest.
-    Leave(String, Option<u64>),
+    Deregister(String, Option<u64>),
     /// Take a data hall out of work.
     Evacuate(String),
     /// Take a data hall back.
     EndEvacuation(String),
     /// Roll a version of a service out.
-    Rollout(RolloutOrder),
+    StartRollout(RolloutOrder),
     /// Answer how far the newest roll-out of a service is.
     ReadRollout(String),
 }
 
 /// Why a control host does not know what is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub enum ControlFault {
+pub enum ControlRequestError {
     /// There is nothing at this path.
     #[display("nothing at this path")]
     NotFound,
@@ -40,24 +40,25 @@
 
 /// How a control host is spoken to.
 #[derive(Debug, Clone)]
-pub struct ControlDialect {
+pub struct ControlProtocol {
     /// Reads method, path and body.
-    pub read: fn(&http::Method, &str, &[u8]) -> Result<ControlAsk, ControlFault>,
+    pub parse_request:
+        fn(&http::Method, &str, &[u8]) -> Result<ControlRequest, ControlRequestError>,
     /// Reads a routing configuration; the error tells every fault.
     pub read_config: fn(&[u8]) -> Result<RoutingConfig, String>,
     /// Writes how far a roll-out is.
     pub write_rollout: fn(&RolloutRecord) -> Vec<u8>,
     /// The answer to what was done.
-    pub done_body: &'static str,
+    pub success_body: &'static str,
 }
 
 /// How a node is spoken to.
 #[derive(Debug, Clone)]
-pub struct NodeDialect {
+pub struct NodeProtocol {
     /// Callers and targets.
     pub data: Protocol,
     /// Operators and heartbeats.
-    pub control: ControlDialect,
+    pub control: ControlProtocol,
     /// Path at which the load balancer asks whether the host is ready.
     pub readiness_path: &'static str,
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -14,7 +14,7 @@
 use crate::settings::NodeRole;
 
 /// How often the file is looked at.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Where the settings come from.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
     };
     let mut last = std::fs::read_to_string(&source.path).unwrap_or_default();
     loop {
-        let by_signal = timeout(LOOK_PERIOD, asked.recv()).await.is_ok();
+        let by_signal = timeout(RELOAD_INTERVAL, asked.recv()).await.is_ok();
         let text = std::fs::read_to_string(&source.path).unwrap_or_default();
         if text == last && !by_signal {
             continue;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -61,7 +61,7 @@
 
 /// How long an entry host may go on by what it was told of a roll-out once it hears no control host, in
 /// milliseconds.
-const LEAST_ROLLBACK_MS: u64 = 2_000;
+const MIN_ROLLBACK_MS: u64 = 2_000;
 
 /// Where a node listens. An address that its role does not use may be left out.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
@@ -84,7 +84,7 @@
 
 impl ListenSettings {
     /// Returns where this process takes peers that call it at `told`.
-    pub(crate) fn peers_at(&self, told: SocketAddr) -> SocketAddr {
+    pub(crate) fn peer_bind_address(&self, told: SocketAddr) -> SocketAddr {
         self.peers_bind.unwrap_or(told)
     }
 }
@@ -177,20 +177,20 @@
 
 /// What is wrong with a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SettingsFault {
+pub struct SettingsError {
     /// The file.
     pub path: String,
     /// Every fault, by its place.
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
-impl fmt::Display for SettingsFault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings file {}: {}", self.path, self.faults.join("; "))
+        write!(f, "settings file {}: {}", self.path, self.errors.join("; "))
     }
 }
 
-impl std::error::Error for SettingsFault {}
+impl std::error::Error for SettingsError {}
 
 /// What a node does, which decides what it needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -205,15 +205,15 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsFault`] with every fault.
+    /// [`SettingsError`] with every fault.
     pub(crate) fn load(
         path: &Path,
         overrides: &[String],
         role: NodeRole,
-    ) -> Result<Self, SettingsFault> {
-        let fault = |faults| SettingsFault {
+    ) -> Result<Self, SettingsError> {
+        let fault = |errors| SettingsError {
             path: path.display().to_string(),
-            faults,
+            errors,
         };
         let text = std::fs::read_to_string(path).map_err(|error| fault(vec![error.to_string()]))?;
         let settings = Self::parse(&text, overrides).map_err(|error| fault(vec![error]))?;
@@ -268,7 +268,7 @@
             "rollout.exposure_slack: below 0",
         );
         require(
-            rollout.rollback_ms >= LEAST_ROLLBACK_MS,
+            rollout.rollback_ms >= MIN_ROLLBACK_MS,
             "rollout.rollback_ms: below 2000, in which entry hosts notice that they hear no control host",
         );
         match role {
