--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -35,16 +35,16 @@
 use crate::settings::NodeRole;
 use crate::{ControlProtocol, ControlRequest, ControlRequestError, NodeProtocol, NodeSettings};
 
-/// The largest body that operators may send, in bytes.
+/// Maximum body of a request to the operators' port.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Between two heartbeats of the leading control host.
+/// Interval between heartbeats of the leading control host.
 const QUORUM_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a member may be silent before it is taken out, where enough others are left.
+/// Time without contact after which a member is removed from the quorum if enough others remain.
 const MEMBER_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How often the gauges are brought up to date.
+/// Interval at which the gauges are updated.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 type AnyError = Box<dyn std::error::Error>;
@@ -66,8 +66,8 @@
     };
     match NodeSettings::load(&source.path, &source.overrides, source.role) {
         Ok(settings) => exit_code(serve(settings, source, protocol, signals).await),
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
@@ -133,9 +133,9 @@
     let (seeds, seeds_read) = watch::channel(settings.seed_peers());
     ntex::rt::spawn(reload_settings(source, seeds, recorder.clone()));
 
-    let serving = node.clone();
+    let peer_node = node.clone();
     let serve_connection = move |greeting, reader, writer| {
-        let node = serving.clone();
+        let node = peer_node.clone();
         async move {
             match greeting {
                 PeerGreeting::Quorum => serve_peer(node.replica(), reader, writer).await,
@@ -152,12 +152,12 @@
         recorder.clone(),
         serve_connection,
     ));
-    let forming = FormConfig {
+    let form_config = FormConfig {
         first_start: settings.cluster.first_start,
         seeds: seeds_read.clone(),
     };
-    ntex::rt::spawn(form_or_join(node.clone(), forming));
-    follow_others(&node, peers, seeds_read, &recorder);
+    ntex::rt::spawn(form_or_join(node.clone(), form_config));
+    follow_control_hosts(&node, peers, seeds_read, &recorder);
 
     let registry = Arc::new(Mutex::new(Registry::with_prefix("linnet_control")));
     ntex::rt::spawn(update_gauges(node.clone(), registry.clone()));
@@ -166,14 +166,14 @@
         ntex::rt::spawn(serve_metrics(listener, registry, Box::new(|_| None)));
     }
     let listener = TcpListener::bind(operators).await?;
-    let answering = (
+    let shared = (
         Rc::new(protocol.control),
         node.clone(),
         Rc::new(settings.halls.clone()),
     );
     ntex::rt::spawn(serve_http(listener, MAX_BODY_BYTES, move |request| {
-        let (protocol, node, halls) = answering.clone();
-        async move { answer(&protocol, &node, &halls, request).await }
+        let (protocol, node, halls) = shared.clone();
+        async move { handle_request(&protocol, &node, &halls, request).await }
     }));
     let detail = format!(
         "role=control hall={} peers={peers} operators={operators} build={} form={}",
@@ -188,58 +188,59 @@
     Ok(())
 }
 
-/// Follows the other control hosts, so that each knows every target.
-fn follow_others(
+/// Subscribes to the other control hosts, so that each knows every target.
+fn follow_control_hosts(
     node: &DirectoryNode,
-    me: SocketAddr,
+    own_address: SocketAddr,
     seeds: watch::Receiver<Vec<SocketAddr>>,
     recorder: &Arc<EventRecorder>,
 ) {
-    let (_, gateway) = watch::channel(None);
-    let (taking, losing, spreading) = (node.clone(), node.clone(), node.clone());
+    let (_, no_entry_host) = watch::channel(None);
+    let (on_update, on_lost, propagating) = (node.clone(), node.clone(), node.clone());
     let config = FollowConfig {
-        // Control hosts tell each other in their updates.
+        // Control hosts exchange these in their updates.
         suspects: None,
         rate_limits: None,
         counts: None,
         identity: node.identity().clone(),
         recorder: recorder.clone(),
-        entry_host: gateway,
-        // The configuration comes by agreement, not from the directory of another host.
+        entry_host: no_entry_host,
+        // The quorum replicates the configuration; the directory of another host does not provide it.
         documents: None,
         is_control: true,
-        own_address: me,
+        own_address,
         seeds,
         on_update: Box::new(move |from, update: DirectoryUpdate| {
-            taking.merge_control_update(from, update, Instant::now());
+            on_update.merge_control_update(from, update, Instant::now());
         }),
-        on_lost: Box::new(move |from| losing.mark_control_lost(from)),
+        on_lost: Box::new(move |from| on_lost.mark_control_lost(from)),
         propagation: Some(Box::new(move || {
-            let node = spreading.clone();
+            let node = propagating.clone();
             Box::pin(async move { node.wait_for_followers().await })
         })),
     };
     ntex::rt::spawn(follow_directory(config));
 }
 
-async fn answer(
+async fn handle_request(
     protocol: &ControlProtocol,
     node: &DirectoryNode,
     halls: &BTreeMap<String, String>,
     request: HttpRequest,
 ) -> HttpResponse {
-    if let Some(answer) = handle_held_request(node, &request) {
-        return answer;
+    if let Some(response) = handle_held_request(node, &request) {
+        return response;
     }
-    if let Some(answer) = handle_rollout_request(node, &request).await {
-        return answer;
+    if let Some(response) = handle_rollout_request(node, &request).await {
+        return response;
     }
-    let ask = match (protocol.parse_request)(&request.method, &request.path, &request.body) {
-        Ok(ask) => ask,
-        Err(fault) => return request_error_response(&fault),
-    };
-    match execute_request(protocol, node, halls, ask, &request).await {
-        Ok(answer) => answer,
+    let control_request =
+        match (protocol.parse_request)(&request.method, &request.path, &request.body) {
+            Ok(control_request) => control_request,
+            Err(error) => return request_error_response(&error),
+        };
+    match execute_request(protocol, node, halls, control_request, &request).await {
+        Ok(response) => response,
         Err(error) => error_response(&error),
     }
 }
@@ -248,10 +249,10 @@
     protocol: &ControlProtocol,
     node: &DirectoryNode,
     halls: &BTreeMap<String, String>,
-    ask: ControlRequest,
+    control_request: ControlRequest,
     request: &HttpRequest,
 ) -> Result<HttpResponse, DirectoryError> {
-    match ask {
+    match control_request {
         ControlRequest::PutRouting => node.put_document(request.body.to_vec()).await.map(|_| ())?,
         ControlRequest::ReadRouting => return node.read_document().await.map(config_response),
         ControlRequest::Heartbeat(record) => node.receive_heartbeat(record).await?,
@@ -284,7 +285,7 @@
     }
 }
 
-/// Returns the answer that tells an operator or a target why something was not done.
+/// Converts an error into the response to an operator or a target.
 pub(crate) fn error_response(error: &DirectoryError) -> HttpResponse {
     let status = match error {
         DirectoryError::UnknownHall(_) | DirectoryError::UnknownService(_) => StatusCode::NOT_FOUND,
@@ -309,28 +310,32 @@
     node.order_evacuation(hall, evacuated).await
 }
 
-fn request_error_response(fault: &ControlRequestError) -> HttpResponse {
-    let status = match fault {
+fn request_error_response(error: &ControlRequestError) -> HttpResponse {
+    let status = match error {
         ControlRequestError::NotFound => StatusCode::NOT_FOUND,
         ControlRequestError::BadBody(_) => StatusCode::BAD_REQUEST,
     };
-    HttpResponse::text(status, format!("{fault}\n"))
+    HttpResponse::text(status, format!("{error}\n"))
 }
 
 async fn update_gauges(node: DirectoryNode, registry: Arc<Mutex<Registry>>) {
     let gauges: [(&str, &str, Gauge); 10] = [
         ("term", "Term of the replica", Gauge::default()),
         ("commit_index", "Last committed index", Gauge::default()),
-        ("is_leader", "1 while the lease lasts", Gauge::default()),
+        (
+            "is_leader",
+            "1 while this host holds a valid leader lease",
+            Gauge::default(),
+        ),
         (
             "config_version",
             "Version of the routing configuration",
             Gauge::default(),
         ),
-        ("targets", "Targets that are known", Gauge::default()),
+        ("targets", "Known targets", Gauge::default()),
         (
             "entry_hosts",
-            "Entry hosts that are heard here",
+            "Entry hosts connected to this host",
             Gauge::default(),
         ),
         (
@@ -338,14 +343,10 @@
             "Entry hosts with an older configuration than is held here",
             Gauge::default(),
         ),
-        (
-            "halls_evacuated",
-            "Data halls that are out of work",
-            Gauge::default(),
-        ),
+        ("halls_evacuated", "Evacuated data halls", Gauge::default()),
         (
             "rollouts_open",
-            "Services of which a version is rolled out",
+            "Services with a roll-out in progress",
             Gauge::default(),
         ),
         (
@@ -366,7 +367,8 @@
             status.term as i64,
             status.commit as i64,
             i64::from(status.lease_lasts),
-            node.current_document().map_or(0, |held| held.version()) as i64,
+            node.current_document()
+                .map_or(0, |document| document.version()) as i64,
             counts.targets as i64,
             counts.entry_hosts as i64,
             counts.outdated_entry_hosts as i64,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -24,13 +24,14 @@
 use crate::settings::NodeRole;
 use crate::{NodeProtocol, NodeSettings};
 
-/// How often a planned stop looks whether anything is in flight.
+/// Interval at which a planned stop checks for requests in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time before the bound of a planned stop at which the process ends, whatever is in flight.
+/// Time before the deadline of a planned stop at which the process ends even with requests in flight.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time before that at which requests in flight are given up, so that their answers get through.
+/// Time before that end at which requests in flight are aborted, so that their final responses still
+/// reach the callers.
 const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(500);
 
 type AnyError = Box<dyn std::error::Error>;
@@ -52,8 +53,8 @@
     };
     match NodeSettings::load(&source.path, &source.overrides, source.role) {
         Ok(settings) => exit_code(serve(settings, source, protocol, signals).await),
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
@@ -92,9 +93,9 @@
     let (seeds, seeds_read) = watch::channel(settings.seed_peers());
     ntex::rt::spawn(reload_settings(source, seeds, recorder.clone()));
 
-    let serving = gateway.clone();
+    let peer_gateway = gateway.clone();
     let serve_connection = move |greeting, reader, writer| {
-        let gateway = serving.clone();
+        let gateway = peer_gateway.clone();
         async move {
             match greeting {
                 PeerGreeting::Pieces => serve_pieces(&gateway, reader, writer).await,
@@ -109,15 +110,15 @@
         recorder.clone(),
         serve_connection,
     ));
-    let (updated, lost) = (gateway.clone(), gateway.clone());
-    let (holding, taking) = (gateway.clone(), gateway.clone());
+    let (on_update, on_lost) = (gateway.clone(), gateway.clone());
+    let (reader, writer) = (gateway.clone(), gateway.clone());
     ntex::rt::spawn(follow_directory(FollowConfig {
         identity,
         recorder: recorder.clone(),
         entry_host: gateway.subscribe_record(),
         documents: Some(DocumentSink {
-            current: Box::new(move || holding.current_document()),
-            store: Box::new(move |document| taking.apply_document(document)),
+            current: Box::new(move || reader.current_document()),
+            store: Box::new(move |document| writer.apply_document(document)),
         }),
         suspects: Some(gateway.suspect_source()),
         rate_limits: Some(gateway.rate_source()),
@@ -125,22 +126,23 @@
         is_control: false,
         own_address: peers,
         seeds: seeds_read,
-        on_update: Box::new(move |from, update| updated.apply_update(from, update)),
-        on_lost: Box::new(move |from| lost.mark_control_lost(from)),
+        on_update: Box::new(move |from, update| on_update.apply_update(from, update)),
+        on_lost: Box::new(move |from| on_lost.mark_control_lost(from)),
         propagation: None,
     }));
 
     if let Some(metrics) = settings.listen.metrics {
         let listener = TcpListener::bind(metrics).await?;
-        let (registry, asked) = (gateway.metrics.registry.clone(), gateway.clone());
-        let more = move |path: &str| (path == NOTICES_PATH).then(|| notices_response(&asked));
-        ntex::rt::spawn(serve_metrics(listener, registry, Box::new(more)));
+        let (registry, notices) = (gateway.metrics.registry.clone(), gateway.clone());
+        let extra_pages =
+            move |path: &str| (path == NOTICES_PATH).then(|| notices_response(&notices));
+        ntex::rt::spawn(serve_metrics(listener, registry, Box::new(extra_pages)));
     }
     let listener = TcpListener::bind(readiness).await?;
-    let (asked, path) = (gateway.clone(), protocol.readiness_path);
+    let (checked, path) = (gateway.clone(), protocol.readiness_path);
     ntex::rt::spawn(serve_http(listener, 0, move |request: HttpRequest| {
-        let answer = readiness_response(&asked, path, &request);
-        async move { answer }
+        let response = readiness_response(&checked, path, &request);
+        async move { response }
     }));
     let (closing, closed) = watch::channel(false);
     let listener = TcpListener::bind(callers).await?;
@@ -176,26 +178,27 @@
     }
 }
 
-/// Readiness goes first, so that the load balancer sends callers elsewhere; then connections are
-/// closed between requests; the process ends when nothing is in flight or the bound is reached.
+/// Performs a planned stop. The host first reports not ready, so that the load balancer sends callers
+/// elsewhere. After `leave_ms` it closes connections between requests. It returns when no request is
+/// in flight or the deadline is reached.
 async fn stop(
     gateway: &Rc<Gateway>,
     settings: &NodeSettings,
     recorder: &EventRecorder,
     closing: &watch::Sender<bool>,
 ) {
-    let began = Instant::now();
-    let leave = Duration::from_millis(settings.times.leave_ms);
-    let bound = Duration::from_millis(settings.times.stop_ms).saturating_sub(STOP_MARGIN);
-    gateway.begin_stop(began + bound.saturating_sub(FINAL_RESPONSE_TIME));
-    sleep(leave).await;
+    let started = Instant::now();
+    let leave_delay = Duration::from_millis(settings.times.leave_ms);
+    let max_duration = Duration::from_millis(settings.times.stop_ms).saturating_sub(STOP_MARGIN);
+    gateway.begin_stop(started + max_duration.saturating_sub(FINAL_RESPONSE_TIME));
+    sleep(leave_delay).await;
     closing.send_replace(true);
-    // Connections that were accepted a moment ago still bring their request.
+    // Requests on connections accepted just before may still arrive.
     sleep(STOP_POLL_INTERVAL * 4).await;
-    while gateway.open_requests() > 0 && began.elapsed() < bound {
+    while gateway.open_requests() > 0 && started.elapsed() < max_duration {
         sleep(STOP_POLL_INTERVAL).await;
     }
-    // The last answers are still being written.
+    // Allows the last responses to be written.
     sleep(STOP_POLL_INTERVAL * 2).await;
     let open = gateway.open_requests();
     let code = if open == 0 {
--- a/crates/node/src/held_api.rs
+++ b/crates/node/src/held_api.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on requests that are held since they end their targets.
+//! Operators' API for requests that are held because they crash their targets.
 
 use http::{Method, StatusCode};
 use linnet_directory::DirectoryNode;
@@ -6,7 +6,7 @@
 
 use crate::http_server::{HttpRequest, HttpResponse};
 
-/// Answers a call on held requests; nothing for any other one.
+/// Handles a request to the held-requests API; returns `None` for any other path.
 pub(crate) fn handle_held_request(
     node: &DirectoryNode,
     request: &HttpRequest,
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for ports that take a request and give a whole answer.
+//! A small HTTP server for ports that read and answer complete requests without streaming.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -14,20 +14,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// How long a connection may rest, and how long a head may take.
+/// Maximum time that a connection may be idle and that the headers of a request may take.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a body may take.
+/// Maximum time that the body of a request may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub(crate) struct HttpRequest {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) body: Bytes,
 }
 
-/// A whole answer.
+/// A response with its complete body.
 pub(crate) struct HttpResponse {
     pub(crate) status: StatusCode,
     pub(crate) content_type: &'static str,
@@ -52,41 +52,41 @@
     }
 }
 
-/// Serves a port until the process ends; bodies over `most` bytes are answered 413.
-pub(crate) async fn serve_http<F, A>(listener: TcpListener, most: usize, answer: F)
+/// Serves a port until the process ends; requests with bodies over `max_body_bytes` get status 413.
+pub(crate) async fn serve_http<F, A>(listener: TcpListener, max_body_bytes: usize, handler: F)
 where
     F: Fn(HttpRequest) -> A + 'static,
     A: Future<Output = HttpResponse> + 'static,
 {
-    let answer = Rc::new(answer);
+    let handler = Rc::new(handler);
     loop {
         match listener.accept().await {
             Ok((socket, _)) => {
-                ntex::rt::spawn(serve_connection(socket, most, answer.clone()));
+                ntex::rt::spawn(serve_connection(socket, max_body_bytes, handler.clone()));
             }
-            // Out of descriptors: waiting lets others end.
+            // Out of file descriptors: the pause lets other connections close.
             Err(_) => sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
-async fn serve_connection<F, A>(socket: TcpStream, most: usize, answer: Rc<F>)
+async fn serve_connection<F, A>(socket: TcpStream, max_body_bytes: usize, handler: Rc<F>)
 where
     F: Fn(HttpRequest) -> A + 'static,
     A: Future<Output = HttpResponse> + 'static,
 {
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer = answer.clone();
+        let handler = handler.clone();
         async move {
-            let given = match read_request(request, most).await {
-                Ok(request) => answer(request).await,
-                Err(refused) => refused,
+            let response = match read_request(request, max_body_bytes).await {
+                Ok(request) => handler(request).await,
+                Err(response) => response,
             };
-            Ok::<_, Infallible>(write_answer(given))
+            Ok::<_, Infallible>(into_hyper_response(response))
         }
     });
-    // A caller that left or broke a rule of the protocol ends its connection only.
+    // A client that disconnects or violates HTTP ends only its own connection.
     let _ = Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
@@ -96,10 +96,10 @@
 
 async fn read_request(
     request: Request<Incoming>,
-    most: usize,
+    max_body_bytes: usize,
 ) -> Result<HttpRequest, HttpResponse> {
     let (head, body) = request.into_parts();
-    match timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await {
+    match timeout(BODY_TIMEOUT, Limited::new(body, max_body_bytes).collect()).await {
         Ok(Ok(body)) => Ok(HttpRequest {
             method: head.method,
             path: head.uri.path().to_owned(),
@@ -108,7 +108,7 @@
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(HttpResponse::text(
                 StatusCode::PAYLOAD_TOO_LARGE,
-                format!("body over {most} bytes\n"),
+                format!("body over {max_body_bytes} bytes\n"),
             ))
         }
         Ok(Err(error)) => Err(HttpResponse::text(
@@ -117,17 +117,17 @@
         )),
         Err(_) => Err(HttpResponse::text(
             StatusCode::REQUEST_TIMEOUT,
-            "the body did not come in time\n",
+            "body not received in time\n",
         )),
     }
 }
 
-fn write_answer(given: HttpResponse) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::new(given.body));
-    *answer.status_mut() = given.status;
-    let content_type = http::HeaderValue::from_static(given.content_type);
-    answer
+fn into_hyper_response(response: HttpResponse) -> Response<Full<Bytes>> {
+    let mut converted = Response::new(Full::new(response.body));
+    *converted.status_mut() = response.status;
+    let content_type = http::HeaderValue::from_static(response.content_type);
+    converted
         .headers_mut()
         .insert(header::CONTENT_TYPE, content_type);
-    answer
+    converted
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! The two daemons around the routing configuration: a control host with the directory, and an
-//! entry host with the gateway. How they speak to the outside is a [`NodeProtocol`].
+//! entry host with the gateway. A [`NodeProtocol`] defines the external formats that they use.
 //!
-//! - [`NodeSettings`] is the settings file; every fault of it is told at once.
+//! - [`NodeSettings`] is the settings file; all its errors are reported at once.
 //! - [`run_control_node`] and [`run_entry_node`] run until a planned stop.
 
 mod control;
--- a/crates/node/src/metrics_page.rs
+++ b/crates/node/src/metrics_page.rs
@@ -8,28 +8,27 @@
 
 use crate::http_server::{HttpRequest, HttpResponse, serve_http};
 
-/// Path of the page.
 const METRICS_PATH: &str = "/metrics";
 
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers the path of another page on the port; nothing at any other.
+/// Returns the response for the path of an extra page on the port; `None` for unknown paths.
 pub(crate) type ExtraPages = Box<dyn Fn(&str) -> Option<HttpResponse>>;
 
-/// Serves the metrics of a registry, and `more` pages beside them, until the process ends.
+/// Serves the metrics of a registry and `extra_pages` until the process ends.
 pub(crate) async fn serve_metrics(
     listener: TcpListener,
     registry: Arc<Mutex<Registry>>,
-    more: ExtraPages,
+    extra_pages: ExtraPages,
 ) {
-    let answer = move |request: HttpRequest| {
-        let given = match request.path.as_str() {
+    let handler = move |request: HttpRequest| {
+        let response = match request.path.as_str() {
             METRICS_PATH => encode_metrics(&registry),
-            path => more(path).unwrap_or_else(not_found),
+            path => extra_pages(path).unwrap_or_else(not_found),
         };
-        async move { given }
+        async move { response }
     };
-    serve_http(listener, 0, answer).await;
+    serve_http(listener, 0, handler).await;
 }
 
 fn not_found() -> HttpResponse {
--- a/crates/node/src/notices_page.rs
+++ b/crates/node/src/notices_page.rs
@@ -1,11 +1,11 @@
-//! The page on which an entry host tells what targets asked of it.
+//! The page on which an entry host lists what targets requested of it: back-offs, rate limits and departures.
 
 use http::StatusCode;
 use linnet_gateway::Gateway;
 
 use crate::http_server::HttpResponse;
 
-/// Answers with what targets asked of a host, as JSON.
+/// Returns the target notices of an entry host as JSON.
 pub(crate) fn notices_response(gateway: &Gateway) -> HttpResponse {
     match serde_json::to_vec(&gateway.notice_lines()) {
         Ok(body) => HttpResponse::json(StatusCode::OK, body),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Keys towards other processes of the system.
+//! Keys that authenticate messages between processes of the system.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -8,14 +8,15 @@
 
 use crate::NodeSettings;
 
-/// The setting under which processes take each other's word.
+/// The value of `cluster.peer_keys` that disables authentication between processes.
 const NO_KEYS: &str = "none";
 
-/// The key that everybody knows. Messages are still checked against damage, but anybody who reaches
-/// the peer port may speak: the network has to keep others away from it.
+/// The key used without authentication. It is public: messages are still checked for corruption, but any
+/// process that reaches the peer port can send valid ones, so the network has to restrict access to
+/// it.
 const WELL_KNOWN_KEY: [u8; 32] = [0; 32];
 
-/// Returns name, keys and clock of this process.
+/// Returns the name, keys and clock that this process uses with peers.
 pub(crate) fn peer_identity(
     settings: &NodeSettings,
     clock: Arc<HybridClock>,
--- a/crates/node/src/protocol.rs
+++ b/crates/node/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How operators, targets and the load balancer speak to a node.
+//! The protocol that operators, targets and the load balancer use with a node.
 
 use derive_more::Display;
 use linnet_directory::TargetRecord;
@@ -6,59 +6,59 @@
 use linnet_rollout::{RolloutOrder, RolloutRecord};
 use linnet_routing::RoutingConfig;
 
-/// What a caller of a control host asks.
+/// A parsed request to a control host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlRequest {
-    /// Take the body as the routing configuration.
+    /// Propose the request body as the routing configuration.
     PutRouting,
-    /// Answer the newest routing configuration.
+    /// Return the newest routing configuration.
     ReadRouting,
-    /// Take the heartbeat of a target.
+    /// Apply the heartbeat of a target.
     Heartbeat(TargetRecord),
-    /// The target of this identity leaves: the start with this birth, or the newest.
+    /// Deregister the target with this id: the incarnation with this start time, or the newest one.
     Deregister(String, Option<u64>),
-    /// Take a data hall out of work.
+    /// Evacuate a data hall.
     Evacuate(String),
-    /// Take a data hall back.
+    /// End the evacuation of a data hall.
     EndEvacuation(String),
-    /// Roll a version of a service out.
+    /// Start the roll-out of a version of a service.
     StartRollout(RolloutOrder),
-    /// Answer how far the newest roll-out of a service is.
+    /// Return the progress of the newest roll-out of a service.
     ReadRollout(String),
 }
 
-/// Why a control host does not know what is asked.
+/// Error for a request to a control host that cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum ControlRequestError {
-    /// There is nothing at this path.
+    /// The path is unknown.
     #[display("nothing at this path")]
     NotFound,
-    /// The body is not what it must be.
+    /// The body is invalid.
     #[display("{_0}")]
     BadBody(String),
 }
 
-/// How a control host is spoken to.
+/// Protocol of the operators' port of a control host.
 #[derive(Debug, Clone)]
 pub struct ControlProtocol {
-    /// Reads method, path and body.
+    /// Parses method, path and body of a request.
     pub parse_request:
         fn(&http::Method, &str, &[u8]) -> Result<ControlRequest, ControlRequestError>,
-    /// Reads a routing configuration; the error tells every fault.
+    /// Parses a routing configuration; the error lists every fault.
     pub read_config: fn(&[u8]) -> Result<RoutingConfig, String>,
-    /// Writes how far a roll-out is.
+    /// Encodes the progress of a roll-out.
     pub write_rollout: fn(&RolloutRecord) -> Vec<u8>,
-    /// The answer to what was done.
+    /// Body of the response to an order that succeeded.
     pub success_body: &'static str,
 }
 
-/// How a node is spoken to.
+/// Protocols of the ports of a node.
 #[derive(Debug, Clone)]
 pub struct NodeProtocol {
-    /// Callers and targets.
+    /// Protocol with callers and targets.
     pub data: Protocol,
-    /// Operators and heartbeats.
+    /// Protocol with operators and for heartbeats.
     pub control: ControlProtocol,
-    /// Path at which the load balancer asks whether the host is ready.
+    /// Path of the load balancer's readiness check.
     pub readiness_path: &'static str,
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again when it changes or when SIGHUP asks for it.
+//! Reloads the settings file when it changes or on SIGHUP.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,10 +13,10 @@
 use crate::NodeSettings;
 use crate::settings::NodeRole;
 
-/// How often the file is looked at.
+/// Interval at which the file is checked for changes.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where the settings come from.
+/// The source of the settings.
 #[derive(Debug, Clone)]
 pub(crate) struct SettingsSource {
     pub(crate) path: PathBuf,
@@ -24,19 +24,20 @@
     pub(crate) role: NodeRole,
 }
 
-/// Keeps the seeds up to date until the process ends. A file with a fault is told once and what was
-/// read before stays in force; what only counts at the start is left as it was.
+/// Updates the seeds from the settings file until the process ends. An invalid file is logged once per
+/// change, and the previous settings stay in force. Settings that apply only at start are not
+/// reloaded.
 pub(crate) async fn reload_settings(
     source: SettingsSource,
     seeds: watch::Sender<Vec<SocketAddr>>,
     recorder: Arc<EventRecorder>,
 ) {
-    let Ok(mut asked) = signal(SignalKind::hangup()) else {
+    let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
     let mut last = std::fs::read_to_string(&source.path).unwrap_or_default();
     loop {
-        let by_signal = timeout(RELOAD_INTERVAL, asked.recv()).await.is_ok();
+        let by_signal = timeout(RELOAD_INTERVAL, hangup.recv()).await.is_ok();
         let text = std::fs::read_to_string(&source.path).unwrap_or_default();
         if text == last && !by_signal {
             continue;
@@ -48,10 +49,11 @@
                 let peers = settings.seed_peers();
                 let detail = format!("cause={cause} seeds={peers:?}");
                 recorder.record(EventCode::SettingsReloaded, "", detail);
-                seeds.send_if_modified(|held| std::mem::replace(held, peers.clone()) != peers);
+                seeds
+                    .send_if_modified(|current| std::mem::replace(current, peers.clone()) != peers);
             }
-            Err(fault) => {
-                log::error!(target: "linnetdale", "{fault}; the settings stay as they were")
+            Err(error) => {
+                log::error!(target: "linnetdale", "{error}; keeping the previous settings")
             }
         }
     }
--- a/crates/node/src/rollout_api.rs
+++ b/crates/node/src/rollout_api.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on roll-outs, in the product's own form.
+//! Operators' API for roll-outs, in linnetdale's own format rather than the deployment's.
 
 use http::{Method, StatusCode};
 use linnet_directory::DirectoryNode;
@@ -7,7 +7,7 @@
 use crate::control::error_response;
 use crate::http_server::{HttpRequest, HttpResponse};
 
-/// Answers a call on roll-outs; nothing for any other one.
+/// Handles a request to the roll-outs API; returns `None` for any other path.
 pub(crate) async fn handle_rollout_request(
     node: &DirectoryNode,
     request: &HttpRequest,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a node: TOML, checked whole, every fault told by its place.
+//! The settings file of a node, in TOML. Validation reports all errors at once, each with its key.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,40 +12,41 @@
 pub struct NodeSettings {
     /// Name of this host.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of this host.
     pub hall: String,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub listen: ListenSettings,
-    /// The region of each data hall. Orders for a hall that is not named are refused; where none is
-    /// named, any may be.
+    /// Region of each data hall. Evacuation orders for a hall that is not listed are refused; if none
+    /// is listed, any hall is accepted.
     #[serde(default)]
     pub halls: BTreeMap<String, String>,
     /// The cluster of control hosts.
     pub cluster: ClusterSettings,
-    /// Spans of time.
+    /// Time settings.
     #[serde(default)]
     pub times: TimeSettings,
-    /// The budget of repeated sendings.
+    /// The retry budget.
     #[serde(default)]
     pub retry: RetrySettings,
-    /// Switches and bounds of the policies by which entry hosts decide.
+    /// Limits of the policies of entry hosts.
     #[serde(default)]
     pub policy: PolicySettings,
-    /// What a version that is rolled out may harm; control hosts only.
+    /// Limits on the exposure to a version during its roll-out; control hosts only.
     #[serde(default)]
     pub rollout: RolloutSettings,
 }
 
-/// What a version that is rolled out may harm before it is known to be good.
+/// Limits on the requests that a version may receive during its roll-out, before it is proven good.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RolloutSettings {
-    /// The part of the requests of its service that it may get, until the time of the roll-out is over.
+    /// Maximum share of the requests of the service that the version receives until the duration of the
+    /// roll-out has elapsed.
     pub exposure_share: f64,
-    /// Requests that it may get beyond that.
+    /// Number of requests that it may receive in addition to that share.
     pub exposure_slack: f64,
-    /// How long it may go on to get requests once it is known to be bad, in milliseconds: not less than entry hosts
-    /// need to notice that they hear no control host.
+    /// Maximum time in milliseconds for which a version may still receive requests after it is found to
+    /// be bad. At least the time in which entry hosts notice that no control host is connected.
     pub rollback_ms: u64,
 }
 
@@ -59,62 +60,62 @@
     }
 }
 
-/// How long an entry host may go on by what it was told of a roll-out once it hears no control host, in
-/// milliseconds.
+/// Minimum of `rollback_ms`: the time for which an entry host may keep using the last received state of
+/// a roll-out after it loses all control hosts.
 const MIN_ROLLBACK_MS: u64 = 2_000;
 
-/// Where a node listens. An address that its role does not use may be left out.
+/// Addresses on which a node listens. An address that its role does not use may be omitted.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ListenSettings {
-    /// For callers; entry hosts only.
+    /// Address for callers; entry hosts only.
     pub callers: Option<SocketAddr>,
-    /// For the load balancer's question whether the host is ready; entry hosts only.
+    /// Address for the load balancer's readiness checks; entry hosts only.
     pub readiness: Option<SocketAddr>,
-    /// For operators and heartbeats; control hosts only.
+    /// Address for operators and heartbeats; control hosts only.
     pub operators: Option<SocketAddr>,
-    /// For other processes of the system, as it is told to them.
+    /// Address for other processes of the system, as announced to them.
     pub peers: Option<SocketAddr>,
-    /// Where this process takes them, where that is another address: behind a relay or a translation
-    /// of addresses.
+    /// Address to bind for other processes if it differs from the announced one, as behind a relay or
+    /// network address translation.
     pub peers_bind: Option<SocketAddr>,
-    /// For the metrics page.
+    /// Address for the metrics page.
     pub metrics: Option<SocketAddr>,
 }
 
 impl ListenSettings {
-    /// Returns where this process takes peers that call it at `told`.
-    pub(crate) fn peer_bind_address(&self, told: SocketAddr) -> SocketAddr {
-        self.peers_bind.unwrap_or(told)
+    /// Returns the address to bind for peers that connect to the `announced` address.
+    pub(crate) fn peer_bind_address(&self, announced: SocketAddr) -> SocketAddr {
+        self.peers_bind.unwrap_or(announced)
     }
 }
 
 /// The cluster of control hosts.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ClusterSettings {
-    /// Addresses of some control hosts. Their port is not used: processes reach each other at the
-    /// peer port of this host.
+    /// Addresses of some control hosts. Their ports are ignored: the port of this host's `listen.peers`
+    /// is used for all of them.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the very first start of the whole system.
+    /// Whether this is the first start of the complete system.
     #[serde(default)]
     pub first_start: bool,
-    /// Data folder; control hosts only.
+    /// Data directory; control hosts only.
     #[serde(default)]
     pub data: Option<PathBuf>,
-    /// How processes prove themselves to each other: `none`, or the path of a key file.
+    /// Authentication between processes: `none`, or the path of a key file.
     pub peer_keys: String,
 }
 
-/// Spans of time, in milliseconds.
+/// Time settings, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct TimeSettings {
-    /// Between two heartbeats of a target.
+    /// Interval between heartbeats of a target.
     pub heartbeat_ms: u64,
-    /// From the request of a planned stop to the end of the process, at most.
+    /// Maximum time from the request of a planned stop to the end of the process.
     pub stop_ms: u64,
-    /// From the request of a planned stop until connections are closed; longer than the load
-    /// balancer needs to see it.
+    /// Time from the request of a planned stop until connections are closed; longer than the load
+    /// balancer needs to detect that the host is not ready.
     pub leave_ms: u64,
 }
 
@@ -128,15 +129,15 @@
     }
 }
 
-/// The budget of repeated sendings of the whole fleet, for each service.
+/// The retry budget of the whole fleet, for each service.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RetrySettings {
-    /// Repeats as a part of the requests.
+    /// Maximum retries as a share of the requests.
     pub ratio: f64,
-    /// Repeats beyond that.
+    /// Number of retries allowed in addition to that share.
     pub slack: f64,
-    /// The window in which both are counted, in milliseconds.
+    /// Window in which requests and retries are counted, in milliseconds.
     pub window_ms: u64,
 }
 
@@ -150,19 +151,19 @@
     }
 }
 
-/// Switches and bounds of the policies by which entry hosts decide.
+/// Limits of the policies of entry hosts.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct PolicySettings {
-    /// Bytes of calls to stage targets that a host which gathers them sends in a second by itself; what
-    /// is more goes through other hosts. The default is a fifth of a link of 10 Mbit/s, the slowest
-    /// that the system is designed for.
+    /// Maximum bytes per second of calls to stage targets that a coordinator sends itself; it delegates
+    /// calls beyond that to other hosts. The default is a fifth of a link of 10 Mbit/s, the slowest that
+    /// the system is designed for.
     pub shared_bytes_per_s: f64,
-    /// How long a request waits at most, on a host that has just started, for the first configuration and
-    /// the first targets, in milliseconds. A configuration comes within 0.7 s of the start of a whole
-    /// fleet, each target with its next heartbeat, 1.2 s at most. When 94 hosts lost their power, 340
-    /// callers were sent away in that time and 107 more for want of targets, and used up the one
-    /// return that they had.
+    /// Maximum time in milliseconds for which a request on a host that has just started waits for the
+    /// first configuration and the first targets. When a whole fleet starts, the configuration arrives
+    /// within 0.7 s, and each target with its next heartbeat, after 1.2 s at most. When 94 hosts lost
+    /// power, 340 callers were refused in that time and 107 more for lack of targets, which used up
+    /// their only retry.
     pub start_patience_ms: u64,
 }
 
@@ -175,12 +176,12 @@
     }
 }
 
-/// What is wrong with a settings file.
+/// Errors of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// Path of the file.
     pub path: String,
-    /// Every fault, by its place.
+    /// All errors, each with its key.
     pub errors: Vec<String>,
 }
 
@@ -192,7 +193,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What a node does, which decides what it needs.
+/// The role of a node, which determines its required settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NodeRole {
     Control,
@@ -200,45 +201,47 @@
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file. `overrides` are `PLACE=VALUE`, each taking the place of
-    /// what the file says, as in `listen.metrics=127.0.0.1:9000`.
+    /// Reads and validates a settings file. Each of `overrides` is `PLACE=VALUE` and replaces a value of
+    /// the file, as in `listen.metrics=127.0.0.1:9000`.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] with every fault.
+    /// [`SettingsError`] with all errors found.
     pub(crate) fn load(
         path: &Path,
         overrides: &[String],
         role: NodeRole,
     ) -> Result<Self, SettingsError> {
-        let fault = |errors| SettingsError {
+        let settings_error = |errors| SettingsError {
             path: path.display().to_string(),
             errors,
         };
-        let text = std::fs::read_to_string(path).map_err(|error| fault(vec![error.to_string()]))?;
-        let settings = Self::parse(&text, overrides).map_err(|error| fault(vec![error]))?;
-        let faults = settings.check(role);
-        if faults.is_empty() {
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| settings_error(vec![error.to_string()]))?;
+        let settings =
+            Self::parse(&text, overrides).map_err(|error| settings_error(vec![error]))?;
+        let errors = settings.check(role);
+        if errors.is_empty() {
             Ok(settings)
         } else {
-            Err(fault(faults))
+            Err(settings_error(errors))
         }
     }
 
     fn parse(text: &str, overrides: &[String]) -> Result<Self, String> {
         let mut table: toml::Table = text.parse().map_err(|error| format!("{error}"))?;
-        for one in overrides {
-            override_value(&mut table, one)?;
+        for text in overrides {
+            override_value(&mut table, text)?;
         }
-        // Fields of a newer form are passed over.
+        // Unknown fields are ignored, so that files for newer versions can be read.
         table.try_into().map_err(|error| format!("{error}"))
     }
 
     fn check(&self, role: NodeRole) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut require = |holds: bool, fault: &str| {
-            if !holds {
-                faults.push(fault.to_owned());
+        let mut errors = Vec::new();
+        let mut require = |is_valid: bool, error: &str| {
+            if !is_valid {
+                errors.push(error.to_owned());
             }
         };
         require(!self.name.is_empty(), "name: empty");
@@ -269,7 +272,7 @@
         );
         require(
             rollout.rollback_ms >= MIN_ROLLBACK_MS,
-            "rollout.rollback_ms: below 2000, in which entry hosts notice that they hear no control host",
+            "rollout.rollback_ms: below 2000, the time in which entry hosts detect the loss of all control hosts",
         );
         match role {
             NodeRole::Control => {
@@ -281,7 +284,7 @@
                 require(self.listen.readiness.is_some(), "listen.readiness: missing");
             }
         }
-        faults
+        errors
     }
 
     /// Returns the peer addresses of the seeds.
@@ -293,18 +296,18 @@
 }
 
 fn override_value(table: &mut toml::Table, text: &str) -> Result<(), String> {
-    let wrong = || format!("{text}: wanted PLACE=VALUE");
-    let (place, value) = text.split_once('=').ok_or_else(wrong)?;
+    let malformed = || format!("{text}: expected PLACE=VALUE");
+    let (place, value) = text.split_once('=').ok_or_else(malformed)?;
     let mut names: Vec<&str> = place.split('.').collect();
-    let last = names.pop().ok_or_else(wrong)?;
+    let last = names.pop().ok_or_else(malformed)?;
     let mut inner = table;
     for name in names {
         let next = inner
             .entry(name)
             .or_insert_with(|| toml::Value::Table(toml::Table::new()));
-        inner = next.as_table_mut().ok_or_else(wrong)?;
+        inner = next.as_table_mut().ok_or_else(malformed)?;
     }
-    // A value that is no TOML by itself is a text.
+    // A value that is not valid TOML is used as a string, so that overrides need no quotes.
     let value = format!("v = {value}")
         .parse::<toml::Table>()
         .ok()
