--- a/crates/logbook/src/explain.rs
+++ b/crates/logbook/src/explain.rs
@@ -1,48 +1,49 @@
-//! What all processes wrote of one request.
+//! The history of one request from the logs of all processes.
 
 use linnet_telemetry::EventCode;
 
 use crate::LogLine;
 
-/// Lines about the request's targets that are told beside its own, the newest ones.
+/// Maximum number of lines about the request's targets, of which the newest are kept.
 const MAX_TARGET_LINES: usize = 12;
 
-/// What is known of one request.
+/// The logged history of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHistory {
-    /// The lines about it, in the order of their times.
+    /// Lines that concern the request, ordered by time.
     pub lines: Vec<LogLine>,
-    /// What happened to targets that it was sent to, until its last line.
+    /// Events of the targets that it was sent to, up to its last line. If it was refused because all
+    /// targets of its service were unavailable, also the notices of these targets.
     pub target_lines: Vec<LogLine>,
-    /// What was held against it, also when it came under other ids and at other hosts, until its last line.
+    /// Quarantine events of the same request under other ids and at other hosts, up to its last line.
     pub held_lines: Vec<LogLine>,
-    /// What decided its end, in a sentence.
+    /// The outcome and its cause, in one sentence.
     pub summary: String,
 }
 
-/// Gathers what was written of a request; nothing where no line names it.
+/// Collects the history of a request; returns `None` if no line concerns it.
 pub fn explain_request(all: &[LogLine], request: &str) -> Option<RequestHistory> {
-    let named = all.iter().filter(|line| line.concerns(request));
-    let mut lines: Vec<LogLine> = named.cloned().collect();
+    let concerned = all.iter().filter(|line| line.concerns(request));
+    let mut lines: Vec<LogLine> = concerned.cloned().collect();
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     let last = lines.last()?;
     let own = lines.iter().filter(|line| line.request.is_some());
     let targets: Vec<&str> = own.filter_map(|line| line.peer.as_deref()).collect();
-    let closed = lines.iter().find_map(unavailable_service);
+    let unavailable = lines.iter().find_map(unavailable_service);
     let mut target_lines: Vec<LogLine> = all
         .iter()
         .filter(|line| is_target_event(line) && line.time <= last.time)
         .filter(|line| {
             let peer = line.peer.as_deref();
             let sent_to = peer.is_some_and(|peer| targets.contains(&peer));
-            sent_to || closed.is_some_and(|closed| explains_refusal(line, closed))
+            sent_to || unavailable.is_some_and(|service| explains_refusal(line, service))
         })
         .filter(|line| !line.concerns(request))
         .cloned()
         .collect();
     target_lines.sort_by(|a, b| a.time.cmp(&b.time));
-    let more = target_lines.len().saturating_sub(MAX_TARGET_LINES);
-    target_lines.drain(..more);
+    let excess = target_lines.len().saturating_sub(MAX_TARGET_LINES);
+    target_lines.drain(..excess);
     let held_lines = held_lines(all, &lines, &last.time);
     let summary = summarize(&lines);
     Some(RequestHistory {
@@ -53,15 +54,15 @@
     })
 }
 
-/// Returns what was written, until a time, of the same request under other ids: its key stands in lines on
-/// suspects and in its refusal.
+/// Returns the quarantine events, up to a time, of the same request under other ids. The lines are matched
+/// by the request key, which quarantine events and the refusal contain.
 fn held_lines(all: &[LogLine], own: &[LogLine], until: &str) -> Vec<LogLine> {
     let key_of = |line: &LogLine| line.field("key").map(str::to_owned);
     let Some(key) = own.iter().find_map(key_of) else {
         return Vec::new();
     };
-    let tells = |line: &&LogLine| {
-        let tells = matches!(
+    let is_related = |line: &&LogLine| {
+        let is_quarantine_event = matches!(
             line.code,
             EventCode::RequestAccused
                 | EventCode::RequestAcquitted
@@ -69,11 +70,11 @@
                 | EventCode::RequestTried
                 | EventCode::RequestReleased
         );
-        tells && line.time.as_str() <= until && line.field("key") == Some(&key)
+        is_quarantine_event && line.time.as_str() <= until && line.field("key") == Some(&key)
     };
     let mut held: Vec<LogLine> = all
         .iter()
-        .filter(tells)
+        .filter(is_related)
         .filter(|line| !own.contains(line))
         .cloned()
         .collect();
@@ -81,10 +82,11 @@
     held
 }
 
-/// What a refusal says of all targets of a service behind its name: they wanted nothing, or their rates were used up.
+/// Texts that follow the name of the service in a refusal because all its targets are unavailable: they
+/// are backed off, or their rate limits are used up.
 const UNAVAILABLE_PHRASES: [&str; 2] = [" wants no requests", " names a rate"];
 
-/// Where a request was refused since all targets of a service wanted none.
+/// The host and service of a refusal because all targets of the service were unavailable.
 #[derive(Clone, Copy)]
 struct UnavailableService<'a> {
     host: &'a str,
@@ -92,25 +94,26 @@
 }
 
 fn unavailable_service(line: &LogLine) -> Option<UnavailableService<'_>> {
-    let (_, told) = line.detail.split_once("every target of ")?;
-    let mut causes = UNAVAILABLE_PHRASES.iter();
-    let (service, _) = causes.find_map(|cause| told.split_once(cause))?;
+    let (_, cause) = line.detail.split_once("every target of ")?;
+    let mut phrases = UNAVAILABLE_PHRASES.iter();
+    let (service, _) = phrases.find_map(|phrase| cause.split_once(phrase))?;
     Some(UnavailableService {
         host: &line.host,
         service,
     })
 }
 
-/// Says whether a line tells that a target of a closed service wanted no requests of the host.
-fn explains_refusal(line: &LogLine, closed: UnavailableService<'_>) -> bool {
-    let asked = matches!(
+/// Returns whether a line records that a target of an unavailable service backed off, limited its rate or
+/// is leaving, as seen by the host that refused the request.
+fn explains_refusal(line: &LogLine, unavailable: UnavailableService<'_>) -> bool {
+    let is_notice = matches!(
         line.code,
         EventCode::TargetBackedOff | EventCode::TargetLeaving | EventCode::RateNamed
     );
-    asked && line.host == closed.host && line.field("service") == Some(closed.service)
+    is_notice && line.host == unavailable.host && line.field("service") == Some(unavailable.service)
 }
 
-/// Says whether a line tells that a target failed, leaves or is silent.
+/// Returns whether a line records a failure, notice, departure or silence of a target.
 fn is_target_event(line: &LogLine) -> bool {
     matches!(
         line.code,
@@ -142,16 +145,20 @@
         .detail
         .split_once("outcome=")
         .map_or("", |(_, text)| text);
-    let what = match end.code {
+    let result = match end.code {
         EventCode::RequestRefused => "refused, it did not run",
         EventCode::RequestFailed => "failed, it may have run",
         _ => "finished",
     };
-    format!("{what} at {}: {outcome}{}", end.host, describe_times(lines))
+    format!(
+        "{result} at {}: {outcome}{}",
+        end.host,
+        describe_times(lines)
+    )
 }
 
-/// Returns the planned and the real time until the answer of a request began, where a line has both;
-/// lines of calls have times of their own.
+/// Describes the planned and the actual time until the response to a request began, from the first line
+/// that has both. The times of calls to stage targets are in other lines, without a planned time.
 fn describe_times(lines: &[LogLine]) -> String {
     let both = lines.iter().find_map(|line| {
         let planned = line.field_ms("planned_ms")?;
--- a/crates/logbook/src/explain/tests.rs
+++ b/crates/logbook/src/explain/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_failure_comes_with_its_stages_and_what_its_target_did_before() {
+fn a_failure_includes_its_stage_calls_and_earlier_target_events() {
     let history = explain_request(&lines(), "ab12").unwrap();
     let codes: Vec<EventCode> = history.lines.iter().map(|line| line.code).collect();
     assert_eq!(
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_refusal_says_that_it_did_not_run() {
+fn the_summary_of_a_refusal_states_that_it_did_not_run() {
     let history = explain_request(&lines(), "cd34").unwrap();
     assert!(
         history
@@ -46,9 +46,9 @@
     assert!(history.target_lines.is_empty());
 }
 
-/// A caller's next try has another id; the key tells why it was refused.
+/// A caller's retry has another id; the request key links it to the crashes of the earlier attempts.
 #[test]
-fn a_held_request_is_told_with_the_ends_under_its_other_tries() {
+fn a_held_request_includes_the_crashes_under_its_other_ids() {
     const LOG: &str = "\
 2026-09-17T19:28:20.000Z WARN event=420 host=edge-2 request=a1 peer=i-1 RequestAccused: key=f00 account=a method=GET path=h/x ran_ms=70 ends=1
 2026-09-17T19:28:20.000Z WARN event=420 host=edge-2 request=b1 peer=i-1 RequestAccused: key=b44 account=b method=GET path=h/y ran_ms=900 ends=1
@@ -61,9 +61,9 @@
     assert!(history.summary.contains("ends_targets: 3 targets ended"));
 }
 
-/// Such a request was sent to none of them.
+/// The request was sent to none of these targets, so that they do not appear as its peers.
 #[test]
-fn a_request_whose_service_was_closed_is_told_with_what_its_targets_asked() {
+fn a_refusal_for_an_unavailable_service_includes_the_notices_of_its_targets() {
     const LOG: &str = "\
 2026-09-17T19:28:20.000Z WARN event=507 host=edge-1 peer=i-1 TargetBackedOff: service=s wait_ms=3000 former_left_ms=0
 2026-09-17T19:28:20.000Z WARN event=507 host=edge-2 peer=i-2 TargetBackedOff: service=s wait_ms=3000 former_left_ms=0
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_request_beyond_the_rates_of_its_service_is_told_with_these() {
+fn a_refusal_for_used_up_rate_limits_includes_these_limits() {
     const LOG: &str = "\
 2026-09-17T19:28:20.000Z WARN event=509 host=edge-1 peer=i-1 RateNamed: service=s per_s=1 former=any sent=0 withheld=0 cause=answered
 2026-09-17T19:28:20.000Z WARN event=509 host=edge-1 peer=i-2 RateNamed: service=t per_s=1 former=any sent=0 withheld=0 cause=answered
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_request_without_an_end_or_without_lines_is_told_so() {
+fn requests_without_an_end_or_without_lines_are_reported_as_such() {
     let history = explain_request(&lines(), "zz").unwrap();
     assert!(history.summary.starts_with("no line tells its end"));
     assert_eq!(explain_request(&lines(), "unknown"), None);
--- a/crates/logbook/src/lib.rs
+++ b/crates/logbook/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the lines that processes write to their logs, and tells from them what became of requests.
+//! Parses the logs of all processes and derives the outcomes of requests from them.
 //!
-//! - [`LogLine`] is one line in typed form.
-//! - [`LossTable`] counts what became of requests, with planned against real times.
-//! - [`explain_request`] gathers what all processes wrote of one request and of what decided it.
+//! - [`LogLine`] is one parsed line.
+//! - [`LossTable`] counts the outcomes of requests and compares planned with actual times.
+//! - [`explain_request`] collects the lines of all processes about one request and the causes of its outcome.
 
 mod explain;
 mod line;
--- a/crates/logbook/src/line/tests.rs
+++ b/crates/logbook/src/line/tests.rs
@@ -5,7 +5,7 @@
     took_ms=0 outcome=overloaded: queues too long: waits_ms=259 expected_ms=1754";
 
 #[test]
-fn a_line_is_read_field_by_field() {
+fn a_line_is_parsed_into_its_fields() {
     let line = LogLine::parse(REFUSED).unwrap();
     assert_eq!(line.time, "2026-09-17T19:28:22.010Z");
     assert_eq!(
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn what_a_collector_writes_before_the_time_is_passed_over() {
+fn a_prefix_of_a_log_collector_is_ignored() {
     let line = LogLine::parse(&format!("  6.28 edge-1 {REFUSED}")).unwrap();
     assert_eq!(Some(line), LogLine::parse(REFUSED));
 }
 
 #[test]
-fn other_lines_and_torn_ones_are_no_events() {
+fn other_and_truncated_lines_are_rejected() {
     for text in [
         "",
         "log lines dropped=3",
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_call_names_every_request_whose_pieces_it_carries() {
+fn a_call_concerns_every_request_whose_pieces_it_contains() {
     let call = "2026-09-17T19:28:22.010Z INFO event=701 host=edge-1 peer=i-1 StageCallFinished: \
         service=s pieces=3 sender=- requests=ab12,cd34";
     let line = LogLine::parse(call).unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_text_hide_only_their_own_line() {
+fn invalid_utf_8_skips_only_its_own_line() {
     let mut bytes = b"\xff\xfe event=1\n".to_vec();
     bytes.extend(REFUSED.as_bytes());
     assert_eq!(read_lines(bytes.as_slice()).unwrap().len(), 1);
--- a/crates/logbook/src/losses.rs
+++ b/crates/logbook/src/losses.rs
@@ -1,4 +1,4 @@
-//! What became of requests, counted.
+//! Counts of the outcomes of requests.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::LogLine;
 
-/// By what requests are counted.
+/// The attribute by which requests are grouped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum LossGroup {
     /// Priorities of account and route
@@ -19,7 +19,7 @@
     Account,
     /// Entry host
     Host,
-    /// Second of their end
+    /// Second in which the request ended
     Second,
 }
 
@@ -36,48 +36,48 @@
     }
 }
 
-/// The middle and the ninth tenth of some times, in milliseconds.
+/// Median and 90th percentile of a set of times, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Quantiles {
-    /// Half of them are at most this.
+    /// Median.
     pub p50_ms: u64,
-    /// Nine in ten are at most this.
+    /// 90th percentile.
     pub p90_ms: u64,
 }
 
 impl Quantiles {
-    /// Returns the quantiles of some times; 0 where there are none.
+    /// Returns the quantiles of `times`; 0 if there are none.
     fn of(times: &[u64]) -> Self {
         let mut sorted = times.to_vec();
         sorted.sort_unstable();
-        let at = |part: f64| {
-            let place = (sorted.len() as f64 * part) as usize;
+        let quantile = |fraction: f64| {
+            let index = (sorted.len() as f64 * fraction) as usize;
             let last = sorted.len().saturating_sub(1);
-            sorted.get(place.min(last)).copied().unwrap_or(0)
+            sorted.get(index.min(last)).copied().unwrap_or(0)
         };
         Self {
-            p50_ms: at(0.5),
-            p90_ms: at(0.9),
+            p50_ms: quantile(0.5),
+            p90_ms: quantile(0.9),
         }
     }
 }
 
-/// What became of the requests of one group.
+/// Outcome counts and times of the requests of one group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct LossRow {
-    /// Requests whose target answered, also with a failure of its own.
+    /// Requests with a response from their target, including error responses.
     pub answered: u64,
-    /// Requests that were refused and did not run, by reason.
+    /// Requests that were refused without running, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Requests that may have run and have no answer, by reason.
+    /// Requests without a response that may have run, by reason.
     pub failed: BTreeMap<String, u64>,
-    /// Streams among those answered that broke off.
+    /// Streams among the answered requests that were interrupted.
     pub cut: u64,
-    /// How long answered requests were to take by the queues at their admission.
+    /// Expected durations of answered requests, estimated from the queues at admission.
     pub planned: Quantiles,
-    /// How long their stages took.
+    /// Durations of the stages of answered requests.
     pub stages: Quantiles,
-    /// How long they took until their answer began.
+    /// Actual times until the response to an answered request began.
     pub took: Quantiles,
 }
 
@@ -96,15 +96,15 @@
     }
 }
 
-/// What became of requests, by group.
+/// Outcomes of requests, by group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct LossTable {
-    /// The rows, by the key of their group.
+    /// Rows by the key of the group.
     pub rows: BTreeMap<String, LossRow>,
 }
 
 impl LossTable {
-    /// Counts the requests that end in these lines.
+    /// Counts the outcomes of the requests whose end is in `lines`.
     pub fn new<'a>(lines: impl IntoIterator<Item = &'a LogLine>, group: LossGroup) -> Self {
         let mut rows: BTreeMap<String, LossRow> = BTreeMap::new();
         let mut times: BTreeMap<String, RowTimes> = BTreeMap::new();
@@ -114,7 +114,7 @@
             };
             let key = group.key_of(line);
             let row = rows.entry(key.clone()).or_default();
-            // A stream has a second line when it ends, which tells its events.
+            // The end of a stream is logged as a second line, which has the number of its chunks.
             let ends_stream = line.field("chunks").is_some();
             match line.code {
                 EventCode::RequestFinished if ends_stream => {}
@@ -141,26 +141,28 @@
         Self { rows }
     }
 
-    /// Returns the table as text, a row a line.
+    /// Formats the table as text, one row per line.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "{:<24} {:>8} {:>8} {:>8} {:>6} {:>12} {:>12} {:>12}  reasons\n",
             "group", "answered", "refused", "failed", "cut", "planned ms", "stages ms", "took ms"
         );
         for (key, row) in &self.rows {
-            let sum = |reasons: &BTreeMap<String, u64>| reasons.values().sum::<u64>();
-            let span = |one: Quantiles| format!("{}/{}", one.p50_ms, one.p90_ms);
+            let total = |reasons: &BTreeMap<String, u64>| reasons.values().sum::<u64>();
+            let format_times = |times: Quantiles| format!("{}/{}", times.p50_ms, times.p90_ms);
             let reasons = row.refused.iter().chain(&row.failed);
-            let reasons: Vec<String> = reasons.map(|(name, n)| format!("{name}={n}")).collect();
+            let reasons: Vec<String> = reasons
+                .map(|(reason, count)| format!("{reason}={count}"))
+                .collect();
             text += &format!(
                 "{key:<24} {:>8} {:>8} {:>8} {:>6} {:>12} {:>12} {:>12}  {}\n",
                 row.answered,
-                sum(&row.refused),
-                sum(&row.failed),
+                total(&row.refused),
+                total(&row.failed),
                 row.cut,
-                span(row.planned),
-                span(row.stages),
-                span(row.took),
+                format_times(row.planned),
+                format_times(row.stages),
+                format_times(row.took),
                 reasons.join(" ")
             );
         }
--- a/crates/logbook/src/losses/tests.rs
+++ b/crates/logbook/src/losses/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_request_counts_once_and_a_cut_stream_is_no_second_one() {
+fn each_request_counts_once_even_if_its_stream_is_interrupted() {
     let mut lines: Vec<LogLine> = (1..=10).map(|n| answered(n * 10, n * 100)).collect();
     let ended = "route=r chunks=9 took_ms=900 outcome=stream ended";
     lines.push(line(EventCode::RequestFinished, ended));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn requests_are_grouped_by_what_is_asked() {
+fn requests_are_grouped_by_the_selected_attribute() {
     let lines = [answered(1, 2)];
     for (group, key) in [
         (LossGroup::Route, "r"),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn without_lines_there_are_no_rows() {
+fn an_empty_log_gives_no_rows() {
     let table = LossTable::new([], LossGroup::Rank);
     assert!(table.rows.is_empty());
     assert_eq!(table.to_text().lines().count(), 1);
