--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks control hosts over HTTP.
+//! HTTP client for the operators' ports of hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 
 use crate::{CtlError, CtlSettings, CtlStep};
 
-/// The largest answer that is read, in bytes.
+/// Maximum body of a response.
 const MAX_RESPONSE_BYTES: usize = 128 * 1024 * 1024;
 
-/// Wait before the leader is looked for again.
+/// Pause before the search for the leader continues at the next control host.
 const LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A client with the operator's key.
+/// A client that authenticates with the operator's key.
 pub(crate) struct OpsClient {
     http: Client,
     control: Vec<SocketAddr>,
@@ -28,7 +28,7 @@
     timeout: Duration,
 }
 
-/// An answer with its status.
+/// A response with its status and table version.
 pub(crate) struct OpsResponse {
     pub(crate) status: u16,
     pub(crate) version: Option<u64>,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Returns the control hosts that were named.
+    /// Returns the addresses of the control hosts from the arguments.
     pub(crate) fn control_hosts(&self) -> Result<&[SocketAddr], CtlError> {
         if self.control.is_empty() {
             let message = "no control host is named; use --control or LINNET_CONTROL_OPS";
@@ -60,7 +60,7 @@
         Ok(&self.control)
     }
 
-    /// Asks one host.
+    /// Sends a request to one host and returns the response, whatever its status.
     pub(crate) async fn send(
         &self,
         host: SocketAddr,
@@ -76,24 +76,27 @@
             .header("authorization", format!("Bearer {}", self.key))
             .content_type("application/json")
             .force_close();
-        let work = async {
+        let exchange = async {
             let response = request
                 .send_body(body)
                 .await
                 .map_err(|error| failed(error.to_string()))?;
             read_response(response).await.map_err(failed)
         };
-        match tokio::time::timeout(self.timeout, work).await {
-            Ok(answer) => answer,
-            Err(_) => Err(failed("no answer in time".to_owned())),
+        match tokio::time::timeout(self.timeout, exchange).await {
+            Ok(response) => response,
+            Err(_) => Err(failed(format!(
+                "no response within {} ms",
+                self.timeout.as_millis()
+            ))),
         }
     }
 
-    /// Has a host do something that has no answer but that it is done.
+    /// Sends an order to a host whose response has no content beyond success.
     ///
     /// # Errors
     ///
-    /// [`CtlStep::Apply`] with what the host says, where it does not do it.
+    /// An error of the step [`CtlStep::Apply`] with the message of the host if it refuses the order.
     pub(crate) async fn execute(
         &self,
         host: SocketAddr,
@@ -101,38 +104,42 @@
         path: &str,
         body: Bytes,
     ) -> Result<(), CtlError> {
-        let answer = self.send(host, method, path, body).await?;
-        if answer.status != 200 {
+        let response = self.send(host, method, path, body).await?;
+        if response.status != 200 {
             let peer = host.to_string();
-            return Err(CtlError::failed(CtlStep::Apply, peer, error_text(&answer)));
+            return Err(CtlError::failed(
+                CtlStep::Apply,
+                peer,
+                error_text(&response),
+            ));
         }
         Ok(())
     }
 
-    /// Reads a JSON page of one host.
+    /// Gets a path of one host and parses its JSON body.
     pub(crate) async fn get<T: DeserializeOwned>(
         &self,
         host: SocketAddr,
         path: &str,
     ) -> Result<T, CtlError> {
-        let answer = self.send(host, Method::GET, path, Bytes::new()).await?;
-        parse_ok(host, &answer)
+        let response = self.send(host, Method::GET, path, Bytes::new()).await?;
+        parse_ok(host, &response)
     }
 
-    /// Returns the status of every control host, or why it could not be had.
+    /// Returns the status of every control host, or the error of the request to it.
     pub(crate) async fn all_statuses(
         &self,
     ) -> Result<Vec<(SocketAddr, Result<ControlStatus, CtlError>)>, CtlError> {
-        let mut all = Vec::new();
+        let mut statuses = Vec::new();
         for host in self.control_hosts()? {
-            all.push((*host, self.get(*host, "/v1/status").await));
+            statuses.push((*host, self.get(*host, "/v1/status").await));
         }
-        Ok(all)
+        Ok(statuses)
     }
 
-    /// Asks the leader, looking for it until the time is up.
+    /// Sends a request to the leader and searches for the leader until the timeout.
     ///
-    /// A connection lost after the request was sent leaves the outcome open; the caller decides
+    /// If a connection is lost after the request was sent, its outcome is unknown; the caller decides
     /// whether sending it again is safe.
     pub(crate) async fn send_to_leader<T: Serialize>(
         &self,
@@ -146,23 +153,23 @@
             None => Vec::new(),
         };
         let bytes = Bytes::from(bytes);
-        let until = Instant::now() + self.timeout;
+        let deadline = Instant::now() + self.timeout;
         let mut hint: Option<SocketAddr> = None;
-        let mut turn = 0;
+        let mut attempt = 0;
         loop {
             let control = self.control_hosts()?;
-            let host = hint.take().unwrap_or(control[turn % control.len()]);
-            turn += 1;
-            let failure = match self.send(host, method.clone(), path, bytes.clone()).await {
-                Ok(answer) if answer.status == 421 => {
-                    hint = leader_hint(&answer);
+            let host = hint.take().unwrap_or(control[attempt % control.len()]);
+            attempt += 1;
+            let last_error = match self.send(host, method.clone(), path, bytes.clone()).await {
+                Ok(response) if response.status == 421 => {
+                    hint = leader_hint(&response);
                     CtlError::failed(CtlStep::Request, host.to_string(), "no host leads")
                 }
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(error) => error,
             };
-            if Instant::now() >= until {
-                return Err(failure);
+            if Instant::now() >= deadline {
+                return Err(last_error);
             }
             if hint.is_none() {
                 sleep(LEADER_RETRY_INTERVAL).await;
@@ -171,32 +178,32 @@
     }
 }
 
-fn leader_hint(answer: &OpsResponse) -> Option<SocketAddr> {
-    match serde_json::from_slice(&answer.body) {
+fn leader_hint(response: &OpsResponse) -> Option<SocketAddr> {
+    match serde_json::from_slice(&response.body) {
         Ok(ChangeReply::NotLeader { leader }) => leader.map(|leader| leader.ops),
         _ => None,
     }
 }
 
-/// Parses the body of an answer that must be a success.
+/// Parses the JSON body of a response; fails unless its status is 200.
 pub(crate) fn parse_ok<T: DeserializeOwned>(
     host: SocketAddr,
-    answer: &OpsResponse,
+    response: &OpsResponse,
 ) -> Result<T, CtlError> {
-    let refused = |message: String| CtlError::failed(CtlStep::Request, host.to_string(), message);
-    if answer.status != 200 {
-        return Err(refused(error_text(answer)));
+    let failed = |message: String| CtlError::failed(CtlStep::Request, host.to_string(), message);
+    if response.status != 200 {
+        return Err(failed(error_text(response)));
     }
-    serde_json::from_slice(&answer.body).map_err(|error| refused(error.to_string()))
+    serde_json::from_slice(&response.body).map_err(|error| failed(error.to_string()))
 }
 
-/// Returns what an answer that is no success says.
-pub(crate) fn error_text(answer: &OpsResponse) -> String {
-    let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+/// Returns the message of an error response, or its status if it has none.
+pub(crate) fn error_text(response: &OpsResponse) -> String {
+    let body: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
     let message = body.get("message").and_then(|message| message.as_str());
     match message {
         Some(message) => message.to_owned(),
-        None => format!("status {}", answer.status),
+        None => format!("status {}", response.status),
     }
 }
 
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of commands, with their step and peer.
+//! Errors of commands, with the failed step and the peer.
 
 use derive_more::Display;
 
-/// The step of a command at which an error arose.
+/// The step of a command that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum CtlStep {
     /// Reading a file.
@@ -11,7 +11,7 @@
     /// Checking rows.
     #[display("check")]
     Check,
-    /// Asking a host.
+    /// Sending a request to a host.
     #[display("ask")]
     Request,
     /// Applying a change.
@@ -25,28 +25,28 @@
 /// An error of a command.
 #[derive(Debug, Display, derive_more::Error)]
 pub enum CtlError {
-    /// Something was refused, or is wrong.
+    /// The step failed or was refused.
     #[display("{step} {peer}: {message}")]
     Failed {
         /// The step.
         step: CtlStep,
-        /// The host or file.
+        /// Host or file that the step concerns; empty if there is none.
         peer: String,
-        /// What is wrong.
+        /// The cause.
         message: String,
     },
-    /// Nobody can tell whether a change was taken.
+    /// No response shows whether a change was applied.
     #[display("{step}: the outcome is unknown; run the same command again with --key {key}")]
     Unknown {
         /// The step.
         step: CtlStep,
-        /// The change key to send it again under.
+        /// The change key, with which the change can be sent again safely.
         key: String,
     },
 }
 
 impl CtlError {
-    /// Creates a refusal.
+    /// Creates a [`CtlError::Failed`].
     pub fn failed(step: CtlStep, peer: impl Into<String>, message: impl Into<String>) -> Self {
         CtlError::Failed {
             step,
--- a/crates/ctl/src/form.rs
+++ b/crates/ctl/src/form.rs
@@ -10,28 +10,28 @@
 use crate::client::{OpsClient, error_text};
 use crate::{CtlError, CtlStep};
 
-/// Forms a cluster of the hosts named by `--control`. Run again after a failure half-way, it goes
-/// on with the cluster that was begun.
+/// Forms a cluster of the hosts named by `--control`. After a partial failure it can be run again and
+/// continues with the same cluster.
 pub(crate) async fn form_cluster(client: &OpsClient) -> Result<(), CtlError> {
     let mut found: Vec<(SocketAddr, ControlStatus)> = Vec::new();
     for (host, status) in client.all_statuses().await? {
         found.push((host, status?));
     }
-    let begun = found
+    let formed = found
         .iter()
         .find(|(_, status)| status.replica.cluster.is_some());
-    let request = match begun {
+    let request = match formed {
         Some((host, status)) => resume_cluster(*host, status, &found)?,
         None => new_cluster(&found)?,
     };
     let body = serde_json::to_vec(&request)
         .map_err(|error| CtlError::failed(CtlStep::Apply, "", error.to_string()))?;
     for (host, status) in &found {
-        let answer = client
+        let response = client
             .send(*host, Method::POST, "/v1/form", Bytes::from(body.clone()))
             .await?;
-        if answer.status != 200 {
-            let message = error_text(&answer);
+        if response.status != 200 {
+            let message = error_text(&response);
             return Err(CtlError::failed(
                 CtlStep::Apply,
                 status.name.clone(),
@@ -60,31 +60,31 @@
     })
 }
 
-// Only identities that were named at the beginning may be formed: a host whose disk was wiped
-// since then has another one, and must be repaired instead.
+// Only identities that are founders may be formed: a host whose disk was wiped since the founding
+// has a new identity and must be repaired instead.
 fn resume_cluster(
     host: SocketAddr,
-    begun: &ControlStatus,
+    formed: &ControlStatus,
     found: &[(SocketAddr, ControlStatus)],
 ) -> Result<FormRequest, CtlError> {
-    let members = &begun.replica.members;
-    let stranger = found
+    let members = &formed.replica.members;
+    let non_founder = found
         .iter()
         .find(|(_, status)| !members.is_voter(status.replica.id));
-    if let Some((_, stranger)) = stranger {
+    if let Some((_, non_founder)) = non_founder {
         let message = format!(
             "{} is no founder of the cluster that was begun here; see `linnetctl member repair`",
-            stranger.name
+            non_founder.name
         );
         return Err(CtlError::failed(CtlStep::Check, host.to_string(), message));
     }
     Ok(FormRequest {
-        cluster: begun.replica.cluster.unwrap_or_default(),
+        cluster: formed.replica.cluster.unwrap_or_default(),
         founders: members.clone(),
     })
 }
 
-/// Returns a control host as a member.
+/// Converts the status of a control host into a cluster member.
 pub(crate) fn member_of(status: &ControlStatus) -> Member {
     Member {
         id: status.replica.id,
--- a/crates/ctl/src/held.rs
+++ b/crates/ctl/src/held.rs
@@ -1,4 +1,4 @@
-//! Shows and releases requests that are held since they end their targets.
+//! Lists and releases requests that are held because they crash their targets.
 
 use std::net::SocketAddr;
 
@@ -10,9 +10,9 @@
 use crate::settings::HeldCommand;
 use crate::{CtlError, CtlStep};
 
-/// Runs a command on held requests. Every control host knows the same, so the first that answers is asked.
+/// Runs a command on held requests at the first control host that succeeds; all have the same records.
 pub(crate) async fn run_held(client: &OpsClient, command: HeldCommand) -> Result<(), CtlError> {
-    let mut failure = None;
+    let mut last_error = None;
     for host in client.control_hosts()? {
         let outcome = match &command {
             HeldCommand::List => list_held(client, *host).await,
@@ -20,19 +20,19 @@
         };
         match outcome {
             Ok(()) => return Ok(()),
-            Err(error) => failure = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
-    Err(failure
-        .unwrap_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers")))
+    Err(last_error
+        .unwrap_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host responded")))
 }
 
 async fn list_held(client: &OpsClient, host: SocketAddr) -> Result<(), CtlError> {
     let lines: Vec<HeldLine> = client.get(host, HELD_PATH).await?;
     for line in &lines {
-        let standing = if line.held { "held" } else { "suspect" };
+        let state = if line.held { "held" } else { "suspect" };
         println!(
-            "{} {standing} ends={} trials={} age_s={} account={} {} {}",
+            "{} {state} ends={} trials={} age_s={} account={} {} {}",
             line.key,
             line.ends,
             line.trials,
@@ -50,6 +50,6 @@
     client
         .execute(host, Method::DELETE, &path, Bytes::new())
         .await?;
-    println!("released; every host lets it run again");
+    println!("released; all hosts accept it again");
     Ok(())
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,9 +1,9 @@
 //! `linnetctl`: the operators' command line.
 //!
-//! - [`CtlSettings`] are its arguments; [`run_ctl`] runs one command.
-//! - `client` asks the control hosts and finds the one that leads.
-//! - `table`, `status`, `timeline`, `member`, `held`, `rollout`, `notices` and `form` hold one family of commands each.
-//! - `logs` holds the commands on collected logs, which need no host.
+//! - [`CtlSettings`] defines the arguments; [`run_ctl`] runs one command.
+//! - `client` sends requests to the control hosts and finds the leader.
+//! - `table`, `status`, `timeline`, `member`, `held`, `rollout`, `notices` and `form` implement one group of commands each.
+//! - `logs` implements the commands on collected logs, which contact no host.
 
 mod client;
 mod error;
@@ -29,8 +29,8 @@
 
 /// Runs one command and prints its result; must run inside an ntex runtime.
 ///
-/// The exit status is 0 where the command did what it says, 1 where it was refused, 2 for wrong
-/// arguments, 3 where the outcome is unknown.
+/// The exit status is 0 if the command succeeded, 1 if it failed or was refused, 2 for invalid
+/// arguments, and 3 if the outcome is unknown.
 pub async fn run_ctl(settings: CtlSettings) -> ExitCode {
     let result = match OpsClient::new(&settings).await {
         Ok(client) => run_command(&client, settings.command).await,
--- a/crates/ctl/src/logs.rs
+++ b/crates/ctl/src/logs.rs
@@ -9,7 +9,7 @@
 use crate::settings::{ExplainArgs, LossesArgs};
 use crate::{CtlError, CtlStep};
 
-/// Prints what became of the requests in some logs.
+/// Prints the outcomes of the requests in the given logs.
 pub(crate) fn show_losses(args: &LossesArgs) -> Result<(), CtlError> {
     let lines = read_logs(&args.logs)?;
     let table = LossTable::new(&lines, args.by);
@@ -22,20 +22,20 @@
     Ok(())
 }
 
-/// Prints what some logs tell of one request.
+/// Prints the history of one request from the given logs.
 pub(crate) fn explain(args: &ExplainArgs) -> Result<(), CtlError> {
     let lines = read_logs(&args.logs)?;
     let history = explain_request(&lines, &args.request).ok_or_else(|| {
-        let cause = format!("none of {} lines names it", lines.len());
+        let cause = format!("none of {} lines concerns this request", lines.len());
         CtlError::failed(CtlStep::Read, args.request.clone(), cause)
     })?;
     history.lines.iter().for_each(print_line);
     if !history.target_lines.is_empty() {
-        println!("its targets before:");
+        println!("events of its targets:");
         history.target_lines.iter().for_each(print_line);
     }
     if !history.held_lines.is_empty() {
-        println!("what was held against it:");
+        println!("quarantine events of the same request:");
         history.held_lines.iter().for_each(print_line);
     }
     println!("{}", history.summary);
@@ -53,7 +53,7 @@
     );
 }
 
-/// Reads logs from files and folders, or from standard input where none is named.
+/// Reads logs from files and directories, or from standard input if none is given.
 fn read_logs(paths: &[PathBuf]) -> Result<Vec<LogLine>, CtlError> {
     if paths.is_empty() {
         return read_lines(io::stdin().lock()).map_err(|error| read_error(Path::new("-"), &error));
@@ -69,16 +69,16 @@
     Ok(lines)
 }
 
-/// Returns the files that a path names: itself, or those that lie in it.
+/// Returns the path itself if it is a file, otherwise the files directly in the directory.
 fn files_of(path: &Path) -> io::Result<Vec<PathBuf>> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
     let mut files = Vec::new();
     for entry in path.read_dir()? {
-        let inner = entry?.path();
-        if inner.is_file() {
-            files.push(inner);
+        let entry_path = entry?.path();
+        if entry_path.is_file() {
+            files.push(entry_path);
         }
     }
     files.sort();
--- a/crates/ctl/src/member.rs
+++ b/crates/ctl/src/member.rs
@@ -1,4 +1,4 @@
-//! Shows and changes the voters.
+//! Lists and changes the members of the quorum.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::settings::MemberCommand;
 use crate::{CtlError, CtlStep};
 
-/// Runs a command on voters.
+/// Runs a command on the members.
 pub(crate) async fn run_member(client: &OpsClient, command: MemberCommand) -> Result<(), CtlError> {
     match command {
         MemberCommand::List => list_members(client).await,
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Adds the host under its new identity in the place of the one that its name had.
+/// Adds a host under its new identity, which replaces the former identity with the same name.
 async fn repair(client: &OpsClient, ops: SocketAddr) -> Result<(), CtlError> {
     let status: ControlStatus = client.get(ops, "/v1/status").await?;
     let members = current_members(client).await?;
@@ -57,30 +57,30 @@
         );
         return Ok(());
     }
-    let old = find_by_name(&members, &status.name)?;
+    let former = find_by_name(&members, &status.name)?;
     let member = Member {
-        replaces: Some(old.id),
+        replaces: Some(former.id),
         ..member_of(&status)
     };
     change(client, MemberChange::Add(member)).await
 }
 
 async fn change(client: &OpsClient, change: MemberChange) -> Result<(), CtlError> {
-    let answer = client
+    let response = client
         .send_to_leader(Method::POST, "/v1/members", Some(&change))
         .await?;
-    if answer.status != 200 {
-        return Err(CtlError::failed(CtlStep::Apply, "", error_text(&answer)));
+    if response.status != 200 {
+        return Err(CtlError::failed(CtlStep::Apply, "", error_text(&response)));
     }
-    println!("taken; a new member votes once it is caught up (see `linnetctl member list`)");
+    println!("accepted; a new member votes once it has caught up (see `linnetctl member list`)");
     Ok(())
 }
 
-/// Returns the members as the host with the newest log knows them.
+/// Returns the members as known to the host with the newest log.
 async fn current_members(client: &OpsClient) -> Result<Members, CtlError> {
-    let all = client.all_statuses().await?;
-    let known = all.into_iter().filter_map(|(_, status)| status.ok());
-    known
+    let statuses = client.all_statuses().await?;
+    let received = statuses.into_iter().filter_map(|(_, status)| status.ok());
+    received
         .filter(|status| status.replica.cluster.is_some())
         .max_by_key(|status| {
             (
@@ -90,7 +90,7 @@
             )
         })
         .map(|status| status.replica.members)
-        .ok_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers"))
+        .ok_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host responded"))
 }
 
 fn find_by_name<'a>(members: &'a Members, name: &str) -> Result<&'a Member, CtlError> {
--- a/crates/ctl/src/notices.rs
+++ b/crates/ctl/src/notices.rs
@@ -1,4 +1,4 @@
-//! Shows what targets asked of entry hosts.
+//! Shows the notices of targets to entry hosts.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,26 @@
 use crate::settings::NoticesArgs;
 use crate::{CtlError, CtlStep};
 
-/// Asks each entry host; one that does not answer is named, and the others are shown all the same.
+/// Prints the notices of each entry host. Hosts that do not respond are reported, and the others are still
+/// shown.
 pub(crate) async fn show_notices(client: &OpsClient, args: &NoticesArgs) -> Result<(), CtlError> {
-    let mut silent = Vec::new();
+    let mut unreachable = Vec::new();
     for host in &args.entries {
         match client.get::<Vec<NoticeLine>>(*host, NOTICES_PATH).await {
             Ok(lines) => lines.iter().for_each(|line| print_line(*host, line)),
             Err(error) => {
                 eprintln!("linnetctl: {host}: {error}");
-                silent.push(host.to_string());
+                unreachable.push(host.to_string());
             }
         }
     }
-    if silent.is_empty() {
+    if unreachable.is_empty() {
         return Ok(());
     }
     Err(CtlError::failed(
         CtlStep::Request,
-        silent.join(","),
-        "no answer",
+        unreachable.join(","),
+        "no response",
     ))
 }
 
--- a/crates/ctl/src/rollout.rs
+++ b/crates/ctl/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Starts, shows and ends roll-outs of versions.
+//! Starts, shows and aborts roll-outs of versions.
 
 use std::net::SocketAddr;
 
@@ -10,9 +10,9 @@
 use crate::settings::RolloutCommand;
 use crate::{CtlError, CtlStep};
 
-/// Runs a command on roll-outs at the first control host that does it.
+/// Runs a command on roll-outs at the first control host that succeeds.
 pub(crate) async fn run_rollout(client: &OpsClient, verb: RolloutCommand) -> Result<(), CtlError> {
-    let mut failure = None;
+    let mut last_error = None;
     for host in client.control_hosts()? {
         let outcome = match &verb {
             RolloutCommand::Start {
@@ -26,11 +26,11 @@
         };
         match outcome {
             Ok(()) => return Ok(()),
-            Err(error) => failure = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
-    Err(failure
-        .unwrap_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers")))
+    Err(last_error
+        .unwrap_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host responded")))
 }
 
 fn is_in_progress(line: &RolloutLine) -> bool {
@@ -55,17 +55,17 @@
     client
         .execute(host, Method::POST, ROLLOUTS_PATH, Bytes::from(body))
         .await?;
-    println!("under way; `linnetctl rollout status` shows how it goes");
+    println!("started; `linnetctl rollout status` shows the progress");
     Ok(())
 }
 
 async fn show(
     client: &OpsClient,
     host: SocketAddr,
-    is_wanted: fn(&RolloutLine) -> bool,
+    filter: fn(&RolloutLine) -> bool,
 ) -> Result<(), CtlError> {
     let lines: Vec<RolloutLine> = client.get(host, ROLLOUTS_PATH).await?;
-    for line in lines.iter().filter(|line| is_wanted(line)) {
+    for line in lines.iter().filter(|line| filter(line)) {
         println!(
             "{} {} {} share={:.1}% cause={:?} answers={} failures={} former_answers={} former_failures={} against={:.2} former={}",
             line.service,
@@ -89,6 +89,6 @@
     client
         .execute(host, Method::DELETE, &path, Bytes::new())
         .await?;
-    println!("ended; no request goes to the version any more");
+    println!("aborted; no more requests are sent to the version");
     Ok(())
 }
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Parser)]
 #[command(name = "linnetctl", version)]
 pub struct CtlSettings {
-    /// Operators' addresses of the control hosts, parted by commas
+    /// Operators' addresses of the control hosts, separated by commas
     #[arg(long, env = "LINNET_CONTROL_OPS", value_delimiter = ',', global = true)]
     pub control: Vec<SocketAddr>,
     /// The operator's key
@@ -22,7 +22,7 @@
         hide_env_values = true
     )]
     pub operator_key: String,
-    /// How long one answer is waited for, in milliseconds
+    /// Maximum wait for a response, in milliseconds
     #[arg(
         long,
         env = "LINNET_CTL_TIMEOUT_MS",
@@ -30,12 +30,12 @@
         default_value_t = 8_000
     )]
     pub timeout_ms: u64,
-    /// What to do
+    /// The command to run
     #[command(subcommand)]
     pub(crate) command: CtlCommand,
 }
 
-/// What to do.
+/// A command of `linnetctl`.
 #[derive(Debug, Clone, Subcommand)]
 pub(crate) enum CtlCommand {
     /// Form a cluster of the blank control hosts named by --control
@@ -53,20 +53,20 @@
     Targets,
     /// Show the events of all processes in causal order
     Timeline(TimelineArgs),
-    /// Show and change the voters
+    /// Show and change the members of the quorum
     #[command(subcommand)]
     Member(MemberCommand),
-    /// Show and release requests that are refused since they end their targets
+    /// Show and release requests that are refused because they crash their targets
     #[command(subcommand)]
     Held(HeldCommand),
     /// Move the requests of a service to another version of its software
     #[command(subcommand)]
     Rollout(RolloutCommand),
-    /// Show what targets asked of entry hosts: no requests for a while, or no new work
+    /// Show what targets requested of entry hosts: a back-off, a rate limit, or no new work
     Notices(NoticesArgs),
-    /// Count what became of requests in collected logs, with planned against real times
+    /// Count the outcomes of requests in collected logs, with planned and actual times
     Losses(LossesArgs),
-    /// Gather what collected logs tell of one request
+    /// Collect what the logs contain about one request
     Explain(ExplainArgs),
     /// Print the digest of a key, for the table or for settings
     Key {
@@ -80,7 +80,7 @@
 pub(crate) enum TableCommand {
     /// Print the table as CSV; its version goes to standard error
     Get {
-        /// Take what any reachable control host holds, even if it may be old
+        /// Take the newest copy of any reachable control host, which may be outdated
         #[arg(long)]
         stale: bool,
     },
@@ -94,7 +94,7 @@
         /// The file
         file: PathBuf,
     },
-    /// Make the table what a CSV file says
+    /// Replace the table with the content of a CSV file
     Apply(ApplyArgs),
 }
 
@@ -113,21 +113,21 @@
 /// Commands on roll-outs.
 #[derive(Debug, Clone, Subcommand)]
 pub(crate) enum RolloutCommand {
-    /// Begin one; its targets have to be up, or come up within the time
+    /// Start a roll-out; targets of the version must be running, or start within the duration
     Start {
         /// The service
         service: String,
-        /// The version that its targets tell
+        /// The version, as reported by its targets
         version: String,
-        /// Time until all requests have to have moved, in seconds
+        /// Duration within which all requests move to the version, in seconds
         #[arg(long, default_value_t = 600)]
         seconds: u64,
     },
-    /// Show those that are under way, with what was counted for them
+    /// Show the roll-outs in progress, with their counts
     Status,
-    /// Show all that are remembered
+    /// Show all recorded roll-outs
     History,
-    /// End one; no request goes to the version any more
+    /// Abort a roll-out; no more requests are sent to the version
     Abort {
         /// The service
         service: String,
@@ -145,13 +145,13 @@
     /// The table as it was at --base, as CSV; needed to rebase onto a later version
     #[arg(long, requires = "base")]
     pub(crate) base_file: Option<PathBuf>,
-    /// Take the change on a later version too, if no row of it changed since --base
+    /// Accept a later version than --base too, if no row of the change was changed since then
     #[arg(long, requires = "base_file")]
     pub(crate) rebase: bool,
     /// The change key; sending the same change again under it is safe
     #[arg(long)]
     pub(crate) key: Option<String>,
-    /// Wait until the change is in force on every host that can be reached
+    /// Wait until the change is in force on every reachable host
     #[arg(long)]
     pub(crate) wait: bool,
     /// The operator's name, for the time line
@@ -165,7 +165,7 @@
     /// Only events of this request
     #[arg(long)]
     pub(crate) request: Option<String>,
-    /// Only events of the last so many seconds
+    /// Only events of the last SINCE_S seconds
     #[arg(long)]
     pub(crate) since_s: Option<u64>,
     /// Only events of this host
@@ -174,10 +174,10 @@
     /// Print JSON
     #[arg(long)]
     pub(crate) json: bool,
-    /// Write a picture, one lane a host, to this SVG file
+    /// Write an SVG file with one lane per host
     #[arg(long)]
     pub(crate) svg: Option<PathBuf>,
-    /// Operators' addresses of entry hosts to ask beside those that control knows
+    /// Operators' addresses of entry hosts to query in addition to those known to the control hosts
     #[arg(long, env = "LINNET_ENTRY_OPS", value_delimiter = ',')]
     pub(crate) entries: Vec<SocketAddr>,
 }
@@ -185,7 +185,7 @@
 /// Arguments of `notices`.
 #[derive(Debug, Clone, Args)]
 pub(crate) struct NoticesArgs {
-    /// Addresses of the metrics ports of entry hosts, parted by commas
+    /// Addresses of the metrics ports of entry hosts, separated by commas
     #[arg(
         long,
         env = "LINNET_ENTRY_METRICS",
@@ -198,9 +198,9 @@
 /// Arguments of `losses`.
 #[derive(Debug, Clone, Args)]
 pub(crate) struct LossesArgs {
-    /// Log files, or folders of them; standard input where there are none
+    /// Log files or directories of them; standard input if none is given
     pub(crate) logs: Vec<PathBuf>,
-    /// By what requests are counted
+    /// Attribute by which requests are grouped
     #[arg(long, value_enum, default_value_t = LossGroup::Rank)]
     pub(crate) by: LossGroup,
     /// Print JSON
@@ -213,11 +213,11 @@
 pub(crate) struct ExplainArgs {
     /// The request's id
     pub(crate) request: String,
-    /// Log files, or folders of them; standard input where there are none
+    /// Log files or directories of them; standard input if none is given
     pub(crate) logs: Vec<PathBuf>,
 }
 
-/// Commands on voters.
+/// Commands on members.
 #[derive(Debug, Clone, Subcommand)]
 pub(crate) enum MemberCommand {
     /// Show the members
@@ -229,12 +229,12 @@
         /// Its peer address
         peer: SocketAddr,
     },
-    /// Take a member out, by name
+    /// Remove a member by name
     Remove {
         /// Its name
         name: String,
     },
-    /// Put a host whose disk was lost back in, under its new identity
+    /// Restore a host that lost its disk as a member, under its new identity
     Repair {
         /// Its operators' address
         ops: SocketAddr,
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -9,33 +9,33 @@
 use crate::CtlError;
 use crate::client::OpsClient;
 
-/// Shows control hosts, entry hosts and how far each is.
+/// Shows control and entry hosts, each with its table version and lag.
 pub(crate) async fn show_status(client: &OpsClient, json: bool) -> Result<(), CtlError> {
-    let all = client.all_statuses().await?;
+    let statuses = client.all_statuses().await?;
     if json {
-        let known: Vec<_> = all
+        let received: Vec<_> = statuses
             .into_iter()
             .filter_map(|(_, status)| status.ok())
             .collect();
         println!(
             "{}",
-            serde_json::to_string_pretty(&known).unwrap_or_default()
+            serde_json::to_string_pretty(&received).unwrap_or_default()
         );
         return Ok(());
     }
-    let newest = all
+    let newest = statuses
         .iter()
         .filter_map(|(_, status)| status.as_ref().ok())
         .map(|status| status.table_version)
         .max()
         .unwrap_or(0);
-    for (host, status) in &all {
+    for (host, status) in &statuses {
         match status {
             Ok(status) => print_control(status, newest),
             Err(error) => println!("control {host} unreachable: {error}"),
         }
     }
-    for report in newest_of(all.into_iter().filter_map(|(_, status)| status.ok())) {
+    for report in newest_of(statuses.into_iter().filter_map(|(_, status)| status.ok())) {
         println!(
             "entry   {:<16} hall={} version={} lag={} heard_ms_ago={}",
             report.name,
@@ -65,21 +65,21 @@
     );
 }
 
-/// Returns the youngest report on each entry host, over all control hosts that answer.
+/// Returns the most recent report on each entry host among all control hosts that respond.
 pub(crate) async fn newest_reports(client: &OpsClient) -> Result<Vec<HostReport>, CtlError> {
-    let all = client.all_statuses().await?;
+    let statuses = client.all_statuses().await?;
     Ok(newest_of(
-        all.into_iter().filter_map(|(_, status)| status.ok()),
+        statuses.into_iter().filter_map(|(_, status)| status.ok()),
     ))
 }
 
 fn newest_of(statuses: impl Iterator<Item = ControlStatus>) -> Vec<HostReport> {
     let mut newest: BTreeMap<String, HostReport> = BTreeMap::new();
     for report in statuses.flat_map(|status| status.hosts) {
-        let older = newest
+        let is_newer = newest
             .get(&report.name)
             .is_none_or(|known| report.age_ms < known.age_ms);
-        if older {
+        if is_newer {
             newest.insert(report.name.clone(), report);
         }
     }
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -14,16 +14,16 @@
 use crate::settings::{ApplyArgs, TableCommand};
 use crate::{CtlError, CtlStep};
 
-/// How long `--wait` waits.
+/// Maximum time that `--wait` waits.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often `--wait` looks.
+/// Interval at which `--wait` checks the hosts.
 const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A host that was not heard for so long cannot be reached, in milliseconds.
+/// Age of the last report from which an entry host counts as unreachable.
 const MAX_REPORT_AGE_MS: u64 = 5_000;
 
-/// Rows that are printed of a long difference or conflict.
+/// Maximum number of rows printed for a difference or conflict.
 const MAX_PRINTED_ROWS: usize = 200;
 
 /// Runs a command on the table.
@@ -57,30 +57,40 @@
 }
 
 async fn fetch_text(client: &OpsClient, path: &str) -> Result<(u64, String), CtlError> {
-    let answer = client
+    let response = client
         .send_to_leader(Method::GET, path, None::<&()>)
         .await?;
-    match (answer.status, answer.version) {
-        (200, Some(version)) => Ok((version, String::from_utf8_lossy(&answer.body).into_owned())),
-        _ => Err(CtlError::failed(CtlStep::Request, "", error_text(&answer))),
+    match (response.status, response.version) {
+        (200, Some(version)) => Ok((
+            version,
+            String::from_utf8_lossy(&response.body).into_owned(),
+        )),
+        _ => Err(CtlError::failed(
+            CtlStep::Request,
+            "",
+            error_text(&response),
+        )),
     }
 }
 
-/// Returns the newest table that any reachable control host holds.
+/// Returns the newest table among the copies of all reachable control hosts.
 async fn fetch_newest_copy(client: &OpsClient) -> Result<(u64, String), CtlError> {
     let mut newest: Option<(u64, String)> = None;
     for host in client.control_hosts()? {
-        let asked = client
+        let result = client
             .send(*host, Method::GET, "/v1/table?stale=1", Default::default())
             .await;
-        if let Ok(answer) = asked
-            && let (200, Some(version)) = (answer.status, answer.version)
+        if let Ok(response) = result
+            && let (200, Some(version)) = (response.status, response.version)
             && newest.as_ref().is_none_or(|(known, _)| *known < version)
         {
-            newest = Some((version, String::from_utf8_lossy(&answer.body).into_owned()));
+            newest = Some((
+                version,
+                String::from_utf8_lossy(&response.body).into_owned(),
+            ));
         }
     }
-    newest.ok_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host answers"))
+    newest.ok_or_else(|| CtlError::failed(CtlStep::Request, "", "no control host responded"))
 }
 
 async fn fetch_table(client: &OpsClient, path: &str) -> Result<(u64, Vec<TableRow>), CtlError> {
@@ -88,11 +98,11 @@
     Ok((version, parse_csv(&text).rows))
 }
 
-/// Reads a file and prints every fault of it.
+/// Reads and checks a file; prints every fault in it.
 fn read_checked(file: &Path) -> Result<Vec<TableRow>, CtlError> {
-    let shown = file.display().to_string();
+    let file_name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|error| CtlError::failed(CtlStep::Read, &shown, error.to_string()))?;
+        .map_err(|error| CtlError::failed(CtlStep::Read, &file_name, error.to_string()))?;
     let parsed = parse_csv(&text);
     let mut faults = parsed.faults.clone();
     for fault in verify_rows(&parsed.rows) {
@@ -104,7 +114,7 @@
     }
     print_faults(&faults);
     let message = format!("{} faults", faults.len());
-    Err(CtlError::failed(CtlStep::Check, shown, message))
+    Err(CtlError::failed(CtlStep::Check, file_name, message))
 }
 
 fn print_faults(faults: &[RowFault]) {
@@ -135,7 +145,7 @@
             let (version, current) = fetch_table(client, "/v1/table").await?;
             if version != *base {
                 let message = format!(
-                    "the table is at version {version}, not {base}; with --base-file and --rebase the change may still be taken"
+                    "the table is at version {version}, not {base}; with --base-file and --rebase the change may still be accepted"
                 );
                 return Err(CtlError::failed(CtlStep::Apply, "", message));
             }
@@ -144,7 +154,7 @@
         _ => fetch_table(client, "/v1/table").await?,
     };
     let diff = diff_rows(&base_rows, &rows);
-    // A change that is sent again under its key is empty by then, and must still be answered.
+    // A repeated change is empty if it was applied before, but its outcome is still requested by its key.
     if diff.is_empty() && args.key.is_none() {
         println!("no change; version {base_version}");
         return Ok(());
@@ -169,18 +179,18 @@
     format!("{:032x}", fastrand::u128(..))
 }
 
-/// Sends a change until it is answered; the change key makes sending it again safe.
+/// Sends a change until a host responds; the change key makes repeated sending safe.
 async fn send_change(client: &OpsClient, change: &TableChange) -> Result<u64, CtlError> {
     let unknown = || CtlError::Unknown {
         step: CtlStep::Apply,
         key: change.change_key.clone(),
     };
-    let answer = client
+    let response = client
         .send_to_leader(Method::POST, "/v1/changes", Some(change))
         .await
         .map_err(|_| unknown())?;
-    let reply: ChangeReply = serde_json::from_slice(&answer.body)
-        .map_err(|_| CtlError::failed(CtlStep::Apply, "", error_text(&answer)))?;
+    let reply: ChangeReply = serde_json::from_slice(&response.body)
+        .map_err(|_| CtlError::failed(CtlStep::Apply, "", error_text(&response)))?;
     match reply {
         ChangeReply::Taken { version } => Ok(version),
         ChangeReply::Refused { refusal } => Err(show_refusal(refusal)),
@@ -202,35 +212,36 @@
     CtlError::failed(CtlStep::Apply, "", refusal.to_string())
 }
 
-/// Waits until a version is in force on every host that can be reached, and names the rest.
+/// Waits until a version is in force on every reachable host; prints the unreachable ones.
 async fn wait_in_force(client: &OpsClient, version: u64) -> Result<(), CtlError> {
-    let until = Instant::now() + WAIT_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let (behind, unreachable) = outdated_hosts(client, version).await?;
-        if behind.is_empty() {
+        let (outdated, unreachable) = outdated_hosts(client, version).await?;
+        if outdated.is_empty() {
             println!("in force on every host that can be reached");
             if !unreachable.is_empty() {
                 println!("not reached: {}", unreachable.join(", "));
             }
             return Ok(());
         }
-        if Instant::now() >= until {
-            let message = format!("not in force yet on {}", behind.join(", "));
+        if Instant::now() >= deadline {
+            let message = format!("not in force yet on {}", outdated.join(", "));
             return Err(CtlError::failed(CtlStep::Wait, "", message));
         }
         sleep(WAIT_POLL_INTERVAL).await;
     }
 }
 
+/// Returns the hosts with an older version, and the unreachable hosts.
 async fn outdated_hosts(
     client: &OpsClient,
     version: u64,
 ) -> Result<(Vec<String>, Vec<String>), CtlError> {
-    let mut behind = Vec::new();
+    let mut outdated = Vec::new();
     let mut unreachable = Vec::new();
     for (host, status) in client.all_statuses().await? {
         match status {
-            Ok(status) if status.table_version < version => behind.push(status.name),
+            Ok(status) if status.table_version < version => outdated.push(status.name),
             Ok(_) => {}
             Err(_) => unreachable.push(host.to_string()),
         }
@@ -239,8 +250,8 @@
         if report.age_ms >= MAX_REPORT_AGE_MS {
             unreachable.push(report.name);
         } else if report.version < version {
-            behind.push(report.name);
+            outdated.push(report.name);
         }
     }
-    Ok((behind, unreachable))
+    Ok((outdated, unreachable))
 }
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Gathers the events of all processes.
+//! Collects the events of all processes.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,17 +11,17 @@
 use crate::timeline_svg::render_svg;
 use crate::{CtlError, CtlStep};
 
-/// Prints the events of all processes that can be reached, in causal order.
+/// Prints the events of all reachable processes in causal order.
 pub(crate) async fn show_timeline(client: &OpsClient, args: TimelineArgs) -> Result<(), CtlError> {
     let path = timeline_path(&args);
-    let mut rings: Vec<Vec<Event>> = Vec::new();
+    let mut event_lists: Vec<Vec<Event>> = Vec::new();
     for host in known_hosts(client, &args).await? {
         match client.get(host, &path).await {
-            Ok(ring) => rings.push(ring),
-            Err(error) => eprintln!("left out: {error}"),
+            Ok(events) => event_lists.push(events),
+            Err(error) => eprintln!("omitted: {error}"),
         }
     }
-    let mut events = merge_events(rings);
+    let mut events = merge_events(event_lists);
     if let Some(host) = &args.host {
         events.retain(|event| event.host == *host);
     }
--- a/crates/ctl/src/timeline_svg.rs
+++ b/crates/ctl/src/timeline_svg.rs
@@ -1,4 +1,4 @@
-//! Draws a time line as a picture: one lane a host, one mark an event.
+//! Renders a time line as SVG, with one lane per host and one mark per event.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 const PLOT_WIDTH: usize = 1_000;
 const TOP: usize = 30;
 
-/// Returns an SVG of events that are in causal order. Marks carry their text as a tooltip.
+/// Renders events that are in causal order. The text of each event is the tooltip of its mark.
 pub(crate) fn render_svg(events: &[Event]) -> String {
     let mut hosts: Vec<&str> = events.iter().map(|event| event.host.as_str()).collect();
     hosts.sort_unstable();
@@ -62,7 +62,7 @@
         event.peer,
         event.detail
     ));
-    // Labels alternate above and below their lane, so that neighbours stay readable.
+    // Labels alternate above and below the lane, so that those of adjacent marks do not overlap.
     let label_y = if number.is_multiple_of(2) {
         y - 8
     } else {
