--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -25,8 +25,8 @@
 }
 
 /// Updates the seeds from the settings file until the process ends. An invalid file is logged once per
-/// change, and the previous settings stay in force. Settings that apply only at start are not
-/// reloaded.
+/// change or signal, and the previous settings stay in force. Settings that apply only at start are
+/// not reloaded.
 pub(crate) async fn reload_settings(
     source: SettingsSource,
     seeds: watch::Sender<Vec<SocketAddr>>,
