--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -26,26 +26,26 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::held_door::answer_held;
-use crate::http_door::{DoorAnswer, DoorRequest, serve_door};
+use crate::held_api::handle_held_request;
+use crate::http_server::{HttpRequest, HttpResponse, serve_http};
 use crate::metrics_page::serve_metrics;
 use crate::peers::peer_identity;
 use crate::reload::{SettingsSource, reload_settings};
-use crate::rollout_door::answer_rollouts;
+use crate::rollout_api::handle_rollout_request;
 use crate::settings::NodeRole;
-use crate::{ControlAsk, ControlDialect, ControlFault, NodeDialect, NodeSettings};
+use crate::{ControlProtocol, ControlRequest, ControlRequestError, NodeProtocol, NodeSettings};
 
-/// The largest body that operators may send, in bytes.
+/// Maximum body of a request to the operators' port.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Between two heartbeats of the leading control host.
-const QUORUM_HEARTBEAT: Duration = Duration::from_millis(100);
+/// Interval between heartbeats of the leading control host.
+const QUORUM_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a member may be silent before it is taken out, where enough others are left.
-const LOST_MEMBER_SPAN: Duration = Duration::from_millis(2_500);
+/// Time without contact after which a member is removed from the quorum if enough others remain.
+const MEMBER_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How often the gauges are brought up to date.
-const GAUGE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the gauges are updated.
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
 type AnyError = Box<dyn std::error::Error>;
 
@@ -53,7 +53,7 @@
 pub async fn run_control_node(
     path: PathBuf,
     overrides: Vec<String>,
-    dialect: NodeDialect,
+    protocol: NodeProtocol,
 ) -> ExitCode {
     let source = SettingsSource {
         path,
@@ -65,9 +65,9 @@
         Err(error) => return exit_code(Err(error.into())),
     };
     match NodeSettings::load(&source.path, &source.overrides, source.role) {
-        Ok(settings) => exit_code(serve(settings, source, dialect, signals).await),
-        Err(fault) => {
-            eprintln!("{fault}");
+        Ok(settings) => exit_code(serve(settings, source, protocol, signals).await),
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
@@ -76,7 +76,7 @@
 async fn serve(
     settings: NodeSettings,
     source: SettingsSource,
-    dialect: NodeDialect,
+    protocol: NodeProtocol,
     mut signals: StopSignals,
 ) -> Result<(), AnyError> {
     let clock = Arc::new(HybridClock::new());
@@ -97,8 +97,8 @@
         identity: identity.clone(),
         recorder: recorder.clone(),
         timing: QuorumTiming::new()
-            .with_heartbeat_interval(QUORUM_HEARTBEAT)
-            .with_removal_timeout(LOST_MEMBER_SPAN),
+            .with_heartbeat_interval(QUORUM_HEARTBEAT_INTERVAL)
+            .with_removal_timeout(MEMBER_SILENCE_TIMEOUT),
         disk: DiskOps::new(),
         on_fatal: Box::new(|error| {
             log::error!(target: "linnetdale", "{error}");
@@ -107,7 +107,7 @@
         }),
     };
     let replica = Replica::start(&data, machine.hooks(), config)?;
-    let read_config = dialect.control.read_config;
+    let read_config = protocol.control.read_config;
     let parser = DocumentParser {
         version: Arc::new(move |body| read_config(body).map(|config| config.version)),
         services: Arc::new(move |body| {
@@ -133,9 +133,9 @@
     let (seeds, seeds_read) = watch::channel(settings.seed_peers());
     ntex::rt::spawn(reload_settings(source, seeds, recorder.clone()));
 
-    let serving = node.clone();
-    let serve_one = move |greeting, reader, writer| {
-        let node = serving.clone();
+    let peer_node = node.clone();
+    let serve_connection = move |greeting, reader, writer| {
+        let node = peer_node.clone();
         async move {
             match greeting {
                 PeerGreeting::Quorum => serve_peer(node.replica(), reader, writer).await,
@@ -145,19 +145,19 @@
             }
         }
     };
-    let listener = TcpListener::bind(settings.listen.peers_at(peers)).await?;
+    let listener = TcpListener::bind(settings.listen.peer_bind_address(peers)).await?;
     ntex::rt::spawn(accept_peers(
         listener,
         identity.clone(),
         recorder.clone(),
-        serve_one,
+        serve_connection,
     ));
-    let forming = FormConfig {
+    let form_config = FormConfig {
         first_start: settings.cluster.first_start,
         seeds: seeds_read.clone(),
     };
-    ntex::rt::spawn(form_or_join(node.clone(), forming));
-    follow_others(&node, peers, seeds_read, &recorder);
+    ntex::rt::spawn(form_or_join(node.clone(), form_config));
+    follow_control_hosts(&node, peers, seeds_read, &recorder);
 
     let registry = Arc::new(Mutex::new(Registry::with_prefix("linnet_control")));
     ntex::rt::spawn(update_gauges(node.clone(), registry.clone()));
@@ -166,14 +166,14 @@
         ntex::rt::spawn(serve_metrics(listener, registry, Box::new(|_| None)));
     }
     let listener = TcpListener::bind(operators).await?;
-    let answering = (
-        Rc::new(dialect.control),
+    let shared = (
+        Rc::new(protocol.control),
         node.clone(),
         Rc::new(settings.halls.clone()),
     );
-    ntex::rt::spawn(serve_door(listener, MAX_BODY_BYTES, move |request| {
-        let (dialect, node, halls) = answering.clone();
-        async move { answer(&dialect, &node, &halls, request).await }
+    ntex::rt::spawn(serve_http(listener, MAX_BODY_BYTES, move |request| {
+        let (protocol, node, halls) = shared.clone();
+        async move { handle_request(&protocol, &node, &halls, request).await }
     }));
     let detail = format!(
         "role=control hall={} peers={peers} operators={operators} build={} form={}",
@@ -188,104 +188,105 @@
     Ok(())
 }
 
-/// Follows the other control hosts, so that each knows every target.
-fn follow_others(
+/// Subscribes to the other control hosts, so that each knows every target.
+fn follow_control_hosts(
     node: &DirectoryNode,
-    me: SocketAddr,
+    own_address: SocketAddr,
     seeds: watch::Receiver<Vec<SocketAddr>>,
     recorder: &Arc<EventRecorder>,
 ) {
-    let (_, gateway) = watch::channel(None);
-    let (taking, losing, spreading) = (node.clone(), node.clone(), node.clone());
+    let (_, no_entry_host) = watch::channel(None);
+    let (on_update, on_lost, propagating) = (node.clone(), node.clone(), node.clone());
     let config = FollowConfig {
-        // Control hosts tell each other in their updates.
+        // Control hosts exchange these in their updates.
         suspects: None,
         rate_limits: None,
         counts: None,
         identity: node.identity().clone(),
         recorder: recorder.clone(),
-        entry_host: gateway,
-        // The configuration comes by agreement, not from the directory of another host.
+        entry_host: no_entry_host,
+        // The quorum replicates the configuration; the directory of another host does not provide it.
         documents: None,
         is_control: true,
-        own_address: me,
+        own_address,
         seeds,
         on_update: Box::new(move |from, update: DirectoryUpdate| {
-            taking.merge_control_update(from, update, Instant::now());
+            on_update.merge_control_update(from, update, Instant::now());
         }),
-        on_lost: Box::new(move |from| losing.mark_control_lost(from)),
+        on_lost: Box::new(move |from| on_lost.mark_control_lost(from)),
         propagation: Some(Box::new(move || {
-            let node = spreading.clone();
+            let node = propagating.clone();
             Box::pin(async move { node.wait_for_followers().await })
         })),
     };
     ntex::rt::spawn(follow_directory(config));
 }
 
-async fn answer(
-    dialect: &ControlDialect,
+async fn handle_request(
+    protocol: &ControlProtocol,
     node: &DirectoryNode,
     halls: &BTreeMap<String, String>,
-    request: DoorRequest,
-) -> DoorAnswer {
-    if let Some(answer) = answer_held(node, &request) {
-        return answer;
+    request: HttpRequest,
+) -> HttpResponse {
+    if let Some(response) = handle_held_request(node, &request) {
+        return response;
     }
-    if let Some(answer) = answer_rollouts(node, &request).await {
-        return answer;
+    if let Some(response) = handle_rollout_request(node, &request).await {
+        return response;
     }
-    let ask = match (dialect.read)(&request.method, &request.path, &request.body) {
-        Ok(ask) => ask,
-        Err(fault) => return fault_answer(&fault),
-    };
-    match do_ask(dialect, node, halls, ask, &request).await {
-        Ok(answer) => answer,
-        Err(error) => error_answer(&error),
+    let control_request =
+        match (protocol.parse_request)(&request.method, &request.path, &request.body) {
+            Ok(control_request) => control_request,
+            Err(error) => return request_error_response(&error),
+        };
+    match execute_request(protocol, node, halls, control_request, &request).await {
+        Ok(response) => response,
+        Err(error) => error_response(&error),
     }
 }
 
-async fn do_ask(
-    dialect: &ControlDialect,
+async fn execute_request(
+    protocol: &ControlProtocol,
     node: &DirectoryNode,
     halls: &BTreeMap<String, String>,
-    ask: ControlAsk,
-    request: &DoorRequest,
-) -> Result<DoorAnswer, DirectoryError> {
-    match ask {
-        ControlAsk::PutRouting => node.put_document(request.body.to_vec()).await.map(|_| ())?,
-        ControlAsk::ReadRouting => return node.read_document().await.map(config_answer),
-        ControlAsk::Heartbeat(record) => node.receive_heartbeat(record).await?,
-        ControlAsk::Leave(id, born) => node.deregister_target(&id, born).await?,
-        ControlAsk::Evacuate(hall) => order_evacuation(node, halls, &hall, true).await?,
-        ControlAsk::EndEvacuation(hall) => order_evacuation(node, halls, &hall, false).await?,
-        ControlAsk::Rollout(order) => node.order_rollout(order).await.map(|_| ())?,
-        ControlAsk::ReadRollout(service) => {
+    control_request: ControlRequest,
+    request: &HttpRequest,
+) -> Result<HttpResponse, DirectoryError> {
+    match control_request {
+        ControlRequest::PutRouting => node.put_document(request.body.to_vec()).await.map(|_| ())?,
+        ControlRequest::ReadRouting => return node.read_document().await.map(config_response),
+        ControlRequest::Heartbeat(record) => node.receive_heartbeat(record).await?,
+        ControlRequest::Deregister(id, born) => node.deregister_target(&id, born).await?,
+        ControlRequest::Evacuate(hall) => order_evacuation(node, halls, &hall, true).await?,
+        ControlRequest::EndEvacuation(hall) => order_evacuation(node, halls, &hall, false).await?,
+        ControlRequest::StartRollout(order) => node.order_rollout(order).await.map(|_| ())?,
+        ControlRequest::ReadRollout(service) => {
             let record = node.read_rollout(&service).await?;
-            return Ok(rollout_answer(dialect, record));
+            return Ok(rollout_response(protocol, record));
         }
     }
-    Ok(DoorAnswer::json(StatusCode::OK, dialect.done_body))
+    Ok(HttpResponse::json(StatusCode::OK, protocol.success_body))
 }
 
-fn config_answer(document: Option<Document>) -> DoorAnswer {
+fn config_response(document: Option<Document>) -> HttpResponse {
     match document {
-        Some(document) => DoorAnswer::json(StatusCode::OK, document.body),
-        None => DoorAnswer::text(
+        Some(document) => HttpResponse::json(StatusCode::OK, document.body),
+        None => HttpResponse::text(
             StatusCode::NOT_FOUND,
             "no configuration was ever accepted\n",
         ),
     }
 }
 
-fn rollout_answer(dialect: &ControlDialect, record: Option<RolloutRecord>) -> DoorAnswer {
+fn rollout_response(protocol: &ControlProtocol, record: Option<RolloutRecord>) -> HttpResponse {
     match record {
-        Some(record) => DoorAnswer::json(StatusCode::OK, (dialect.write_rollout)(&record)),
-        None => DoorAnswer::text(StatusCode::NOT_FOUND, "no roll-out was ever ordered\n"),
+        Some(record) => HttpResponse::json(StatusCode::OK, (protocol.write_rollout)(&record)),
+        None => HttpResponse::text(StatusCode::NOT_FOUND, "no roll-out was ever ordered\n"),
     }
 }
 
-/// Returns the answer that tells an operator or a target why something was not done.
-pub(crate) fn error_answer(error: &DirectoryError) -> DoorAnswer {
+/// Converts an error into the response to an operator or a target.
+pub(crate) fn error_response(error: &DirectoryError) -> HttpResponse {
     let status = match error {
         DirectoryError::UnknownHall(_) | DirectoryError::UnknownService(_) => StatusCode::NOT_FOUND,
         DirectoryError::Invalid(_) | DirectoryError::InvalidOrder(_) => StatusCode::BAD_REQUEST,
@@ -294,7 +295,7 @@
         | DirectoryError::NotPropagated
         | DirectoryError::OutdatedControlHost => StatusCode::SERVICE_UNAVAILABLE,
     };
-    DoorAnswer::text(status, format!("{error}\n"))
+    HttpResponse::text(status, format!("{error}\n"))
 }
 
 async fn order_evacuation(
@@ -309,28 +310,32 @@
     node.order_evacuation(hall, evacuated).await
 }
 
-fn fault_answer(fault: &ControlFault) -> DoorAnswer {
-    let status = match fault {
-        ControlFault::NotFound => StatusCode::NOT_FOUND,
-        ControlFault::BadBody(_) => StatusCode::BAD_REQUEST,
+fn request_error_response(error: &ControlRequestError) -> HttpResponse {
+    let status = match error {
+        ControlRequestError::NotFound => StatusCode::NOT_FOUND,
+        ControlRequestError::BadBody(_) => StatusCode::BAD_REQUEST,
     };
-    DoorAnswer::text(status, format!("{fault}\n"))
+    HttpResponse::text(status, format!("{error}\n"))
 }
 
 async fn update_gauges(node: DirectoryNode, registry: Arc<Mutex<Registry>>) {
     let gauges: [(&str, &str, Gauge); 10] = [
         ("term", "Term of the replica", Gauge::default()),
         ("commit_index", "Last committed index", Gauge::default()),
-        ("is_leader", "1 while the lease lasts", Gauge::default()),
+        (
+            "is_leader",
+            "1 while this host holds a valid leader lease",
+            Gauge::default(),
+        ),
         (
             "config_version",
             "Version of the routing configuration",
             Gauge::default(),
         ),
-        ("targets", "Targets that are known", Gauge::default()),
+        ("targets", "Known targets", Gauge::default()),
         (
             "entry_hosts",
-            "Entry hosts that are heard here",
+            "Entry hosts connected to this host",
             Gauge::default(),
         ),
         (
@@ -338,14 +343,10 @@
             "Entry hosts with an older configuration than is held here",
             Gauge::default(),
         ),
-        (
-            "halls_evacuated",
-            "Data halls that are out of work",
-            Gauge::default(),
-        ),
+        ("halls_evacuated", "Evacuated data halls", Gauge::default()),
         (
             "rollouts_open",
-            "Services of which a version is rolled out",
+            "Services with a roll-out in progress",
             Gauge::default(),
         ),
         (
@@ -366,7 +367,8 @@
             status.term as i64,
             status.commit as i64,
             i64::from(status.lease_lasts),
-            node.current_document().map_or(0, |held| held.version()) as i64,
+            node.current_document()
+                .map_or(0, |document| document.version()) as i64,
             counts.targets as i64,
             counts.entry_hosts as i64,
             counts.outdated_entry_hosts as i64,
@@ -377,6 +379,6 @@
         for ((_, _, gauge), value) in gauges.iter().zip(values) {
             gauge.set(value);
         }
-        sleep(GAUGE_PERIOD).await;
+        sleep(GAUGE_INTERVAL).await;
     }
 }
--- a/crates/node/src/notices_page.rs
+++ b/crates/node/src/notices_page.rs
@@ -1,14 +1,14 @@
-//! The page on which an entry host tells what targets asked of it.
+//! The page on which an entry host lists what targets requested of it: back-offs, rate limits and departures.
 
 use http::StatusCode;
 use linnet_gateway::Gateway;
 
-use crate::http_door::DoorAnswer;
+use crate::http_server::HttpResponse;
 
-/// Answers with what targets asked of a host, as JSON.
-pub(crate) fn answer_notices(gateway: &Gateway) -> DoorAnswer {
+/// Returns the target notices of an entry host as JSON.
+pub(crate) fn notices_response(gateway: &Gateway) -> HttpResponse {
     match serde_json::to_vec(&gateway.notice_lines()) {
-        Ok(body) => DoorAnswer::json(StatusCode::OK, body),
-        Err(error) => DoorAnswer::text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+        Ok(body) => HttpResponse::json(StatusCode::OK, body),
+        Err(error) => HttpResponse::text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
