--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -143,11 +143,11 @@
 
     /// Returns all recorded roll-outs, for operators.
     pub fn rollout_lines(&self) -> Vec<RolloutLine> {
-        let book = self.rollouts();
+        let rollouts = self.rollouts();
         let state = self.lock();
-        let services = book.all_newest().map(|(service, _)| service);
+        let services = rollouts.all_newest().map(|(service, _)| service);
         let lines = services.flat_map(|service| {
-            let records = book.history(service).iter();
+            let records = rollouts.history(service).iter();
             let line = |record: &RolloutRecord| {
                 RolloutLine::new(service, record, &state.evidence.totals(service, record))
             };
@@ -252,13 +252,13 @@
     let mut ages = RolloutAges::default();
     loop {
         sleep(ADVANCE_INTERVAL).await;
-        let book = node.rollouts();
+        let rollouts = node.rollouts();
         ages.retain(|service, revision| {
-            let newest = book.newest(service);
+            let newest = rollouts.newest(service);
             newest.is_some_and(|one| one.is_in_progress() && one.revision == revision)
         });
-        node.lock().evidence.retain_in_progress(&book);
-        for (service, record) in book.in_progress() {
+        node.lock().evidence.retain_in_progress(&rollouts);
+        for (service, record) in rollouts.in_progress() {
             // Every control host records when it first saw the order, since it may lead later.
             let elapsed = ages.age_of(service, record);
             if !node.replica().status().lease_lasts {
--- a/crates/gateway/src/coordinator/batch/tests.rs
+++ b/crates/gateway/src/coordinator/batch/tests.rs
@@ -5,15 +5,15 @@
 
 type Replies = Rc<RefCell<Vec<Vec<PieceOutcome>>>>;
 
-fn book(count: usize) -> (OpenBatches, BatchKey, Replies) {
-    let mut book = OpenBatches::default();
+fn open_batches(count: usize) -> (OpenBatches, BatchKey, Replies) {
+    let mut batches = OpenBatches::default();
     let replies: Replies = Rc::default();
     let sink = replies.clone();
-    let key = book.add(
+    let key = batches.add(
         count,
         Box::new(move |outcomes| sink.borrow_mut().push(outcomes)),
     );
-    (book, key, replies)
+    (batches, key, replies)
 }
 
 fn handle(name: &str) -> PieceOutcome {
@@ -23,12 +23,12 @@
 /// Records the outcome of a copy and replies if the batch is complete; returns a result that no
 /// batch needs.
 fn end(
-    book: &mut OpenBatches,
+    batches: &mut OpenBatches,
     batch: BatchKey,
     index: usize,
     outcome: PieceOutcome,
 ) -> Option<String> {
-    match book.record_outcome(PieceKey { batch, index }, outcome) {
+    match batches.record_outcome(PieceKey { batch, index }, outcome) {
         CopyEffect::Pending => None,
         CopyEffect::Unneeded(handle) => Some(handle),
         CopyEffect::Complete(reply, outcomes) => {
@@ -40,51 +40,51 @@
 
 #[test]
 fn a_batch_is_answered_once_in_the_order_of_its_pieces() {
-    let (mut book, key, replies) = book(2);
-    assert_eq!(end(&mut book, key, 1, handle("b")), None);
+    let (mut batches, key, replies) = open_batches(2);
+    assert_eq!(end(&mut batches, key, 1, handle("b")), None);
     assert!(replies.borrow().is_empty());
-    assert_eq!(end(&mut book, key, 0, handle("a")), None);
+    assert_eq!(end(&mut batches, key, 0, handle("a")), None);
     assert_eq!(*replies.borrow(), [[handle("a"), handle("b")]]);
 }
 
 #[test]
 fn the_first_result_of_two_copies_counts_and_the_other_is_released() {
-    let (mut book, key, replies) = book(2);
-    book.add_copy(PieceKey {
+    let (mut batches, key, replies) = open_batches(2);
+    batches.add_copy(PieceKey {
         batch: key,
         index: 0,
     });
-    assert_eq!(end(&mut book, key, 0, handle("quick")), None);
-    let slow = end(&mut book, key, 0, handle("slow"));
+    assert_eq!(end(&mut batches, key, 0, handle("quick")), None);
+    let slow = end(&mut batches, key, 0, handle("slow"));
     assert_eq!(slow.as_deref(), Some("slow"));
-    end(&mut book, key, 1, handle("other"));
+    end(&mut batches, key, 1, handle("other"));
     assert_eq!(*replies.borrow(), [[handle("quick"), handle("other")]]);
-    let late = end(&mut book, key, 1, handle("late"));
+    let late = end(&mut batches, key, 1, handle("late"));
     assert_eq!(late.as_deref(), Some("late"));
 }
 
 #[test]
 fn a_failure_counts_only_where_no_other_copy_is_left() {
-    let (mut book, key, replies) = book(1);
+    let (mut batches, key, replies) = open_batches(1);
     let piece = PieceKey {
         batch: key,
         index: 0,
     };
-    book.add_copy(piece);
-    assert_eq!(book.pending_copies(piece), Some(2));
-    end(&mut book, key, 0, Err(PieceFault::Failed));
+    batches.add_copy(piece);
+    assert_eq!(batches.pending_copies(piece), Some(2));
+    end(&mut batches, key, 0, Err(PieceFault::Failed));
     assert!(replies.borrow().is_empty());
-    assert_eq!(book.pending_copies(piece), Some(1));
-    end(&mut book, key, 0, Err(PieceFault::OutOfMemory));
+    assert_eq!(batches.pending_copies(piece), Some(1));
+    end(&mut batches, key, 0, Err(PieceFault::OutOfMemory));
     assert_eq!(*replies.borrow(), [[Err(PieceFault::OutOfMemory)]]);
-    assert_eq!(book.pending_copies(piece), None);
+    assert_eq!(batches.pending_copies(piece), None);
 }
 
 #[test]
 fn results_of_a_cancelled_batch_are_released() {
-    let (mut book, key, replies) = book(1);
-    book.cancel(key);
-    let result = end(&mut book, key, 0, handle("a"));
+    let (mut batches, key, replies) = open_batches(1);
+    batches.cancel(key);
+    let result = end(&mut batches, key, 0, handle("a"));
     assert_eq!(result.as_deref(), Some("a"));
     assert!(replies.borrow().is_empty());
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -175,21 +175,21 @@
     /// has to be done again, which counts like a wait.
     pub(crate) fn choose(
         &self,
-        book: &TargetStore,
+        store: &TargetStore,
         request: &PlacementRequest,
         now: Instant,
     ) -> Option<ChosenTarget> {
-        let mut usable = book.usable(&request.service, now);
+        let mut usable = store.usable(&request.service, now);
         usable.retain(|engine| !request.excluded.contains(&engine.id));
         if let Some(halls) = &request.allowed_halls {
             usable.retain(|engine| halls.contains(&engine.hall));
         }
-        if let Some(rate) = book.cold_rate(&request.service) {
+        if let Some(rate) = store.cold_rate(&request.service) {
             usable
                 .retain(|engine| !engine.is_cold(now) || self.cold_rate_allows(engine, rate, now));
         }
-        usable.retain(|engine| self.rate_limit_allows(book, &engine.id));
-        usable = self.within_partition(book, request, usable);
+        usable.retain(|engine| self.rate_limit_allows(store, &engine.id));
+        usable = self.within_partition(store, request, usable);
         let fresh = usable.iter().filter(|one| !request.tried.contains(&one.id));
         let mut candidates: Vec<&Target> = fresh.copied().collect();
         if candidates.is_empty() {
@@ -202,7 +202,7 @@
             .large_result_stage
             .as_ref()
             .map_or_else(HallWeights::default, |stage| {
-                HallWeights::new(book, &request.service, stage)
+                HallWeights::new(store, &request.service, stage)
             });
         let shared = request.prompt.shared_tokens();
         let key = ScoreKey::new(request.prompt.last_shared_id());
@@ -248,13 +248,13 @@
     /// is left to try.
     fn within_partition<'a>(
         &self,
-        book: &TargetStore,
+        store: &TargetStore,
         request: &PlacementRequest,
         usable: Vec<&'a Target>,
     ) -> Vec<&'a Target> {
         let partition = placement_pool_key(
             &request.service,
-            book.hall_counts(&request.service),
+            store.hall_counts(&request.service),
             &request.prompt,
         );
         let is_fresh = |one: &&Target| !request.tried.contains(&one.id);
@@ -285,17 +285,17 @@
 
     /// Returns whether the rate limit of an engine allows a prompt that is placed now to be sent
     /// soon.
-    fn rate_limit_allows(&self, book: &TargetStore, engine: &str) -> bool {
+    fn rate_limit_allows(&self, store: &TargetStore, engine: &str) -> bool {
         let pacer = self
             .pacers
             .get(engine)
-            .filter(|_| book.rate_limit(engine).is_some());
+            .filter(|_| store.rate_limit(engine).is_some());
         pacer.is_none_or(|pacer| pacer.time_until_next(BootInstant::now()) <= MAX_RATE_WAIT)
     }
 
     /// Counts a prompt against the rate limit of its engine, if it has one.
-    fn count_against_rate_limit(&mut self, book: &TargetStore, engine: &str) {
-        let Some(rate) = book.rate_limit(engine) else {
+    fn count_against_rate_limit(&mut self, store: &TargetStore, engine: &str) {
+        let Some(rate) = store.rate_limit(engine) else {
             self.pacers.remove(engine);
             return;
         };
@@ -310,15 +310,15 @@
     /// Counts a prompt against the cold rate of its engine, if the engine is cold.
     fn count_against_cold_rate(
         &mut self,
-        book: &TargetStore,
+        store: &TargetStore,
         service: &str,
         engine: &str,
         now: Instant,
     ) {
-        let Some(rate) = book.cold_rate(service) else {
+        let Some(rate) = store.cold_rate(service) else {
             return;
         };
-        if book.is_cold(service, engine, now) {
+        if store.is_cold(service, engine, now) {
             let window = self.cold_windows.entry(engine.to_owned()).or_default();
             window.record_send(rate, now);
         } else {
@@ -388,11 +388,11 @@
     /// Returns where a prompt would be placed now.
     pub(crate) fn plan(
         &self,
-        book: &TargetStore,
+        store: &TargetStore,
         request: &PlacementRequest,
         now: Instant,
     ) -> Option<(ChosenTarget, PlacementFacts)> {
-        let chosen = self.choose(book, request, now)?;
+        let chosen = self.choose(store, request, now)?;
         let cached_tokens =
             cached_tokens(&self.holders_of(&request.prompt.shared_parts), &chosen.id);
         let queued_tokens = self
@@ -413,13 +413,13 @@
     /// Chooses an engine and counts the prompt there until [`EnginePlacer::end_placement`].
     pub(crate) fn place(
         &mut self,
-        book: &TargetStore,
+        store: &TargetStore,
         request: &PlacementRequest,
         now: Instant,
     ) -> Option<(PlacementKey, ChosenTarget, PlacementFacts)> {
-        let (chosen, facts) = self.plan(book, request, now)?;
-        self.count_against_cold_rate(book, &request.service, &chosen.id, now);
-        self.count_against_rate_limit(book, &chosen.id);
+        let (chosen, facts) = self.plan(store, request, now)?;
+        self.count_against_cold_rate(store, &request.service, &chosen.id, now);
+        self.count_against_rate_limit(store, &chosen.id);
         let pending_tokens = request
             .prompt
             .input_tokens
--- a/crates/gateway/src/engine/hall_weights.rs
+++ b/crates/gateway/src/engine/hall_weights.rs
@@ -14,8 +14,8 @@
 impl<'a> HallWeights<'a> {
     /// Creates weights by which each data hall gets requests in proportion to its targets for the
     /// stages with large results, so that these need not cross halls.
-    pub(crate) fn new(book: &'a TargetStore, service: &str, stage_service: &str) -> Self {
-        let stages = book.hall_counts(stage_service);
+    pub(crate) fn new(store: &'a TargetStore, service: &str, stage_service: &str) -> Self {
+        let stages = store.hall_counts(stage_service);
         let weight = |(hall, engines): &'a (String, u32)| {
             let found = stages.iter().find(|(other, _)| other == hall);
             let stages = found.map_or(0.0, |(_, count)| f64::from(*count));
@@ -24,7 +24,7 @@
             (hall.as_str(), weight)
         };
         Self {
-            by_hall: book.hall_counts(service).iter().map(weight).collect(),
+            by_hall: store.hall_counts(service).iter().map(weight).collect(),
         }
     }
 
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -26,13 +26,13 @@
 }
 
 /// Six engines in each of three halls, and targets of a stage with large results: two, two and one.
-fn book() -> TargetStore {
+fn target_store() -> TargetStore {
     let engines = (0..18).map(|number| record(number, "engine", number % 3));
     let stages = [0, 0, 1, 1, 2].into_iter().enumerate();
     let stages = stages.map(|(number, hall)| record(number, "stage", hall));
-    let mut book = TargetStore::default();
-    book.replace(&engines.chain(stages).collect::<Vec<_>>(), Instant::now());
-    book
+    let mut store = TargetStore::default();
+    store.replace(&engines.chain(stages).collect::<Vec<_>>(), Instant::now());
+    store
 }
 
 fn shared(id: &str, tokens: u64) -> PromptPart {
@@ -65,59 +65,59 @@
 
 #[test]
 fn prompts_with_the_same_part_go_to_one_engine_until_its_prefill_queue_is_long() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (key, first, _) = placer.place(&book, &request("a"), now).unwrap();
+    let (key, first, _) = placer.place(&store, &request("a"), now).unwrap();
     placer.record_prefill(key, now + Duration::from_millis(200));
-    let (_, second, _) = placer.place(&book, &request("a"), now).unwrap();
+    let (_, second, _) = placer.place(&store, &request("a"), now).unwrap();
     assert_eq!(first, second);
     // The waits of many long prompts outweigh the prefill of the part elsewhere.
     let mut engines = std::collections::BTreeSet::new();
     for _ in 0..40 {
-        engines.insert(placer.place(&book, &request("a"), now).unwrap().1.id);
+        engines.insert(placer.place(&store, &request("a"), now).unwrap().1.id);
     }
     assert!(engines.len() > 1);
 }
 
 #[test]
 fn a_planned_placement_does_not_count_as_cached() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (planned, facts) = placer.plan(&book, &request("a"), now).unwrap();
+    let (planned, facts) = placer.plan(&store, &request("a"), now).unwrap();
     assert_eq!(facts.cached_tokens, 0);
-    let (_, chosen, facts) = placer.place(&book, &request("a"), now).unwrap();
+    let (_, chosen, facts) = placer.place(&store, &request("a"), now).unwrap();
     assert_eq!((chosen, facts.cached_tokens), (planned, 0));
     // The whole prompt is still pending there, and the next prompt finds the part cached.
-    let (_, facts) = placer.plan(&book, &request("a"), now).unwrap();
+    let (_, facts) = placer.plan(&store, &request("a"), now).unwrap();
     assert_eq!((facts.cached_tokens, facts.queued_tokens), (13_000, 15_000));
 }
 
 #[test]
 fn an_uncached_part_goes_to_an_engine_with_a_short_prefill_queue() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let first = placer.choose(&book, &request("a"), now).unwrap();
+    let first = placer.choose(&store, &request("a"), now).unwrap();
     let mut busy = request("");
-    busy.tried = book
+    busy.tried = store
         .of_service("engine")
         .map(|one| one.id.clone())
         .filter(|id| *id != first.id)
         .collect();
-    let (_, chosen, _) = placer.place(&book, &busy, now).unwrap();
+    let (_, chosen, _) = placer.place(&store, &busy, now).unwrap();
     assert_eq!(chosen, first);
-    let other = placer.choose(&book, &request("a"), now).unwrap();
+    let other = placer.choose(&store, &request("a"), now).unwrap();
     assert_ne!(other, first);
 }
 
 #[test]
 fn hosts_without_placements_choose_alike_and_distribute_parts_over_engines() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let (one, other) = (EnginePlacer::default(), EnginePlacer::default());
     let mut engines = std::collections::BTreeSet::new();
     for number in 0..200 {
         let request = request(&format!("part-{number}"));
-        let chosen = one.choose(&book, &request, now).unwrap();
-        assert_eq!(Some(&chosen), other.choose(&book, &request, now).as_ref());
+        let chosen = one.choose(&store, &request, now).unwrap();
+        assert_eq!(Some(&chosen), other.choose(&store, &request, now).as_ref());
         engines.insert(chosen.id);
     }
     assert_eq!(engines.len(), 18);
@@ -125,13 +125,13 @@
 
 #[test]
 fn halls_get_prompts_in_proportion_to_their_targets_of_the_large_result_stage() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let placer = EnginePlacer::default();
     let mut halls: std::collections::BTreeMap<String, u32> = std::collections::BTreeMap::new();
     for number in 0..2_000 {
         let mut request = request(&format!("part-{number}"));
         request.large_result_stage = Some("stage".to_owned());
-        let chosen = placer.choose(&book, &request, now).unwrap();
+        let chosen = placer.choose(&store, &request, now).unwrap();
         *halls.entry(chosen.hall).or_default() += 1;
     }
     assert!((700..900).contains(&halls["hall-0"]), "{halls:?}");
@@ -141,12 +141,12 @@
 
 #[test]
 fn engines_that_were_tried_are_avoided_and_ended_prompts_count_no_more() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (key, first, _) = placer.place(&book, &request("a"), now).unwrap();
+    let (key, first, _) = placer.place(&store, &request("a"), now).unwrap();
     let mut again = request("a");
     again.tried.push(first.id.clone());
-    assert_ne!(placer.choose(&book, &again, now).unwrap().id, first.id);
+    assert_ne!(placer.choose(&store, &again, now).unwrap().id, first.id);
     placer.end_placement(key);
     placer.end_placement(key);
     assert!(placer.loads.is_empty() && placer.placed.is_empty());
@@ -154,7 +154,7 @@
 
 #[test]
 fn tracked_parts_are_bounded() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
     for number in 0..MAX_PARTS + 100 {
         placer.record_holder("engine-0", &format!("p{number}"), now);
@@ -164,17 +164,17 @@
     let later = now + PART_TTL + Duration::from_secs(1);
     placer.record_holder("engine-0", "new", later);
     assert_eq!(placer.holders.len(), 1);
-    assert!(placer.choose(&book, &request("new"), later).is_some());
+    assert!(placer.choose(&store, &request("new"), later).is_some());
 }
 
 #[test]
 fn an_engine_that_became_slow_is_avoided_and_tried_again_later() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
     let late = now + Duration::from_secs(5);
-    let slow = placer.choose(&book, &request("a"), now).unwrap();
+    let slow = placer.choose(&store, &request("a"), now).unwrap();
     let placed: Vec<_> = (0..2)
-        .map(|_| placer.place(&book, &request("a"), now).unwrap())
+        .map(|_| placer.place(&store, &request("a"), now).unwrap())
         .collect();
     for (key, chosen, _) in placed {
         assert_eq!(chosen, slow);
@@ -182,19 +182,19 @@
         placer.end_placement(key);
     }
     assert_ne!(
-        placer.choose(&book, &request("a"), late).unwrap().id,
+        placer.choose(&store, &request("a"), late).unwrap().id,
         slow.id
     );
     let later = late + SLOWNESS_TIME_CONSTANT * 8;
     assert_eq!(
-        placer.choose(&book, &request("a"), later).unwrap().id,
+        placer.choose(&store, &request("a"), later).unwrap().id,
         slow.id
     );
 }
 
 #[test]
 fn only_uncached_parts_of_a_prompt_count_as_missing() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
     let following = |id: &str| PlacementRequest {
         prompt: prompt(9_000, vec![shared("first", 2_500), shared(id, 3_800)]),
@@ -202,7 +202,7 @@
     };
     let held = |placer: &mut EnginePlacer, id: &str| {
         placer
-            .place(&book, &following(id), now)
+            .place(&store, &following(id), now)
             .unwrap()
             .2
             .cached_tokens
@@ -214,26 +214,29 @@
         prompt: prompt(9_000, vec![shared("other", 2_500), shared("a", 3_800)]),
         ..request("")
     };
-    assert_eq!(placer.place(&book, &alone, now).unwrap().2.cached_tokens, 0);
+    assert_eq!(
+        placer.place(&store, &alone, now).unwrap().2.cached_tokens,
+        0
+    );
 }
 
 /// A request that may crash its engine goes to the engine with the fewest other requests, whatever
 /// is pending there.
 #[test]
 fn a_prompt_that_may_crash_its_engine_goes_where_the_fewest_others_run() {
-    let (book, now) = (book(), Instant::now());
+    let (store, now) = (target_store(), Instant::now());
     let mut placer = EnginePlacer::default();
-    let (_, holder, _) = placer.place(&book, &request("p"), now).unwrap();
+    let (_, holder, _) = placer.place(&store, &request("p"), now).unwrap();
     let isolated = PlacementRequest {
         isolated: true,
         ..request("p")
     };
-    let (key, first, _) = placer.place(&book, &isolated, now).unwrap();
+    let (key, first, _) = placer.place(&store, &isolated, now).unwrap();
     assert_ne!(first.id, holder.id);
     // The next one goes to another engine, and no other request is placed beside the first.
-    let (other, second, _) = placer.place(&book, &isolated, now).unwrap();
+    let (other, second, _) = placer.place(&store, &isolated, now).unwrap();
     assert_ne!(second.id, first.id);
-    let (_, beside, _) = placer.place(&book, &request("q"), now).unwrap();
+    let (_, beside, _) = placer.place(&store, &request("q"), now).unwrap();
     assert!(beside.id != first.id && beside.id != second.id);
     placer.end_placement(key);
     placer.end_placement(other);
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -18,7 +18,7 @@
 /// Prompts per second in a burst of 2.4 times the usual load.
 const PROMPTS_PER_S: u64 = 700;
 
-fn cold_book(cold_ms: u32, now: Instant) -> TargetStore {
+fn cold_store(cold_ms: u32, now: Instant) -> TargetStore {
     let records: Vec<TargetRecord> = (0..ENGINES)
         .map(|number| {
             let mut record = record(number, "engine", number % HALLS);
@@ -26,9 +26,9 @@
             record
         })
         .collect();
-    let mut book = TargetStore::default();
-    book.replace(&records, now);
-    book.set_services(&RoutingConfig {
+    let mut store = TargetStore::default();
+    store.replace(&records, now);
+    store.set_services(&RoutingConfig {
         services: vec![Service {
             name: "engine".to_owned(),
             health_path: "/".to_owned(),
@@ -39,7 +39,7 @@
         }],
         ..RoutingConfig::default()
     });
-    book
+    store
 }
 
 /// Places the prompts of two seconds on engines, all with the same shared part or each with its
@@ -48,7 +48,7 @@
 fn simulate_burst(
     same_part: bool,
     placers: usize,
-    book: &TargetStore,
+    store: &TargetStore,
 ) -> BTreeMap<String, Vec<u64>> {
     let started = Instant::now();
     let mut all: Vec<EnginePlacer> = (0..placers).map(|_| EnginePlacer::default()).collect();
@@ -58,7 +58,7 @@
         let now = started + Duration::from_millis(ms);
         let part = if same_part { 0 } else { number };
         let placer = &mut all[number as usize % placers];
-        let placed = placer.place(book, &request(&format!("{part:08x}")), now);
+        let placed = placer.place(store, &request(&format!("{part:08x}")), now);
         let (key, engine, _) = placed.expect("a warm engine has room");
         placer.record_prefill(key, now);
         placer.end_placement(key);
@@ -77,12 +77,12 @@
 
 fn max_per_second_of_cold_engines(
     sent: &BTreeMap<String, Vec<u64>>,
-    book: &TargetStore,
+    store: &TargetStore,
     now: Instant,
 ) -> usize {
     let cold = sent
         .iter()
-        .filter(|(id, _)| book.is_cold("engine", id, now));
+        .filter(|(id, _)| store.is_cold("engine", id, now));
     cold.map(|(_, times)| max_in_one_second(times))
         .max()
         .unwrap_or(0)
@@ -93,10 +93,10 @@
 #[test]
 fn a_cold_engine_gets_no_more_than_its_rate() {
     let now = Instant::now();
-    let book = cold_book(60_000, now);
+    let store = cold_store(60_000, now);
     for same_part in [true, false] {
         let worst =
-            max_per_second_of_cold_engines(&simulate_burst(same_part, 1, &book), &book, now);
+            max_per_second_of_cold_engines(&simulate_burst(same_part, 1, &store), &store, now);
         println!("at most {worst} prompts in one second at a cold engine");
         assert!(worst <= COLD_PER_S as usize, "{worst}");
     }
@@ -106,35 +106,35 @@
 #[test]
 fn two_placing_hosts_stay_within_the_allowed_rate() {
     let now = Instant::now();
-    let book = cold_book(60_000, now);
-    let worst = max_per_second_of_cold_engines(&simulate_burst(true, 2, &book), &book, now);
+    let store = cold_store(60_000, now);
+    let worst = max_per_second_of_cold_engines(&simulate_burst(true, 2, &store), &store, now);
     assert!(worst <= MAX_PER_SECOND, "{worst}");
 }
 
 #[test]
 fn a_host_that_cannot_reach_the_placer_skips_cold_engines() {
     let now = Instant::now();
-    let book = cold_book(60_000, now);
+    let store = cold_store(60_000, now);
     let mut alone = request("a");
-    alone.excluded = book.cold_targets("engine", now);
+    alone.excluded = store.cold_targets("engine", now);
     assert_eq!(alone.excluded.len(), ENGINES.div_ceil(HALLS));
     let mut placer = EnginePlacer::default();
     for _ in 0..1_000 {
         let (_, engine, _) = placer
-            .place(&book, &alone, now)
+            .place(&store, &alone, now)
             .expect("a warm engine has room");
-        assert!(!book.is_cold("engine", &engine.id, now));
+        assert!(!store.is_cold("engine", &engine.id, now));
     }
 }
 
 #[test]
 fn no_engine_is_chosen_if_all_are_at_their_limit() {
     let now = Instant::now();
-    let mut book = TargetStore::default();
+    let mut store = TargetStore::default();
     let mut cold = record(0, "engine", 0);
     cold.cold_ms = 5_000;
-    book.replace(&[cold], now);
-    book.set_services(&RoutingConfig {
+    store.replace(&[cold], now);
+    store.set_services(&RoutingConfig {
         services: vec![Service {
             name: "engine".to_owned(),
             health_path: "/".to_owned(),
@@ -146,12 +146,12 @@
         ..RoutingConfig::default()
     });
     let mut placer = EnginePlacer::default();
-    assert!(placer.place(&book, &request("a"), now).is_some());
-    assert!(placer.place(&book, &request("a"), now).is_some());
-    assert!(placer.place(&book, &request("a"), now).is_none());
+    assert!(placer.place(&store, &request("a"), now).is_some());
+    assert!(placer.place(&store, &request("a"), now).is_some());
+    assert!(placer.place(&store, &request("a"), now).is_none());
     let later = now + Duration::from_millis(1_100);
-    assert!(placer.place(&book, &request("a"), later).is_some());
+    assert!(placer.place(&store, &request("a"), later).is_some());
     // The engine is warm by then.
     let warm = now + Duration::from_millis(5_100);
-    (0..50).for_each(|_| assert!(placer.place(&book, &request("a"), warm).is_some()));
+    (0..50).for_each(|_| assert!(placer.place(&store, &request("a"), warm).is_some()));
 }
--- a/crates/gateway/src/engine/tests/placing_cost.rs
+++ b/crates/gateway/src/engine/tests/placing_cost.rs
@@ -13,11 +13,11 @@
 
 const ROUNDS: u32 = 2_000;
 
-fn placer_with_load(book: &TargetStore, now: Instant, engines: usize) -> EnginePlacer {
+fn placer_with_load(store: &TargetStore, now: Instant, engines: usize) -> EnginePlacer {
     let mut placer = EnginePlacer::default();
     for number in 0..engines * PROMPTS_PER_ENGINE {
         let part = format!("{:08x}", number % PART_COUNT);
-        let (key, ..) = placer.place(book, &request(&part), now).unwrap();
+        let (key, ..) = placer.place(store, &request(&part), now).unwrap();
         if number % 3 > 0 {
             placer.record_prefill(key, now + Duration::from_millis(100));
         }
@@ -34,14 +34,14 @@
         let records: Vec<TargetRecord> = (0..engines)
             .map(|number| record(number, "engine", number % 3))
             .collect();
-        let mut book = TargetStore::default();
-        book.replace(&records, Instant::now());
+        let mut store = TargetStore::default();
+        store.replace(&records, Instant::now());
         let now = Instant::now();
-        let mut placer = placer_with_load(&book, now, engines);
+        let mut placer = placer_with_load(&store, now, engines);
         let began = Instant::now();
         for round in 0..ROUNDS {
             let part = format!("{:08x}", round as usize % PART_COUNT);
-            let (key, ..) = placer.place(&book, &request(&part), now).unwrap();
+            let (key, ..) = placer.place(&store, &request(&part), now).unwrap();
             placer.end_placement(key);
         }
         let micros = began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS);
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -50,8 +50,8 @@
 
 impl RequestResults {
     /// Returns how many bytes of the final stages' results lie in each hall.
-    pub(crate) fn bytes_by_hall(&self, request: &CallerRequest, book: &TargetStore) -> HallBytes {
-        bytes_by_hall(request, &self.stages, &self.final_stages, book)
+    pub(crate) fn bytes_by_hall(&self, request: &CallerRequest, store: &TargetStore) -> HallBytes {
+        bytes_by_hall(request, &self.stages, &self.final_stages, store)
     }
 
     /// Returns the result handles of the final stages, which no other stage comes after.
@@ -216,7 +216,7 @@
     request: &CallerRequest,
     results: &[Option<StageResults>],
     numbers: &[usize],
-    book: &TargetStore,
+    store: &TargetStore,
 ) -> HallBytes {
     let mut bytes_by_hall = HallBytes::default();
     for number in numbers {
@@ -225,7 +225,7 @@
         };
         let bytes = request.route.stages[*number].result_bytes;
         for handle in &stage.handles {
-            if let Some(hall) = book.hall_at(&stage.service, target_address_of(handle)) {
+            if let Some(hall) = store.hall_at(&stage.service, target_address_of(handle)) {
                 bytes_by_hall.add(&hall, bytes);
             }
         }
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -51,9 +51,9 @@
     tried: &[String],
 ) -> Option<NextAvailability> {
     let now = BootInstant::now();
-    let book = gateway.targets.borrow();
-    let confined = gateway.suspects.closed_targets(&book, service, request);
-    let targets = book.of_service(service).filter(|target| {
+    let store = gateway.targets.borrow();
+    let confined = gateway.suspects.closed_targets(&store, service, request);
+    let targets = store.of_service(service).filter(|target| {
         request.allowed_halls.allows(&target.hall)
             && !confined.contains(&target.id)
             && !tried.contains(&target.id)
@@ -94,11 +94,11 @@
     request: &CallerRequest,
 ) -> bool {
     let now = BootInstant::now();
-    let book = gateway.targets.borrow();
-    let mut usable = book.usable(service, Instant::now()).into_iter();
+    let store = gateway.targets.borrow();
+    let mut usable = store.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
         request.allowed_halls.allows(&one.hall)
-            && book.rate_limit(&one.id).is_none()
+            && store.rate_limit(&one.id).is_none()
             && gateway.notices.availability(&one.id, now) == TargetAvailability::Open
     })
 }
@@ -121,10 +121,10 @@
     if gateway.notices.rates.is_empty() {
         return None;
     }
-    let book = gateway.targets.borrow();
-    let usable = book.usable(service, Instant::now()).into_iter();
+    let store = gateway.targets.borrow();
+    let usable = store.usable(service, Instant::now()).into_iter();
     let usable = usable.filter(|target| request.allowed_halls.allows(&target.hall));
-    let rates = usable.map(|target| book.rate_limit(&target.id));
+    let rates = usable.map(|target| store.rate_limit(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
 
--- a/crates/gateway/src/target_selection.rs
+++ b/crates/gateway/src/target_selection.rs
@@ -101,9 +101,9 @@
         .targets
         .borrow_mut()
         .throttled_cold_targets(service, hosts, now);
-    let book = gateway.targets.borrow();
-    let closed_targets = closed_targets(gateway, &book, service, request, excluded);
-    let usable = book.usable(service, now);
+    let store = gateway.targets.borrow();
+    let closed_targets = closed_targets(gateway, &store, service, request, excluded);
+    let usable = store.usable(service, now);
     let eligible = usable
         .iter()
         .filter(|target| !excluded.tried.contains(&target.id) && !throttled.contains(&target.id))
@@ -115,9 +115,9 @@
     };
     let scored = eligible.map(|target| (load(target), target));
     let best = ChosenTarget::new(scored.min_by(|a, b| a.0.total_cmp(&b.0))?.1);
-    drop(book);
-    let mut book = gateway.targets.borrow_mut();
-    book.record_cold_send(service, &best.id, hosts, now);
+    drop(store);
+    let mut store = gateway.targets.borrow_mut();
+    store.record_cold_send(service, &best.id, hosts, now);
     Some((best, None))
 }
 
@@ -126,17 +126,21 @@
 /// or within that share if it is not.
 fn closed_targets(
     gateway: &Gateway,
-    book: &TargetStore,
+    store: &TargetStore,
     service: &str,
     request: &CallerRequest,
     excluded: ExcludedTargets<'_>,
 ) -> Vec<String> {
-    let mut closed = gateway.suspects.closed_targets(book, service, request);
-    closed.extend(gateway.notices.closed_targets(book.ids_of_service(service)));
+    let mut closed = gateway.suspects.closed_targets(store, service, request);
+    closed.extend(
+        gateway
+            .notices
+            .closed_targets(store.ids_of_service(service)),
+    );
     if excluded.rate_limited && has_unlimited_target(gateway, service, request) {
-        let rate_limited = book
+        let rate_limited = store
             .ids_of_service(service)
-            .filter(|id| book.rate_limit(id).is_some());
+            .filter(|id| store.rate_limit(id).is_some());
         closed.extend(rate_limited.cloned());
     }
     closed
@@ -157,10 +161,10 @@
         .iter()
         .max_by_key(|stage| stage.result_bytes);
     let large_stage = largest.filter(|stage| stage.result_bytes >= LARGE_RESULT_BYTES);
-    let book = gateway.targets.borrow();
-    let result_bytes = results.map(|results| results.bytes_by_hall(request, &book));
+    let store = gateway.targets.borrow();
+    let result_bytes = results.map(|results| results.bytes_by_hall(request, &store));
     // The placer may not know yet which targets this host cannot reach.
-    let unreachable = book.avoided(service, Instant::now());
+    let unreachable = store.avoided(service, Instant::now());
     let avoid = excluded
         .tried
         .iter()
@@ -172,7 +176,7 @@
         results: result_bytes.unwrap_or_default(),
         tried: avoid.take(MAX_AVOIDED_TARGETS).cloned().collect(),
         // The placer may use an avoided target if there is no other, but never a closed one.
-        excluded: closed_targets(gateway, &book, service, request, excluded),
+        excluded: closed_targets(gateway, &store, service, request, excluded),
         allowed_halls: request.allowed_halls.to_names(),
         isolated: request.isolated.get(),
     })
