--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -84,10 +84,10 @@
         ControlCall::Deferred(step) => ControlCommand::Deferred(step),
         ControlCall::Query(query) => {
             let has_lease = replica.has_valid_lease();
-            let answer = has_lease.then(|| ControlReply::Query(machine.query_deferred(&query)));
+            let result = has_lease.then(|| ControlReply::Query(machine.query_deferred(&query)));
             return CallReply {
                 id,
-                result: answer,
+                result,
                 not_applied: !has_lease,
             };
         }
@@ -95,7 +95,7 @@
     let bytes = postcard::to_stdvec(&command).unwrap_or_default();
     let outcome = replica.propose(bytes).await;
     let not_taken = matches!(outcome, Err(ref error) if !matches!(error, ProposeError::Unknown));
-    let answer = outcome
+    let result = outcome
         .ok()
         .and_then(|bytes| postcard::from_bytes(&bytes).ok())
         .and_then(|reply| match reply {
@@ -105,7 +105,7 @@
         });
     CallReply {
         id,
-        result: answer,
+        result,
         not_applied: not_taken,
     }
 }
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -51,9 +51,9 @@
     Rollout(RolloutCommand),
 }
 
-/// The answer to a [`DocumentCommand`].
+/// The reply to a [`DocumentCommand`].
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum DocumentAnswer {
+pub(crate) enum DocumentReply {
     /// To `Put`: the current version afterwards.
     CurrentVersion(u64),
     /// To `Read`.
@@ -125,34 +125,32 @@
     }
 
     fn apply(&self, command: &[u8]) -> Vec<u8> {
-        let answer = match postcard::from_bytes(command) {
-            Ok(DocumentCommand::Put(document)) => {
-                DocumentAnswer::CurrentVersion(self.put(document))
-            }
-            Ok(DocumentCommand::Read) => DocumentAnswer::Document(
+        let reply = match postcard::from_bytes(command) {
+            Ok(DocumentCommand::Put(document)) => DocumentReply::CurrentVersion(self.put(document)),
+            Ok(DocumentCommand::Read) => DocumentReply::Document(
                 self.current_document()
                     .map(|current| current.document().clone()),
             ),
             Ok(DocumentCommand::Evacuate(order)) => {
-                DocumentAnswer::Evacuation(self.evacuate(&order))
+                DocumentReply::Evacuation(self.evacuate(&order))
             }
             Ok(DocumentCommand::Hold(records)) => {
                 self.store_held(&records);
-                DocumentAnswer::Done
+                DocumentReply::Done
             }
             Ok(DocumentCommand::Rollout(command)) => {
-                DocumentAnswer::Rollout(self.apply_rollout(&command))
+                DocumentReply::Rollout(self.apply_rollout(&command))
             }
             // A command of a later build is ignored here; that build should not have sent it.
             Err(error) => {
                 log::error!("ignoring a log command that cannot be decoded: {error}");
-                DocumentAnswer::CurrentVersion(
+                DocumentReply::CurrentVersion(
                     self.current_document()
                         .map_or(0, |current| current.version()),
                 )
             }
         };
-        postcard::to_stdvec(&answer).unwrap_or_default()
+        postcard::to_stdvec(&reply).unwrap_or_default()
     }
 
     fn put(&self, document: Document) -> u64 {
--- a/crates/directory/src/machine/tests.rs
+++ b/crates/directory/src/machine/tests.rs
@@ -56,7 +56,7 @@
     assert!(!machine.evacuations().is_evacuated("north"));
 }
 
-/// The encoding of commands, answers and snapshots must not change: other replicas and later starts
+/// The encoding of commands, replies and snapshots must not change: other replicas and later starts
 /// read them.
 #[test]
 fn log_and_snapshot_encoding_is_unchanged() {
@@ -78,11 +78,11 @@
         DocumentCommand::Evacuate(order),
         DocumentCommand::Hold(records),
     ];
-    let answers = [
-        DocumentAnswer::CurrentVersion(300),
-        DocumentAnswer::Document(Some(document)),
-        DocumentAnswer::Evacuation(outcome),
-        DocumentAnswer::Done,
+    let replies = [
+        DocumentReply::CurrentVersion(300),
+        DocumentReply::Document(Some(document)),
+        DocumentReply::Evacuation(outcome),
+        DocumentReply::Done,
     ];
     let machine = DocumentMachine::new();
     for command in &commands {
@@ -92,7 +92,7 @@
     let rollouts = rollout_commands();
     let outcomes = rollouts.iter().map(|one| machine.apply_rollout(one));
     let outcomes: Vec<String> = outcomes
-        .map(|one| format!("answer {}", hex(&DocumentAnswer::Rollout(one))))
+        .map(|one| format!("answer {}", hex(&DocumentReply::Rollout(one))))
         .collect();
     let rollouts = rollouts.into_iter().map(DocumentCommand::Rollout);
     let rollouts = rollouts.map(|one| format!("command {}", hex(&one)));
@@ -102,11 +102,11 @@
     assert_eq!(*last, 0);
     assert!(snapshot.starts_with(shipped));
     let commands = commands.iter().map(|one| format!("command {}", hex(one)));
-    let answers = answers.iter().map(|one| format!("answer {}", hex(one)));
+    let replies = replies.iter().map(|one| format!("answer {}", hex(one)));
     let text = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     let (shipped, snapshot): (String, String) = (text(shipped), text(&snapshot));
     let lines: Vec<String> = commands
-        .chain(answers)
+        .chain(replies)
         .chain([format!("snapshot {shipped}")])
         .chain(rollouts)
         .chain(outcomes)
@@ -169,16 +169,16 @@
     assert!(other.rollouts().newest("desk").is_none());
 }
 
-/// A replica ignores an unknown command, answers it, and keeps its state.
+/// A replica ignores an unknown command, replies to it, and keeps its state.
 #[test]
 fn unknown_command_changes_nothing() {
     let machine = DocumentMachine::new();
     let before = machine.snapshot();
-    let answer = machine.apply(&[250, 1, 2, 3]);
-    let answer: DocumentAnswer = postcard::from_bytes(&answer).unwrap();
+    let reply = machine.apply(&[250, 1, 2, 3]);
+    let reply: DocumentReply = postcard::from_bytes(&reply).unwrap();
     assert!(
-        matches!(answer, DocumentAnswer::CurrentVersion(0)),
-        "{answer:?}"
+        matches!(reply, DocumentReply::CurrentVersion(0)),
+        "{reply:?}"
     );
     assert_eq!(machine.snapshot(), before);
 }
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -257,7 +257,7 @@
     Form { cluster: u64, founders: Members },
     /// Adds a replica to the members.
     Join(Member),
-    /// Commits a command and returns the answer of the state machine.
+    /// Commits a command and returns the reply of the state machine.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
@@ -278,7 +278,7 @@
     /// The call succeeded.
     Done,
     /// To `Command`.
-    Answer(#[serde(with = "serde_bytes")] Vec<u8>),
+    Command(#[serde(with = "serde_bytes")] Vec<u8>),
     /// This control host does not lead; carries the leader's address if it is known.
     NotLeader(Option<SocketAddr>),
     /// The call was refused, for the given reason.
--- a/crates/directory/src/message/tests.rs
+++ b/crates/directory/src/message/tests.rs
@@ -132,7 +132,7 @@
         format!("identify {}", hex(&DirectoryCall::Identify)),
         format!("command {}", hex(&DirectoryCall::Command(vec![1, 2]))),
         format!("done {}", hex(&DirectoryReply::Done)),
-        format!("answer {}", hex(&DirectoryReply::Answer(vec![1, 2]))),
+        format!("answer {}", hex(&DirectoryReply::Command(vec![1, 2]))),
         format!(
             "not leader {}",
             hex(&DirectoryReply::NotLeader(Some(entry_host().peer)))
--- a/crates/directory/src/node/commands.rs
+++ b/crates/directory/src/node/commands.rs
@@ -10,7 +10,7 @@
 
 use super::{DirectoryError, DirectoryNode};
 use crate::call::call;
-use crate::machine::{DocumentAnswer, DocumentCommand};
+use crate::machine::{DocumentCommand, DocumentReply};
 use crate::message::{DirectoryCall, DirectoryReply};
 use crate::{Document, EvacuationOrder, EvacuationOutcome};
 
@@ -30,7 +30,7 @@
 /// Maximum number of attempts to order a change of a hall while others change it as well.
 const MAX_ORDER_ATTEMPTS: usize = 3;
 
-/// Assumed minimum transfer rate of a command and its answer between control hosts, in bytes per
+/// Assumed minimum transfer rate of a command and its reply between control hosts, in bytes per
 /// second. With one timeout for every size, a configuration of 4 MB was committed but never
 /// acknowledged over links of 24 Mbit/s, and each attempt sent it again.
 const MIN_BYTES_PER_S: f64 = 2_000_000.0;
@@ -62,7 +62,7 @@
         let outcome = self.commit(&command).await;
         let detail = |current| format!("version={version} bytes={bytes} held={current}");
         match outcome {
-            Ok(DocumentAnswer::CurrentVersion(current)) => {
+            Ok(DocumentReply::CurrentVersion(current)) => {
                 self.record(EventCode::RoutingAccepted, &detail(current.to_string()));
                 Ok(current)
             }
@@ -80,7 +80,7 @@
     /// [`DirectoryError::NoQuorum`].
     pub async fn read_document(&self) -> Result<Option<Document>, DirectoryError> {
         match self.commit(&DocumentCommand::Read).await? {
-            DocumentAnswer::Document(document) => {
+            DocumentReply::Document(document) => {
                 let version = document.as_ref().map_or(0, |document| document.version);
                 self.record(EventCode::RoutingRead, &format!("version={version}"));
                 Ok(document)
@@ -107,16 +107,16 @@
                 evacuated,
                 seen_revision,
             };
-            let answer = self.commit(&DocumentCommand::Evacuate(order)).await;
-            match answer {
-                Ok(DocumentAnswer::Evacuation(EvacuationOutcome::InEffect(state))) => {
+            let reply = self.commit(&DocumentCommand::Evacuate(order)).await;
+            match reply {
+                Ok(DocumentReply::Evacuation(EvacuationOutcome::InEffect(state))) => {
                     let revision = state.revision;
                     let detail = format!("hall={hall} evacuated={evacuated} revision={revision}");
                     self.record(EventCode::EvacuationAccepted, &detail);
                     return Ok(());
                 }
                 // This host had not applied the newest order for the hall yet.
-                Ok(DocumentAnswer::Evacuation(EvacuationOutcome::Outdated(state))) => {
+                Ok(DocumentReply::Evacuation(EvacuationOutcome::Outdated(state))) => {
                     seen_revision = state.revision;
                 }
                 _ => break,
@@ -157,9 +157,9 @@
     pub(super) async fn commit(
         &self,
         command: &DocumentCommand,
-    ) -> Result<DocumentAnswer, DirectoryError> {
+    ) -> Result<DocumentReply, DirectoryError> {
         let bytes = postcard::to_stdvec(command).map_err(|_| DirectoryError::NoQuorum)?;
-        let answer_bytes = match command {
+        let reply_bytes = match command {
             DocumentCommand::Put(_)
             | DocumentCommand::Evacuate(_)
             | DocumentCommand::Hold(_)
@@ -168,7 +168,7 @@
                 .current_document()
                 .map_or(0, |current| current.body().len()),
         };
-        let length = bytes.len() + answer_bytes;
+        let length = bytes.len() + reply_bytes;
         let transfer_time = Duration::from_secs_f64(length as f64 / MIN_BYTES_PER_S);
         let timeout_total = self.shared.timing.commit_timeout + transfer_time;
         let attempt_timeout = match length <= MAX_SMALL_COMMAND_BYTES {
@@ -178,12 +178,12 @@
         let started = Instant::now();
         while let Some(remaining) = timeout_total.checked_sub(started.elapsed()) {
             let remaining = remaining.min(attempt_timeout);
-            let answer = match timeout(remaining, self.commit_once(&bytes, remaining)).await {
-                Ok(Some(answer)) => postcard::from_bytes(&answer).ok(),
+            let reply = match timeout(remaining, self.commit_once(&bytes, remaining)).await {
+                Ok(Some(reply)) => postcard::from_bytes(&reply).ok(),
                 _ => None,
             };
-            if let Some(answer) = answer {
-                return Ok(answer);
+            if let Some(reply) = reply {
+                return Ok(reply);
             }
             sleep(LEADER_RETRY_DELAY).await;
         }
@@ -194,14 +194,14 @@
     // neither does an order for a hall that is already in the ordered state.
     async fn commit_once(&self, bytes: &[u8], call_timeout: Duration) -> Option<Vec<u8>> {
         match self.shared.replica.propose(bytes.to_vec()).await {
-            Ok(answer) => return Some(answer),
+            Ok(reply) => return Some(reply),
             Err(ProposeError::NotLeader { .. }) => {}
             Err(_) => return None,
         }
         let leader = self.leader_address()?;
         let request = DirectoryCall::Command(bytes.to_vec());
         match call(&self.shared.identity, leader, &request, call_timeout).await {
-            Ok(DirectoryReply::Answer(answer)) => Some(answer),
+            Ok(DirectoryReply::Command(reply)) => Some(reply),
             _ => None,
         }
     }
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -13,7 +13,7 @@
 
 use super::{DirectoryError, DirectoryNode};
 use crate::SubscriberReport;
-use crate::machine::{DocumentAnswer, DocumentCommand};
+use crate::machine::{DocumentCommand, DocumentReply};
 
 /// How often the leading control host checks whether a roll-out has to advance.
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(100);
@@ -176,7 +176,7 @@
         command: RolloutCommand,
     ) -> Result<RolloutOutcome, DirectoryError> {
         match self.commit(&DocumentCommand::Rollout(command)).await? {
-            DocumentAnswer::Rollout(outcome) => Ok(outcome),
+            DocumentReply::Rollout(outcome) => Ok(outcome),
             _ => Err(DirectoryError::NoQuorum),
         }
     }
--- a/crates/directory/src/serve_call.rs
+++ b/crates/directory/src/serve_call.rs
@@ -1,4 +1,4 @@
-//! Answers calls on a control host.
+//! Executes calls on a control host.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 /// Timeout for receiving the request of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers one call.
+/// Receives one call and sends its reply.
 ///
 /// # Errors
 ///
@@ -28,11 +28,11 @@
     let Ok(request) = timeout(CALL_TIMEOUT, reader.receive::<DirectoryCall>()).await else {
         return Ok(());
     };
-    let reply = answer_call(node, request?).await;
+    let reply = execute_call(node, request?).await;
     writer.send(&reply).await
 }
 
-async fn answer_call(node: &DirectoryNode, request: DirectoryCall) -> DirectoryReply {
+async fn execute_call(node: &DirectoryNode, request: DirectoryCall) -> DirectoryReply {
     match request {
         DirectoryCall::Identify => {
             let status = node.replica().status();
@@ -74,7 +74,7 @@
 
 fn to_reply(outcome: Result<Vec<u8>, ProposeError>) -> DirectoryReply {
     match outcome {
-        Ok(answer) => DirectoryReply::Answer(answer),
+        Ok(reply) => DirectoryReply::Command(reply),
         Err(ProposeError::NotLeader { leader }) => {
             DirectoryReply::NotLeader(leader.map(|member| member.peer))
         }
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -315,7 +315,7 @@
         cooldown
     }
 
-    /// Updates the time ratio with the duration of an answered call.
+    /// Updates the time ratio with the duration of a call that got a response.
     pub(super) fn update_time_ratio(&mut self, expected: Duration, took: Duration) {
         if expected.is_zero() {
             return;
--- a/crates/gateway/src/coordinator/state/tests.rs
+++ b/crates/gateway/src/coordinator/state/tests.rs
@@ -90,7 +90,7 @@
 }
 
 /// Ends a call with a result for every piece; returns results that no batch needs.
-fn answer(state: &mut QueueState, call: DueCall, late: bool) -> Vec<String> {
+fn respond(state: &mut QueueState, call: DueCall, late: bool) -> Vec<String> {
     let made = (0..call.pieces.len()).map(|piece| {
         let trial = if call.trial { "trial-" } else { "" };
         Ok(format!("{}/{trial}{piece}", call.address))
@@ -121,11 +121,11 @@
     state.requeue_late_call(&slow, now + Duration::from_secs(1), now);
     let fast = only_call(state, now);
     assert_ne!(slow.target, fast.target);
-    assert!(answer(state, fast, false).is_empty());
+    assert!(respond(state, fast, false).is_empty());
     assert_eq!(replies.borrow().len(), 2);
     let unhealthy = slow.target.clone();
     assert_eq!(
-        answer(state, slow, true).len(),
+        respond(state, slow, true).len(),
         2,
         "results of pieces that ran twice"
     );
@@ -146,9 +146,9 @@
     let busy = submit(&mut state, 1, now);
     let other = only_call(&mut state, now);
     state.requeue_late_call(&slow, now + Duration::from_secs(1), now);
-    assert!(answer(&mut state, slow, true).is_empty());
+    assert!(respond(&mut state, slow, true).is_empty());
     assert_eq!(replies.borrow().len(), 2);
-    answer(&mut state, other, false);
+    respond(&mut state, other, false);
     assert_eq!(busy.borrow().len(), 1);
     assert!(state.due_calls(&key(), now).is_empty());
     assert!(state.pools[&key()].queue.is_empty());
@@ -167,7 +167,7 @@
         healthy.target, unhealthy,
         "the unhealthy target is in its cooldown"
     );
-    answer(&mut state, healthy, false);
+    respond(&mut state, healthy, false);
     assert_eq!(replies.borrow().len(), 3);
 
     let rested = now + Duration::from_secs(2);
@@ -180,11 +180,11 @@
     assert_eq!(trials[0].target, unhealthy);
     assert_eq!((trials[0].pieces.len(), calls[0].pieces.len()), (1, 3));
     for call in calls {
-        answer(&mut state, call, false);
+        respond(&mut state, call, false);
     }
     assert_eq!(replies.borrow().len(), 3, "no request waits for the trial");
     for trial in trials {
-        assert_eq!(answer(&mut state, trial, false).len(), 1);
+        assert_eq!(respond(&mut state, trial, false).len(), 1);
     }
     let load = state.load(&key(), &state.pools[&key()], rested);
     assert_eq!(load.targets, 2);
@@ -197,7 +197,7 @@
     let slow = only_call(&mut state, now);
     state.requeue_late_call(&slow, now + Duration::from_secs(1), now);
     assert!(state.pools[&key()].queue.is_empty());
-    answer(&mut state, slow, true);
+    respond(&mut state, slow, true);
     assert_eq!(replies.borrow().len(), 1);
     let rested = now + Duration::from_secs(2);
     submit(&mut state, 2, rested);
@@ -290,6 +290,6 @@
     assert_eq!(target.used_bytes(), reserved_bytes);
     let again = only_call(&mut state, Instant::now());
     assert_eq!((again.target.as_str(), again.trial), ("t-0", false));
-    answer(&mut state, again, false);
+    respond(&mut state, again, false);
     assert_eq!(replies.borrow().len(), 2);
 }
--- a/crates/gateway/src/coordinator/state/tests/back_off.rs
+++ b/crates/gateway/src/coordinator/state/tests/back_off.rs
@@ -39,7 +39,7 @@
         refuse_and_back_off(&mut state, call, now);
     }
     let call = only_call(&mut state, now);
-    answer(&mut state, call, false);
+    respond(&mut state, call, false);
     assert!(replies.borrow().iter().all(Result::is_ok));
 }
 
@@ -104,7 +104,7 @@
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
     let handle = format!("{}/0", call.address);
-    answer(&mut state, call, false);
+    respond(&mut state, call, false);
     submit(&mut state, 1, now);
     let call = only_call(&mut state, now);
     let target = call.target.clone();
--- a/crates/gateway/src/coordinator/state/tests/burst.rs
+++ b/crates/gateway/src/coordinator/state/tests/burst.rs
@@ -36,7 +36,7 @@
     /// A target has finished its running call.
     FinishWork(usize),
     /// The response to a call has arrived.
-    Answered(usize),
+    Responded(usize),
     /// The next call to a target may be sent.
     NextCallDue,
 }
@@ -162,7 +162,7 @@
             Event::Submit => self.submit(now),
             Event::ReachTarget(call) => self.reach_target(now, call),
             Event::FinishWork(target) => self.finish_work(now, target),
-            Event::Answered(call) => self.answer(now, call),
+            Event::Responded(call) => self.respond(now, call),
             Event::NextCallDue => {}
         }
         self.dispatch(now);
@@ -251,13 +251,13 @@
             .pop_front()
             .expect("running call");
         let back = ANSWER_TRANSFER_MS + ANSWER_TRANSFER_PIECE_MS * self.sizes[call] as f64;
-        self.push(now, back, Event::Answered(call));
+        self.push(now, back, Event::Responded(call));
         if let Some(next) = self.targets[target].calls.front().copied() {
             self.begin_work(now, target, next);
         }
     }
 
-    fn answer(&mut self, now: u64, call: usize) {
+    fn respond(&mut self, now: u64, call: usize) {
         let target = self.target_of(call);
         let made =
             (0..self.sizes[call]).map(|piece| Ok(format!("127.0.0.1:{target}/{call}.{piece}")));
--- a/crates/gateway/src/coordinator/state/tests/target_crash.rs
+++ b/crates/gateway/src/coordinator/state/tests/target_crash.rs
@@ -44,7 +44,7 @@
         if call.pieces[0].request_key == request("/guilty") {
             finish(&mut state, call, crashed(), false);
         } else {
-            answer(&mut state, call, false);
+            respond(&mut state, call, false);
         }
     }
     assert_eq!(
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -119,7 +119,10 @@
     };
     let (code, outcome, label) = match outcome {
         Ok(response) if response.status().is_success() => {
-            gateway.metrics.first_answer.observe(elapsed.as_secs_f64());
+            gateway
+                .metrics
+                .first_response
+                .observe(elapsed.as_secs_f64());
             (
                 EventCode::RequestFinished,
                 "outcome=answered".to_owned(),
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -25,7 +25,7 @@
     /// The registry of all metrics, for the metrics page.
     pub registry: Arc<Mutex<Registry>>,
     pub(crate) requests: Family<OutcomeLabels, Counter>,
-    pub(crate) first_answer: Histogram,
+    pub(crate) first_response: Histogram,
     pub(crate) stage_time: Histogram,
     pub(crate) attempts_failed: Counter,
     pub(crate) connections_opened: Gauge,
@@ -56,7 +56,7 @@
         let metrics = Self {
             registry: Arc::default(),
             requests: Family::default(),
-            first_answer: times(),
+            first_response: times(),
             stage_time: times(),
             attempts_failed: Counter::default(),
             connections_opened: Gauge::default(),
@@ -138,7 +138,7 @@
             "first_answer",
             "Time to the response, or to the first event of a stream",
             Unit::Seconds,
-            metrics.first_answer.clone(),
+            metrics.first_response.clone(),
         );
         registry.register_with_unit(
             "stages",
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -223,12 +223,12 @@
         queued_tokens: 70_000,
         expected_ms: 40,
     };
-    let answers = [
+    let replies = [
         RunPermitReply::Granted,
         RunPermitReply::Busy,
         RunPermitReply::Held,
     ];
-    let run_permits = answers
+    let run_permits = replies
         .into_iter()
         .map(|reply| PieceReply::RunPermit { number: 305, reply });
     let others = [
--- a/crates/gateway/src/pool_key.rs
+++ b/crates/gateway/src/pool_key.rs
@@ -51,7 +51,7 @@
             .map(|partition| partition.hall.as_str())
     }
 
-    /// Returns whether a target belongs to the pool. The answer follows from the key alone, so a partition
+    /// Returns whether a target belongs to the pool. The result follows from the key alone, so a partition
     /// that was formed when the pool had another size keeps its targets.
     pub(crate) fn contains(&self, record: &TargetRecord) -> bool {
         record.service == self.service && self.contains_target(&record.hall, &record.id)
--- a/crates/gateway/src/send_permit_issuer/tests.rs
+++ b/crates/gateway/src/send_permit_issuer/tests.rs
@@ -76,13 +76,13 @@
 fn a_busy_host_gets_several_permits_at_once_at_high_rates() {
     let (issuer, now) = (SendPermitIssuer::default(), BootInstant::now());
     issue(&issuer, 5_000.0, &request(0, 0), now);
-    let answer = issue(&issuer, 5_000.0, &request(0, 60), now + PERMIT_LIFETIME);
+    let reply = issue(&issuer, 5_000.0, &request(0, 60), now + PERMIT_LIFETIME);
     let granted = SendPermitReply::Granted {
         wait_ms: 0,
         more: 60,
         next_ms: 13,
     };
-    assert_eq!(answer, granted);
+    assert_eq!(reply, granted);
 }
 
 #[test]
--- a/crates/gateway/src/serve_pieces/tests/fleet.rs
+++ b/crates/gateway/src/serve_pieces/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! A light-weight fleet around one entry host: other entry hosts that send it pieces and prompts, and stage
-//! targets that answer its calls. All but the host itself run on a thread of their own.
+//! targets that respond to its calls. All but the host itself run on a thread of their own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -57,14 +57,14 @@
     }
 }
 
-/// Answers calls as a stage target, each after the time that its pieces take.
+/// Responds to calls as a stage target, each after the time that its pieces take.
 pub(super) async fn run_target(listener: TcpListener) {
     while let Ok((socket, _)) = listener.accept().await {
-        tokio::spawn(answer_calls(socket));
+        tokio::spawn(respond_to_calls(socket));
     }
 }
 
-async fn answer_calls(mut socket: TcpStream) -> std::io::Result<()> {
+async fn respond_to_calls(mut socket: TcpStream) -> std::io::Result<()> {
     let address = socket.local_addr()?;
     let mut buffer = Vec::new();
     let mut result_count = 0_u64;
--- a/crates/gateway/src/stage_client/run_permit.rs
+++ b/crates/gateway/src/stage_client/run_permit.rs
@@ -45,7 +45,7 @@
     }
 
     /// Requests a run permit from another host. Returns the reply and the number that identifies the permit at
-    /// that host; without a reply in time the result is [`TurnAnswer::Busy`].
+    /// that host; without a reply in time the result is [`RunPermitReply::Busy`].
     pub(crate) async fn request_run_permit(
         &self,
         address: SocketAddr,
