--- a/crates/directory/src/held_requests/tests.rs
+++ b/crates/directory/src/held_requests/tests.rs
@@ -14,12 +14,12 @@
 #[test]
 fn only_missing_records_are_written_to_the_log() {
     let mut held = HeldRequests::default();
-    let (suspect, guilty) = (record("/suspect", 0, 2), record("/guilty", 0, 3));
-    let known = vec![suspect, guilty.clone()];
-    assert_eq!(held.missing(known.clone()), std::slice::from_ref(&guilty));
+    let (suspect, crashing) = (record("/suspect", 0, 2), record("/guilty", 0, 3));
+    let known = vec![suspect, crashing.clone()];
+    assert_eq!(held.missing(known.clone()), std::slice::from_ref(&crashing));
     held.apply(&held.missing(known.clone()));
     assert!(held.missing(known).is_empty());
-    let mut tried = guilty;
+    let mut tried = crashing;
     tried.trials = 1;
     tried.age_ms = 70;
     let missing = held.missing(vec![tried]);
--- a/crates/directory/src/node/rate_limits.rs
+++ b/crates/directory/src/node/rate_limits.rs
@@ -35,16 +35,16 @@
 
 impl DirectoryNode {
     /// Merges rate limits announced by targets, and wakes the pushes if others need them.
-    pub(crate) fn merge_rate_limits(&self, words: &[RateObservation]) {
-        if words.is_empty() {
+    pub(crate) fn merge_rate_limits(&self, observations: &[RateObservation]) {
+        if observations.is_empty() {
             return;
         }
         let now = BootInstant::now();
         let mut changed = false;
         {
             let mut state = self.lock();
-            for word in words {
-                changed |= state.rate_limits.relay(word, now);
+            for observation in observations {
+                changed |= state.rate_limits.relay(observation, now);
             }
         }
         if changed {
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -170,7 +170,7 @@
     /// name.
     fn collect_all(&mut self, now: Instant, local: &LocalEntryHosts) -> Vec<EntryHostRecord> {
         self.remote_entry_hosts
-            .retain(|_, told| told.lost_until.is_none_or(|until| until > now));
+            .retain(|_, remote| remote.lost_until.is_none_or(|until| until > now));
         let remote = self
             .remote_entry_hosts
             .values()
--- a/crates/dispatch/src/choose.rs
+++ b/crates/dispatch/src/choose.rs
@@ -52,7 +52,7 @@
     let start = fastrand::usize(..usable.len().max(1));
     let step = usable.len().div_ceil(SAMPLE_SIZE).max(1);
     let count = usable.len().min(SAMPLE_SIZE);
-    let sampled = (0..count).map(|turn| (start + turn * step) % usable.len());
+    let sampled = (0..count).map(|sample| (start + sample * step) % usable.len());
     let prefix_holder = usable.iter().position(|candidate| candidate.has_prefix);
     let considered = sampled.chain(prefix_holder).map(|index| &usable[index]);
     considered.min_by(|a, b| score(a, hall, now).total_cmp(&score(b, hall, now)))
--- a/crates/gateway/src/allowed_halls/tests.rs
+++ b/crates/gateway/src/allowed_halls/tests.rs
@@ -20,17 +20,24 @@
         (&["a"], &["b"], &[]),
     ];
     for (route, account, allowed) in cases {
-        let homes = AllowedHalls::new(&halls(), &texts(route), &texts(account));
+        let allowed_halls = AllowedHalls::new(&halls(), &texts(route), &texts(account));
         for hall in ["a1", "a2", "b1", "c1", "unknown"] {
             let wanted = allowed.contains(&hall);
-            assert_eq!(homes.allows(hall), wanted, "{route:?} {account:?} {hall}");
+            assert_eq!(
+                allowed_halls.allows(hall),
+                wanted,
+                "{route:?} {account:?} {hall}"
+            );
         }
     }
 }
 
 #[test]
 fn a_region_without_halls_allows_nothing() {
-    let homes = AllowedHalls::new(&halls(), &texts(&["nowhere"]), &[]);
-    assert!(halls().keys().all(|hall| !homes.allows(hall)));
-    assert_eq!(AllowedHalls::from_names(homes.to_names()), homes);
+    let allowed_halls = AllowedHalls::new(&halls(), &texts(&["nowhere"]), &[]);
+    assert!(halls().keys().all(|hall| !allowed_halls.allows(hall)));
+    assert_eq!(
+        AllowedHalls::from_names(allowed_halls.to_names()),
+        allowed_halls
+    );
 }
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -18,7 +18,7 @@
 use crate::rendezvous::ScoreKey;
 use crate::{Refusal, RefusalReason};
 
-/// Maximum number of pieces that a request may ask of one stage.
+/// Maximum number of pieces that a request may have at one stage.
 const MAX_PIECES_PER_STAGE: u32 = 4_096;
 
 /// A request that passed validation.
--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -7,10 +7,10 @@
 //!   pieces, counts what it sends: [`SendWindow`]. At most two hosts believe to be that host for
 //!   the same target, one on each side of a network partition or during a handover, so that
 //!   together they send at most twice the rate for a moment.
-//! - A host that should ask the deciding host and cannot reach it sends nothing to cold targets.
+//! - A host that should query the deciding host and cannot reach it sends nothing to cold targets.
 //! - For plain services no host decides for all. Each host sends at its share of half of the rate,
 //!   [`SendShare`], from a random moment on, so that the sum over all hosts has a mean of half of
-//!   the rate: with 9 per second and 88 hosts that ask all the time at most 14 arrive in a second,
+//!   the rate: with 9 per second and 88 hosts with constant demand at most 14 arrive in a second,
 //!   over 200 seeds (`hosts_that_do_not_know_of_each_other_stay_within_what_is_allowed`).
 
 use std::collections::VecDeque;
--- a/crates/gateway/src/coordinator/call.rs
+++ b/crates/gateway/src/coordinator/call.rs
@@ -187,8 +187,8 @@
     address: SocketAddr,
 ) {
     sleep(MAX_REPORT_AGE).await;
-    let asked = coordinator.caller.query_free_bytes(&target, address);
-    if let Some(free) = asked.await {
+    let query = coordinator.caller.query_free_bytes(&target, address);
+    if let Some(free) = query.await {
         coordinator.apply_free_bytes(&pool, address, free);
     }
 }
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns whether a target may get a new call during a rollout: it runs the version whose turn
-    /// it is, or no target runs that version.
+    /// Returns whether a target may get a new call during a rollout: it runs the version that the
+    /// split selects next, or no target runs that version.
     fn split_allows(&self, target: &StageTarget) -> bool {
         let Some(split) = &self.split else {
             return true;
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -280,7 +280,7 @@
             let Some((id, target)) = owner else {
                 continue;
             };
-            // A target that is backed off is not told, so the result occupies memory until it
+            // A target that is backed off is not notified, so the result occupies memory until it
             // expires.
             if target.is_backed_off(now) {
                 continue;
--- a/crates/gateway/src/coordinator/state/tests/target_crash.rs
+++ b/crates/gateway/src/coordinator/state/tests/target_crash.rs
@@ -22,13 +22,13 @@
     CallOutcome::TargetCrashed("connection reset".to_owned())
 }
 
-/// All requests with pieces in a call are suspects when its target crashes, though most of them are
-/// innocent. If they were retried together they would crash one target after the other together.
+/// All requests with pieces in a call are suspects when its target crashes, though most of them did
+/// not cause the crash. If they were retried together they would crash one target after the other.
 #[test]
 fn pieces_of_a_call_whose_target_crashed_are_retried_isolated_by_request() {
     let (mut state, now) = (state(3), Instant::now());
-    let _innocent = submit_with_key(&mut state, request("/innocent"), 2, now);
-    let guilty = submit_with_key(&mut state, request("/guilty"), 2, now);
+    let _other = submit_with_key(&mut state, request("/innocent"), 2, now);
+    let cause = submit_with_key(&mut state, request("/guilty"), 2, now);
     let call = only_call(&mut state, now);
     assert_eq!(call.pieces.len(), 4);
     finish(&mut state, call, crashed(), false);
@@ -39,7 +39,7 @@
         assert!(call.pieces.iter().all(|one| one.request_key == first));
         assert_eq!(call.pieces.len(), 2);
     }
-    // The guilty request crashes its second target, alone in the call, and is not sent to a third.
+    // The causing request crashes its second target, alone in the call, and is not sent to a third.
     for call in calls {
         if call.pieces[0].request_key == request("/guilty") {
             finish(&mut state, call, crashed(), false);
@@ -48,7 +48,7 @@
         }
     }
     assert_eq!(
-        *guilty.borrow(),
+        *cause.borrow(),
         [
             Err(PieceFault::TargetsCrashed),
             Err(PieceFault::TargetsCrashed)
--- a/crates/gateway/src/gateway/send_permits.rs
+++ b/crates/gateway/src/gateway/send_permits.rs
@@ -53,9 +53,9 @@
 
     fn send_permit_host(&self, subject: &SendPermitScope) -> SendPermitHost {
         let hall = match subject {
-            SendPermitScope::Target(word) => {
+            SendPermitScope::Target(observation) => {
                 let targets = self.targets.borrow();
-                let found = targets.find_by_id(&word.target);
+                let found = targets.find_by_id(&observation.target);
                 found.map_or(String::new(), |(_, target)| target.hall.clone())
             }
             SendPermitScope::Service(..) => String::new(),
@@ -68,8 +68,8 @@
         &self,
         request: &SendPermitRequest,
     ) -> SendPermitReply {
-        if let SendPermitScope::Target(word) = &request.scope {
-            self.notices.rates.apply_peer_observation(word);
+        if let SendPermitScope::Target(observation) = &request.scope {
+            self.notices.rates.apply_peer_observation(observation);
         }
         match self.send_permit_host(&request.scope) {
             SendPermitHost::Local => self.issue_send_permit(request),
@@ -88,7 +88,9 @@
             return SendPermitReply::UNREACHABLE;
         }
         let rate = match &request.scope {
-            SendPermitScope::Target(word) => self.notices.rates.rate_limit(&word.target),
+            SendPermitScope::Target(observation) => {
+                self.notices.rates.rate_limit(&observation.target)
+            }
             SendPermitScope::Service(_, sum) => Some(*sum),
         };
         let Some(rate) = rate else {
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -20,7 +20,12 @@
 }
 
 impl InFlightGuard {
-    pub(crate) fn new(gateway: &Rc<Gateway>, service: &str, id: &str, ask: &CallerRequest) -> Self {
+    pub(crate) fn new(
+        gateway: &Rc<Gateway>,
+        service: &str,
+        id: &str,
+        request: &CallerRequest,
+    ) -> Self {
         if let Some(target) = gateway.targets.borrow_mut().find_mut(service, id) {
             target.in_flight += 1;
         }
@@ -29,8 +34,8 @@
             service: service.to_owned(),
             id: id.to_owned(),
             sent: Instant::now(),
-            objective: (ask.route.kind != RouteKind::Streaming)
-                .then(|| Duration::from_millis(ask.route.objective_ms)),
+            objective: (request.route.kind != RouteKind::Streaming)
+                .then(|| Duration::from_millis(request.route.objective_ms)),
         }
     }
 
--- a/crates/gateway/src/notice/tests.rs
+++ b/crates/gateway/src/notice/tests.rs
@@ -88,9 +88,9 @@
 #[test]
 fn a_surplus_response_is_ignored() {
     let headers = [("retry-after", "2"), ("x-leaving", "1")];
-    let read = |id: &[(&str, &str)], asked| {
+    let read = |id: &[(&str, &str)], request_id| {
         let headers = [&headers[..], id].concat();
-        parse_notice(&protocol(), &head(503, &headers), asked)
+        parse_notice(&protocol(), &head(503, &headers), request_id)
     };
     let all = TargetNotice {
         back_off: Some(Duration::from_secs(2)),
--- a/crates/gateway/src/notice_store.rs
+++ b/crates/gateway/src/notice_store.rs
@@ -2,9 +2,9 @@
 //!
 //! They are kept by target ID and apart from the list of targets: a target may be missing from the
 //! list for a while, and a host without a connection to a control host has an outdated list, but
-//! knows what targets told it in responses. The restrictions are checked when a target is chosen,
-//! and again right before a request is written, since a response that asks for one may arrive in
-//! between.
+//! knows what targets stated in responses to it. The restrictions are checked when a target is
+//! chosen, and again right before a request is written, since a response that asks for one may
+//! arrive in between.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/gateway/src/rate_tracker.rs
+++ b/crates/gateway/src/rate_tracker.rs
@@ -125,9 +125,9 @@
     }
 
     /// Returns the observations that are to be reported to a control host next.
-    pub(crate) fn changed_after(&self, ask: ChangeQuery) -> RateChanges {
+    pub(crate) fn changed_after(&self, query: ChangeQuery) -> RateChanges {
         let (store, now) = (self.store.borrow(), BootInstant::now());
-        store.changed_after(ask.after, ask.limit, ask.catches_up, now)
+        store.changed_after(query.after, query.limit, query.catches_up, now)
     }
 
     fn notify_changes(&self) {
--- a/crates/gateway/src/run_permit.rs
+++ b/crates/gateway/src/run_permit.rs
@@ -92,39 +92,39 @@
 /// not get a permit in time.
 pub(crate) async fn acquire_run_permit(
     gateway: &Rc<Gateway>,
-    ask: &CallerRequest,
+    request: &CallerRequest,
     permit: &mut Option<RunPermit>,
 ) -> Result<(), Refusal> {
     // The stages of a request run after the permit is issued and before the request is sent.
     if permit.as_ref().is_some_and(|permit| permit.unused) {
         return Ok(());
     }
-    let max_wait = MAX_PERMIT_WAIT.min(ask.time_left().mul_f64(MAX_PERMIT_WAIT_FRACTION));
+    let max_wait = MAX_PERMIT_WAIT.min(request.time_left().mul_f64(MAX_PERMIT_WAIT_FRACTION));
     let until = Instant::now() + max_wait;
     loop {
-        match gateway.suspects.status(ask) {
+        match gateway.suspects.status(request) {
             RequestStatus::Clear => return Ok(()),
             RequestStatus::Suspect if permit.is_some() => return Ok(()),
-            RequestStatus::Held { trial_due: false } => return Err(held(gateway, ask)),
+            RequestStatus::Held { trial_due: false } => return Err(held(gateway, request)),
             RequestStatus::Undecided => {}
             RequestStatus::Held { trial_due: true } => {
                 // One of the arriving requests becomes the trial; the others need not wait for it.
-                *permit = request_run_permit(gateway, ask)
+                *permit = request_run_permit(gateway, request)
                     .await
-                    .map_err(|_| held(gateway, ask))?;
+                    .map_err(|_| held(gateway, request))?;
                 return Ok(());
             }
-            RequestStatus::Suspect => match request_run_permit(gateway, ask).await {
+            RequestStatus::Suspect => match request_run_permit(gateway, request).await {
                 Ok(granted) => {
                     *permit = granted;
                     return Ok(());
                 }
-                Err(RunPermitReply::Held) => return Err(held(gateway, ask)),
+                Err(RunPermitReply::Held) => return Err(held(gateway, request)),
                 Err(_) => {}
             },
         }
         if Instant::now() + POLL_INTERVAL > until {
-            return Err(permit_timeout(ask));
+            return Err(permit_timeout(request));
         }
         sleep(POLL_INTERVAL).await;
     }
@@ -133,26 +133,26 @@
 /// Requests a permit from the issuing host; returns its reply if no permit was issued.
 async fn request_run_permit(
     gateway: &Rc<Gateway>,
-    ask: &CallerRequest,
+    request: &CallerRequest,
 ) -> Result<Option<RunPermit>, RunPermitReply> {
-    let key = ask.subject().key;
+    let key = request.subject().key;
     let (reply, origin) = match gateway.stage_client.run_permit_host(key) {
         None => (
-            gateway.issue_run_permit(key, &ask.id),
+            gateway.issue_run_permit(key, &request.id),
             RunPermitOrigin::Local,
         ),
         Some(address) => {
             // The issuer may not have received the suspect record yet.
             let stages = &gateway.stage_client;
             stages.send_suspect_record(address, gateway.suspects.record(key));
-            let (reply, number) = stages.request_run_permit(address, key, &ask.id).await;
+            let (reply, number) = stages.request_run_permit(address, key, &request.id).await;
             (reply, RunPermitOrigin::Remote(address, number))
         }
     };
     if reply != RunPermitReply::Granted {
         return Err(reply);
     }
-    ask.isolated.set(true);
+    request.isolated.set(true);
     Ok(Some(RunPermit {
         gateway: gateway.clone(),
         key,
@@ -161,8 +161,8 @@
     }))
 }
 
-fn held(gateway: &Gateway, ask: &CallerRequest) -> Refusal {
-    let key = ask.subject().key;
+fn held(gateway: &Gateway, request: &CallerRequest) -> Refusal {
+    let key = request.subject().key;
     gateway.suspects.record_refusal(key);
     let record = gateway.suspects.record(key);
     let (ends, age_ms) = record.map_or((0, 0), |record| (record.crashes.len(), record.age_ms));
@@ -172,8 +172,8 @@
     Refusal::new(RefusalReason::CrashesTargets, detail)
 }
 
-fn permit_timeout(ask: &CallerRequest) -> Refusal {
-    let key = ask.subject().key;
+fn permit_timeout(request: &CallerRequest) -> Refusal {
+    let key = request.subject().key;
     let detail = format!("targets ended under this request; it runs once at a time; key={key}");
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(PERMIT_RETRY_AFTER)
 }
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -143,10 +143,10 @@
         return Ok(());
     };
     let rates = &gateway.notices.rates;
-    let turn = rates
+    let permit = rates
         .acquire_service_permit(service, sum, ranked_permit_wait(request))
         .await;
-    turn.map_err(|left| rate_refusal(gateway, service, request, left))
+    permit.map_err(|left| rate_refusal(gateway, service, request, left))
 }
 
 /// Refuses a request before its stages begin if its service becomes available too late for it. The
@@ -240,8 +240,10 @@
         wait.as_millis()
     );
     let sum = total_rate_limit(gateway, service, request);
-    let turn = sum.map(|sum| gateway.notices.rates.retry_after(service, sum));
-    let wait = wait.max(turn.unwrap_or_default()).min(MAX_RETRY_AFTER);
+    let retry_after = sum.map(|sum| gateway.notices.rates.retry_after(service, sum));
+    let wait = wait
+        .max(retry_after.unwrap_or_default())
+        .min(MAX_RETRY_AFTER);
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(with_jitter(wait))
 }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -44,11 +44,11 @@
     }
 
     /// Returns the status of a request.
-    pub(crate) fn status(&self, ask: &CallerRequest) -> RequestStatus {
+    pub(crate) fn status(&self, request: &CallerRequest) -> RequestStatus {
         if self.store.borrow().is_empty() {
             return RequestStatus::Clear;
         }
-        self.status_of(ask.subject().key)
+        self.status_of(request.subject().key)
     }
 
     pub(crate) fn status_of(&self, key: RequestKey) -> RequestStatus {
@@ -107,13 +107,13 @@
         &self,
         targets: &TargetStore,
         service: &str,
-        ask: &CallerRequest,
+        request: &CallerRequest,
     ) -> Vec<String> {
         let confined = self.confined.borrow();
         if confined.is_empty() {
             return Vec::new();
         }
-        let account = ask.account.as_ref();
+        let account = request.account.as_ref();
         let is_confined = account.is_some_and(|account| confined.contains(account));
         let recent = self.recent_targets.borrow();
         recent.closed_targets(targets, service, is_confined)
@@ -168,22 +168,22 @@
         let gateway = self.clone();
         SuspectSource {
             changes: self.suspects.changes(),
-            changed_after: Box::new(move |ask| {
-                let changed = gateway.suspects.changed_after(ask.after, ask.limit);
+            changed_after: Box::new(move |query| {
+                let changed = gateway.suspects.changed_after(query.after, query.limit);
                 (changed.records, changed.revision)
             }),
         }
     }
 
     /// Records that a target completed a request, which clears the request.
-    pub(crate) fn record_complete_run(&self, ask: &CallerRequest, target: &str) {
+    pub(crate) fn record_complete_run(&self, request: &CallerRequest, target: &str) {
         if self.suspects.store.borrow().is_empty() {
             return;
         }
-        let subject = ask.subject();
+        let subject = request.subject();
         if self.suspects.store.borrow_mut().clear_request(subject.key) {
             let code = EventCode::RequestAcquitted;
-            self.record_request_event(code, &ask.id, target, describe_subject(subject));
+            self.record_request_event(code, &request.id, target, describe_subject(subject));
             self.suspects.notify_changes();
         }
     }
--- a/crates/gateway/src/target_crash.rs
+++ b/crates/gateway/src/target_crash.rs
@@ -25,7 +25,7 @@
 
 /// How long a request waits for the result of the probe before it is sent to another target. A
 /// target that listens or has crashed answers a probe within a round trip between halls, some 2 ms;
-/// a timeout tells nothing.
+/// a timeout proves nothing.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// How long a crash is remembered for requests that notice their broken connection later than
@@ -104,7 +104,7 @@
         self: &Rc<Self>,
         service: &str,
         chosen: &ChosenTarget,
-        ask: &CallerRequest,
+        request: &CallerRequest,
         sent: Instant,
     ) {
         // A target that was withdrawn closes its connections itself.
@@ -112,8 +112,8 @@
             return;
         };
         let interrupted = InterruptedRequest {
-            id: ask.id.clone(),
-            subject: ask.subject().clone(),
+            id: request.id.clone(),
+            subject: request.subject().clone(),
             ran: sent.elapsed(),
         };
         if known.born > chosen.born {
--- a/crates/quarantine/src/attribution.rs
+++ b/crates/quarantine/src/attribution.rs
@@ -1,9 +1,9 @@
 //! Attribution of target crashes to the requests that caused them.
 //!
-//! Most requests in flight at a crash are innocent, and an interrupted one is retried at another
-//! target just as the causing one is. A request is therefore found to be the cause only by crashes
-//! that no other request explains: of two requests that were present at the same crashes neither
-//! is, until one of them crashes a target without the other.
+//! Most requests in flight at a crash did not cause it, and an interrupted one is retried at
+//! another target just as the causing one is. A request is therefore found to be the cause only by
+//! crashes that no other request explains: of two requests that were present at the same crashes
+//! neither is, until one of them crashes a target without the other.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -87,8 +87,8 @@
     /// Number of trials since the request is held.
     pub trials: u32,
     /// Whether two crashes were recorded at any time, so that the request is of interest to every
-    /// host. Most requests with a single crash are innocent, and only hosts that look for a second
-    /// crash need them.
+    /// host. Most requests with a single crash did not cause it, and only hosts that look for a
+    /// second crash need them.
     pub shared: bool,
     /// Time from the last crash, trial or refusal until the record was sent, in milliseconds.
     pub age_ms: u64,
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -15,7 +15,7 @@
 const ISOLATE_CRASHES: usize = 2;
 
 /// Delay from the last crash or trial to the first, second and later trials. The first one releases
-/// an innocent request held during a series of crashes; the cause crashes one target at each.
+/// an unrelated request held during a series of crashes; the cause crashes one target at each.
 const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(20),
@@ -248,7 +248,7 @@
     }
 
     /// Returns the changed records of interest to every host. With all, a host in a fleet of 300
-    /// would get 9,000 of innocent requests, 2 MB, when a seventh of 3,000 targets crash at once.
+    /// would get 9,000 of unrelated requests, 2 MB, when a seventh of 3,000 targets crash at once.
     pub fn shared_after(&self, after: u64, limit: usize, now: Instant) -> SuspectChanges {
         self.filtered_after(after, limit, now, |record| record.shared)
     }
--- a/crates/quarantine/src/store/tests.rs
+++ b/crates/quarantine/src/store/tests.rs
@@ -214,9 +214,9 @@
 #[test]
 fn only_requests_with_two_crashes_are_shared_with_every_host() {
     let now = Instant::now();
-    let (innocent, cause) = (subject("a", "/x"), subject("a", "/y"));
+    let (unrelated, cause) = (subject("a", "/x"), subject("a", "/y"));
     let mut store = SuspectStore::new();
-    record_crashes(&mut store, &innocent, &[1], now);
+    record_crashes(&mut store, &unrelated, &[1], now);
     record_crashes(&mut store, &cause, &[1], now);
     assert!(store.shared_after(0, 10, now).records.is_empty());
     assert_eq!(store.changed_after(0, 10, now).records.len(), 2);
@@ -231,7 +231,7 @@
             .is_empty()
     );
     // Cleared records are shared as well.
-    store.clear_request(innocent.key);
+    store.clear_request(unrelated.key);
     store.clear_request(cause.key);
     let cleared = store.shared_after(shared.revision, 10, now).records;
     assert_eq!(cleared.len(), 1);
