--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -48,7 +48,7 @@
 }
 
 impl ControlSettings {
-    /// Checks all settings; if any is invalid, returns the check with all faults.
+    /// Checks all settings; if any is invalid, returns the check with all errors.
     pub(crate) fn check(self) -> Result<CheckedControlSettings, SettingCheck> {
         let mut check = SettingCheck::new();
         check.require_name("--name", &self.name);
@@ -77,7 +77,7 @@
             &self.operator_digests,
         );
         match (keys, operators) {
-            (Some(keys), Some(operators)) if check.faults().is_empty() => {
+            (Some(keys), Some(operators)) if check.errors().is_empty() => {
                 Ok(CheckedControlSettings {
                     settings: self,
                     keys,
--- a/crates/daemon/src/setting.rs
+++ b/crates/daemon/src/setting.rs
@@ -1,4 +1,4 @@
-//! Checks of settings that report all faults at once.
+//! Checks of settings that report all errors at once.
 
 use std::fmt;
 use std::process::ExitCode;
@@ -8,7 +8,7 @@
 
 /// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SettingFault {
+pub struct SettingError {
     /// The flag, as on the command line.
     pub flag: &'static str,
     /// The value that was given.
@@ -17,7 +17,7 @@
     pub allowed: String,
 }
 
-impl fmt::Display for SettingFault {
+impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -27,19 +27,19 @@
     }
 }
 
-/// Collects the faults of a set of settings.
+/// Collects the errors of a set of settings.
 #[derive(Debug, Default)]
 pub struct SettingCheck {
-    faults: Vec<SettingFault>,
+    errors: Vec<SettingError>,
 }
 
 impl SettingCheck {
-    /// Creates a check without faults.
+    /// Creates a check without errors.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records a fault unless `is_valid`.
+    /// Records an error unless `is_valid`.
     pub fn require(
         &mut self,
         is_valid: bool,
@@ -48,7 +48,7 @@
         allowed: impl Into<String>,
     ) {
         if !is_valid {
-            self.faults.push(SettingFault {
+            self.errors.push(SettingError {
                 flag,
                 value: value.to_string(),
                 allowed: allowed.into(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the value of a result, or records its error as a fault.
+    /// Returns the value of a result, or records its error.
     pub fn check_result<T, E: fmt::Display>(
         &mut self,
         result: Result<T, E>,
@@ -84,16 +84,16 @@
         );
     }
 
-    /// Returns the recorded faults.
-    pub fn faults(&self) -> &[SettingFault] {
-        &self.faults
+    /// Returns the recorded errors.
+    pub fn errors(&self) -> &[SettingError] {
+        &self.errors
     }
 
-    /// Prints all faults to standard error; returns an exit code if there are any.
+    /// Prints all errors to standard error; returns an exit code if there are any.
     pub fn report(&self) -> Option<ExitCode> {
-        for fault in &self.faults {
-            eprintln!("setting {fault}");
+        for error in &self.errors {
+            eprintln!("setting {error}");
         }
-        (!self.faults.is_empty()).then(|| ExitCode::from(INVALID_SETTINGS_STATUS))
+        (!self.errors.is_empty()).then(|| ExitCode::from(INVALID_SETTINGS_STATUS))
     }
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -79,7 +79,7 @@
 }
 
 impl EntrySettings {
-    /// Validates all settings. The returned check lists every fault.
+    /// Validates all settings. The returned check lists every error.
     pub(crate) fn check(self) -> Result<CheckedEntry, SettingCheck> {
         let mut check = SettingCheck::new();
         check.require_name("--name", &self.name);
@@ -128,7 +128,7 @@
             .ok_or_else(|| format!("one of {}", PolicyChoice::NAMES.join(", ")));
         let policy = check.check_result(policy, "--policy", &self.policy);
         match (keys, operators, policy) {
-            (Some(keys), Some(operators), Some(policy)) if check.faults().is_empty() => {
+            (Some(keys), Some(operators), Some(policy)) if check.errors().is_empty() => {
                 Ok(CheckedEntry {
                     settings: self,
                     keys,
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -64,27 +64,27 @@
 /// ignored. A response without a request ID is accepted, since a target that refuses a request may
 /// not have read the ID.
 pub(crate) fn parse_notice(
-    dialect: &Protocol,
+    protocol: &Protocol,
     head: &Parts,
     request_id: Option<&str>,
 ) -> TargetNotice {
-    let echoed = head.headers.get(&dialect.headers.request_id);
+    let echoed = head.headers.get(&protocol.headers.request_id);
     let echoed = echoed.filter(|echoed| !echoed.is_empty());
     if echoed.is_some_and(|echoed| request_id != echoed.to_str().ok()) {
         return TargetNotice::default();
     }
     // Another incarnation of the target at this address sends notices of its own.
-    if head.status == dialect.targets.other_target {
+    if head.status == protocol.targets.other_target {
         return TargetNotice::default();
     }
-    let refused = head.status == dialect.targets.turned_away;
-    let leaving = head.headers.get(&dialect.headers.leaving);
+    let refused = head.status == protocol.targets.turned_away;
+    let leaving = head.headers.get(&protocol.headers.leaving);
     TargetNotice {
         back_off: refused
             .then(|| longest_retry_after(&head.headers))
             .flatten(),
         leaving: leaving.is_some_and(|value| value != "0"),
-        rate_limit: lowest_rate_limit(&head.headers, &dialect.headers.rate),
+        rate_limit: lowest_rate_limit(&head.headers, &protocol.headers.rate),
     }
 }
 
--- a/crates/gateway/src/serve_pieces/tests/role_cost.rs
+++ b/crates/gateway/src/serve_pieces/tests/role_cost.rs
@@ -56,12 +56,12 @@
     Some(lines.map(|line| Ok(line.to_owned())).collect())
 }
 
-fn dialect() -> Protocol {
-    let mut dialect = crate::gateway::tests::protocol();
-    dialect.targets.encode_stage_run = encode_run;
-    dialect.targets.decode_stage_run = decode_run;
-    dialect.targets.encode_stage_free = |handles| handles.join("\n").into_bytes();
-    dialect
+fn protocol() -> Protocol {
+    let mut protocol = crate::gateway::tests::protocol();
+    protocol.targets.encode_stage_run = encode_run;
+    protocol.targets.decode_stage_run = decode_run;
+    protocol.targets.encode_stage_free = |handles| handles.join("\n").into_bytes();
+    protocol
 }
 
 fn config() -> RoutingConfig {
@@ -104,7 +104,7 @@
 fn gateway() -> Rc<Gateway> {
     let clock = Arc::new(HybridClock::new());
     Gateway::new(GatewayConfig {
-        protocol: dialect(),
+        protocol: protocol(),
         read_config: Box::new(|_| Ok(config())),
         identity: identity("measured"),
         recorder: Arc::new(EventRecorder::new("measured", clock)),
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -129,15 +129,19 @@
 /// Client that sends requests to stage targets. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct StageTargetClient {
-    dialect: Protocol,
+    protocol: Protocol,
     pub(crate) upstream: UpstreamPool,
     notices: Rc<NoticeStore>,
 }
 
 impl StageTargetClient {
-    pub(crate) fn new(dialect: Protocol, upstream: UpstreamPool, notices: Rc<NoticeStore>) -> Self {
+    pub(crate) fn new(
+        protocol: Protocol,
+        upstream: UpstreamPool,
+        notices: Rc<NoticeStore>,
+    ) -> Self {
         Self {
-            dialect,
+            protocol,
             upstream,
             notices,
         }
@@ -145,7 +149,7 @@
 
     /// Sends a call to its target and returns the outcome.
     pub(crate) async fn send_call(&self, call: &StageCall) -> CallOutcome {
-        let (targets, names) = (&self.dialect.targets, &self.dialect.headers);
+        let (targets, names) = (&self.protocol.targets, &self.protocol.headers);
         let items: Vec<StageItem<'_>> = call.parts.iter().flat_map(CallPart::items).collect();
         let max_remaining_ms = call.parts.iter().map(|part| part.remaining_ms).max();
         let body = (targets.encode_stage_run)(&items);
@@ -203,7 +207,7 @@
     /// Asks a target to drop results that are no longer needed. A release that is lost or withheld is not
     /// repeated: the results expire anyway, only later.
     pub(crate) async fn send_release(&self, release: &StageRelease) {
-        let targets = &self.dialect.targets;
+        let targets = &self.protocol.targets;
         let body = (targets.encode_stage_free)(&release.handles);
         let request = Request::post(targets.stage_free_path)
             .header(header::HOST, release.address.to_string())
@@ -220,7 +224,7 @@
     /// Asks a target how much memory it has free for results, in bytes; `None` if it does not respond in
     /// time.
     pub(crate) async fn query_free_bytes(&self, target: &str, address: SocketAddr) -> Option<u64> {
-        let targets = &self.dialect.targets;
+        let targets = &self.protocol.targets;
         let request = Request::get(targets.report_path)
             .header(header::HOST, address.to_string())
             .body(Full::new(Bytes::new()))
@@ -259,7 +263,7 @@
         };
         let gate = self.notices.gate(target, kind).with_permit(permit);
         let (head, body) = self.upstream.exchange(address, request, gate).await?;
-        let notice = parse_notice(&self.dialect, &head, None);
+        let notice = parse_notice(&self.protocol, &head, None);
         self.notices.record_response(target, notice, sent_at);
         Ok((head, body))
     }
