--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -51,9 +51,9 @@
     tried: &[String],
 ) -> Option<NextAvailability> {
     let now = BootInstant::now();
-    let book = gateway.targets.borrow();
-    let confined = gateway.suspects.closed_targets(&book, service, request);
-    let targets = book.of_service(service).filter(|target| {
+    let store = gateway.targets.borrow();
+    let confined = gateway.suspects.closed_targets(&store, service, request);
+    let targets = store.of_service(service).filter(|target| {
         request.allowed_halls.allows(&target.hall)
             && !confined.contains(&target.id)
             && !tried.contains(&target.id)
@@ -94,11 +94,11 @@
     request: &CallerRequest,
 ) -> bool {
     let now = BootInstant::now();
-    let book = gateway.targets.borrow();
-    let mut usable = book.usable(service, Instant::now()).into_iter();
+    let store = gateway.targets.borrow();
+    let mut usable = store.usable(service, Instant::now()).into_iter();
     usable.any(|one: &Target| {
         request.allowed_halls.allows(&one.hall)
-            && book.rate_limit(&one.id).is_none()
+            && store.rate_limit(&one.id).is_none()
             && gateway.notices.availability(&one.id, now) == TargetAvailability::Open
     })
 }
@@ -121,10 +121,10 @@
     if gateway.notices.rates.is_empty() {
         return None;
     }
-    let book = gateway.targets.borrow();
-    let usable = book.usable(service, Instant::now()).into_iter();
+    let store = gateway.targets.borrow();
+    let usable = store.usable(service, Instant::now()).into_iter();
     let usable = usable.filter(|target| request.allowed_halls.allows(&target.hall));
-    let rates = usable.map(|target| book.rate_limit(&target.id));
+    let rates = usable.map(|target| store.rate_limit(&target.id));
     rates.reduce(|sum, rate| Some(sum?.plus(rate?))).flatten()
 }
 
@@ -143,10 +143,10 @@
         return Ok(());
     };
     let rates = &gateway.notices.rates;
-    let turn = rates
+    let permit = rates
         .acquire_service_permit(service, sum, ranked_permit_wait(request))
         .await;
-    turn.map_err(|left| rate_refusal(gateway, service, request, left))
+    permit.map_err(|left| rate_refusal(gateway, service, request, left))
 }
 
 /// Refuses a request before its stages begin if its service becomes available too late for it. The
@@ -240,8 +240,10 @@
         wait.as_millis()
     );
     let sum = total_rate_limit(gateway, service, request);
-    let turn = sum.map(|sum| gateway.notices.rates.retry_after(service, sum));
-    let wait = wait.max(turn.unwrap_or_default()).min(MAX_RETRY_AFTER);
+    let retry_after = sum.map(|sum| gateway.notices.rates.retry_after(service, sum));
+    let wait = wait
+        .max(retry_after.unwrap_or_default())
+        .min(MAX_RETRY_AFTER);
     Refusal::new(RefusalReason::Overloaded, detail).with_retry_after(with_jitter(wait))
 }
 
