--- a/crates/linnetdale/src/bin/linnet-control.rs
+++ b/crates/linnetdale/src/bin/linnet-control.rs
@@ -1,4 +1,4 @@
-//! The control daemon.
+//! Runs a control host.
 
 use std::process::ExitCode;
 
--- a/crates/linnetdale/src/bin/linnet-entry.rs
+++ b/crates/linnetdale/src/bin/linnet-entry.rs
@@ -1,4 +1,4 @@
-//! The entry daemon.
+//! Runs an entry host.
 
 use std::process::ExitCode;
 
--- a/crates/linnetdale/src/bin/linnet-fakes.rs
+++ b/crates/linnetdale/src/bin/linnet-fakes.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for targets and the host list.
+//! Runs fake targets and a fake host list.
 
 use std::process::ExitCode;
 
--- a/crates/linnetdale/src/bin/linnet-load.rs
+++ b/crates/linnetdale/src/bin/linnet-load.rs
@@ -1,4 +1,4 @@
-//! The load program.
+//! Runs the load generator.
 
 use std::process::ExitCode;
 
--- a/crates/linnetdale/src/bin/linnetctl.rs
+++ b/crates/linnetdale/src/bin/linnetctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Runs the command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/crates/linnetdale/src/lib.rs
+++ b/crates/linnetdale/src/lib.rs
@@ -1,7 +1,7 @@
 //! linnetdale: a serving system for multi-stage model pipelines and plain services.
 //!
-//! This crate is the facade: it re-exports the crates that do the work and holds the programs.
-//! docs/ARCHITECTURE.md tells how they belong together.
+//! This crate re-exports the component crates and contains the programs.
+//! docs/ARCHITECTURE.md describes how the components work together.
 
 pub use linnet_claim as claim;
 pub use linnet_control as control;
