--- a/crates/linnetdale/tests/attempts.rs
+++ b/crates/linnetdale/tests/attempts.rs
@@ -1,7 +1,7 @@
-//! Every fault of a target at every stage, for requests that may run twice and that may not.
+//! All target faults, for repeatable and non-repeatable requests.
 //!
-//! The targets keep a ledger of what they really ran; what each caller was told is compared with
-//! it, and no difference is allowed.
+//! The targets record their runs in a ledger, with which each response to a caller is compared. No
+//! contradiction is allowed.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -12,7 +12,7 @@
 use linnetdale::fakes::FaultKind::{self, *};
 use support::cluster::{Cluster, ClusterPlan};
 use support::http::CallerRequest;
-use support::ledger::{Told, differences, marked_request};
+use support::ledger::{RequestRecord, differences, marked_request};
 use support::wait_until;
 
 fn one_entry(replicas: usize) -> Cluster {
@@ -24,21 +24,25 @@
     })
 }
 
-/// Sends one request through a fault and returns what the caller was told.
-fn send_through(cluster: &Cluster, stage: &str, fault: FaultKind, once: bool) -> Told {
+/// Sends one request while two targets have a fault; returns its record.
+fn send_through(cluster: &Cluster, stage: &str, fault: FaultKind, once: bool) -> RequestRecord {
     let marker = format!("{stage}-{fault:?}-{once}");
-    cluster.world.order_fault(&format!("{stage}-0"), fault, 1);
-    cluster.world.order_fault(&format!("{stage}-1"), fault, 1);
+    cluster
+        .testbed
+        .inject_faults(&format!("{stage}-0"), fault, 1);
+    cluster
+        .testbed
+        .inject_faults(&format!("{stage}-1"), fault, 1);
     let mut request = marked_request(&marker).with("x-deadline-ms", "2500");
     if once {
         request = request.with("x-repeatable", "no");
     }
-    let answer = request.send(cluster.callers(0));
-    cluster.world.end_faults();
-    Told {
+    let response = request.send(cluster.callers(0));
+    cluster.testbed.clear_faults();
+    RequestRecord {
         marker,
         once,
-        answer,
+        response,
     }
 }
 
@@ -70,50 +74,50 @@
 ];
 
 #[test]
-fn faults_of_stage_pools_never_mix_lose_or_double_an_answer() {
-    // Three replicas, two of them at fault: a third can always take a request that may run twice.
+fn stage_faults_never_mix_lose_or_duplicate_a_response() {
+    // Two of three replicas are faulty; the third can always run a repeatable request.
     let cluster = one_entry(3);
     check_faults(&cluster, "retrieve", &STAGE_FAULTS);
 }
 
 #[test]
-fn faults_of_engines_never_mix_lose_or_double_an_answer() {
+fn engine_faults_never_mix_lose_or_duplicate_a_response() {
     let cluster = one_entry(3);
     check_faults(&cluster, "generate", &STREAM_FAULTS);
 }
 
 fn check_faults(cluster: &Cluster, stage: &str, faults: &[FaultKind]) {
-    // What a stage usually takes must be known, or patience is half the deadline.
+    // Without known stage durations the attempt timeout is half the deadline.
     for number in 0..5 {
-        let answer = marked_request(&format!("warm-{number}"))
+        let response = marked_request(&format!("warm-{number}"))
             .send(cluster.callers(0))
             .unwrap();
-        assert!(answer.tokens().is_some(), "{answer:?}");
+        assert!(response.tokens().is_some(), "{response:?}");
     }
     let mut found = Vec::new();
     for fault in faults {
         for once in [false, true] {
-            let told = send_through(cluster, stage, *fault, once);
-            let answer = told.answer.as_ref().unwrap();
-            found.extend(differences(&cluster.world, &told));
-            if !once && answer.ran() != "whole" {
+            let record = send_through(cluster, stage, *fault, once);
+            let response = record.response.as_ref().unwrap();
+            found.extend(differences(&cluster.testbed, &record));
+            if !once && response.ran() != "complete" {
                 found.push(format!(
-                    "{fault:?}: a request that may run twice was given up: {answer:?}"
+                    "{fault:?}: a repeatable request failed: {response:?}"
                 ));
             }
-            if answer.ran() == "whole" && answer.status != 200 {
-                found.push(format!("{fault:?}: {answer:?}"));
+            if response.ran() == "complete" && response.status != 200 {
+                found.push(format!("{fault:?}: {response:?}"));
             }
         }
-        // The next request meets no remains of the fault.
+        // The next request is not affected by the fault.
         let marker = format!("after-{fault:?}");
-        let answer = marked_request(&marker).send(cluster.callers(0));
+        let response = marked_request(&marker).send(cluster.callers(0));
         found.extend(differences(
-            &cluster.world,
-            &Told {
+            &cluster.testbed,
+            &RequestRecord {
                 marker,
                 once: false,
-                answer,
+                response,
             },
         ));
     }
@@ -121,57 +125,59 @@
 }
 
 #[test]
-fn a_refusal_that_proves_nothing_ran_lets_even_a_once_only_request_go_elsewhere() {
+fn a_refusal_as_not_run_lets_a_non_repeatable_request_use_another_target() {
     let cluster = one_entry(2);
     for (fault, stage) in [(Busy, "encode"), (Leaving, "retrieve")] {
         let marker = format!("elsewhere-{fault:?}");
-        cluster.world.order_fault(&format!("{stage}-0"), fault, 1);
+        cluster
+            .testbed
+            .inject_faults(&format!("{stage}-0"), fault, 1);
         let request = marked_request(&marker).with("x-repeatable", "no");
-        let answer = request.send(cluster.callers(0));
-        cluster.world.end_faults();
-        assert_eq!(answer.as_ref().unwrap().ran(), "whole", "{answer:?}");
-        let told = Told {
+        let response = request.send(cluster.callers(0));
+        cluster.testbed.clear_faults();
+        assert_eq!(response.as_ref().unwrap().ran(), "complete", "{response:?}");
+        let record = RequestRecord {
             marker,
             once: true,
-            answer,
+            response,
         };
-        assert_eq!(differences(&cluster.world, &told), Vec::<String>::new());
+        assert_eq!(differences(&cluster.testbed, &record), Vec::<String>::new());
     }
 }
 
 #[test]
-fn a_stream_goes_on_at_another_engine_from_the_token_it_had_reached() {
+fn a_truncated_stream_resumes_at_another_engine_from_its_last_token() {
     let cluster = one_entry(2);
-    cluster.world.order_fault("generate-0", CutStream, 1);
-    cluster.world.order_fault("generate-1", CutStream, 1);
-    let answer = marked_request("resumed").send(cluster.callers(0)).unwrap();
+    cluster.testbed.inject_faults("generate-0", CutStream, 1);
+    cluster.testbed.inject_faults("generate-1", CutStream, 1);
+    let response = marked_request("resumed").send(cluster.callers(0)).unwrap();
     let events = cluster.operator.timeline(cluster.entry_ops(0));
     let resumed = linnetdale::telemetry::EventCode::StreamResumed;
     let details: Vec<_> = events
         .iter()
-        .filter(|event| event.request == answer.request && event.code == resumed)
+        .filter(|event| event.request == response.request && event.code == resumed)
         .map(|event| event.detail.as_str())
         .collect();
     assert_eq!(details, ["from token 2", "from token 4"]);
-    let told = Told {
+    let record = RequestRecord {
         marker: "resumed".to_owned(),
         once: false,
-        answer: Some(answer),
+        response: Some(response),
     };
-    assert_eq!(differences(&cluster.world, &told), Vec::<String>::new());
+    assert_eq!(differences(&cluster.testbed, &record), Vec::<String>::new());
 }
 
 #[test]
-fn dropped_answers_are_counted_and_shown() {
+fn dropped_responses_are_counted_and_recorded() {
     let cluster = one_entry(2);
-    cluster.world.order_fault("encode-", Foreign, 1);
-    let answer = marked_request("foreign").send(cluster.callers(0)).unwrap();
-    assert_eq!(answer.ran(), "whole");
+    cluster.testbed.inject_faults("encode-", Foreign, 1);
+    let response = marked_request("foreign").send(cluster.callers(0)).unwrap();
+    assert_eq!(response.ran(), "complete");
     let events = cluster.operator.timeline(cluster.entry_ops(0));
     let dropped = linnetdale::telemetry::EventCode::AnswerDropped;
     let count = events
         .iter()
-        .filter(|event| event.request == answer.request && event.code == dropped)
+        .filter(|event| event.request == response.request && event.code == dropped)
         .count();
     assert!((1..=2).contains(&count), "{count}");
     let metrics = CallerRequest::to_path("GET", "/metrics", b"")
@@ -187,28 +193,28 @@
 }
 
 #[test]
-fn a_request_given_up_on_is_answered_at_once_with_when_to_come_back() {
+fn a_failed_request_is_answered_at_once_with_a_retry_time() {
     let cluster = one_entry(1);
     for number in 0..3 {
         marked_request(&format!("warm-{number}"))
             .send(cluster.callers(0))
             .unwrap();
     }
-    // Every attempt is refused by the only target of the stage.
-    cluster.world.order_fault("rerank-0", Busy, 1_000);
+    // The only target of the stage refuses every attempt.
+    cluster.testbed.inject_faults("rerank-0", Busy, 1_000);
     let started = Instant::now();
-    let answer = marked_request("hopeless").send(cluster.callers(0)).unwrap();
-    // The deadline is 4 s; the bound only tells "at once" from "held back until then".
+    let response = marked_request("hopeless").send(cluster.callers(0)).unwrap();
+    // The deadline is 4 s; the bound distinguishes an immediate response from one at the deadline.
     assert!(started.elapsed() < Duration::from_millis(2_000));
     assert_eq!(
-        (answer.code().as_str(), answer.ran().as_str()),
+        (response.code().as_str(), response.ran().as_str()),
         ("target_failed", "yes")
     );
-    assert!(answer.retry_after.is_some());
+    assert!(response.retry_after.is_some());
 }
 
 #[test]
-fn a_caller_that_goes_away_lets_its_target_go() {
+fn a_disconnected_caller_releases_its_target() {
     let cluster = one_entry(1);
     let input = serde_json::json!({ "marker": "gone", "tokens": 4_000 });
     let request = CallerRequest::to_pipeline("yard-desk", &input);
@@ -224,21 +230,21 @@
 }
 
 #[test]
-fn a_burst_of_new_connections_to_one_target_is_answered() {
+fn a_burst_of_new_connections_to_one_target_succeeds() {
     let cluster = one_entry(1);
     marked_request("warm").send(cluster.callers(0)).unwrap();
-    // Each of these needs a connection of its own to the only target of each stage.
+    // Each of these requests needs its own connection to the only target of each stage.
     for round in 0..5 {
-        let told: Vec<_> = std::thread::scope(|scope| {
+        let records: Vec<_> = std::thread::scope(|scope| {
             let senders: Vec<_> = (0..24)
                 .map(|number| {
                     let marker = format!("burst-{round}-{number}");
                     let request = marked_request(&marker).with("x-repeatable", "no");
                     let host = cluster.callers(0);
-                    scope.spawn(move || Told {
+                    scope.spawn(move || RequestRecord {
                         marker,
                         once: true,
-                        answer: request.send(host),
+                        response: request.send(host),
                     })
                 })
                 .collect();
@@ -247,14 +253,14 @@
                 .map(|sender| sender.join().unwrap())
                 .collect()
         });
-        for told in told {
+        for record in records {
             assert_eq!(
-                told.answer.as_ref().unwrap().ran(),
-                "whole",
+                record.response.as_ref().unwrap().ran(),
+                "complete",
                 "{:?}",
-                told.answer
+                record.response
             );
-            assert_eq!(differences(&cluster.world, &told), Vec::<String>::new());
+            assert_eq!(differences(&cluster.testbed, &record), Vec::<String>::new());
         }
     }
 }
--- a/crates/linnetdale/tests/callers.rs
+++ b/crates/linnetdale/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: bad input gets one typed error, says that nothing ran, harms nothing.
+//! Caller interface: invalid input gets one typed error that states that nothing ran, and has no effect.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -70,8 +70,8 @@
     let mut shown = Vec::new();
     for (name, request) in cases {
         let line = match request.send(cluster.callers(0)) {
-            Some(answer) => {
-                let error = answer.json();
+            Some(response) => {
+                let error = response.json();
                 let field = |name: &str| {
                     let value = error.pointer(&format!("/error/{name}")).cloned();
                     value.unwrap_or_default().to_string()
@@ -79,14 +79,14 @@
                 let message = field("message")
                     .replace(&long, "LONG")
                     .replace(&wide, "WIDE");
-                // The host header has the address of this run in it, so the size differs.
+                // The Host header contains the address of this run, so the size varies.
                 let message = match message.split_once(" bytes of headers") {
                     Some((_, rest)) => format!("\"N bytes of headers{rest}"),
                     None => message,
                 };
                 format!(
                     "{} {} step={} ran={} {message}",
-                    answer.status,
+                    response.status,
                     field("code"),
                     field("step"),
                     field("ran")
@@ -97,10 +97,10 @@
         shown.push(format!("{name}: {line}"));
     }
     insta::assert_snapshot!(shown.join("\n"));
-    assert_eq!(cluster.world.runs("", "bad-input"), 0);
-    // After all of it the host serves as before.
-    let answer = good().send(cluster.callers(0)).unwrap();
-    assert!(answer.tokens().is_some(), "{answer:?}");
+    assert_eq!(cluster.testbed.runs("", "bad-input"), 0);
+    // The host still serves valid requests.
+    let response = good().send(cluster.callers(0)).unwrap();
+    assert!(response.tokens().is_some(), "{response:?}");
 }
 
 #[test]
@@ -157,7 +157,7 @@
         .collect();
     insta::assert_snapshot!(shown.join("\n"));
     let ran: usize = cluster
-        .world
+        .testbed
         .targets
         .iter()
         .map(|target| target.fake.ledger().len())
--- a/crates/linnetdale/tests/capacity.rs
+++ b/crates/linnetdale/tests/capacity.rs
@@ -1,6 +1,6 @@
-//! The slopes of docs/CAPACITY.md: what a role costs as the system grows.
+//! Measures the slopes of docs/CAPACITY.md: the cost of each role as the system grows.
 //!
-//! Not part of the usual tests, since it measures and judges nothing:
+//! The tests are ignored by default because they check nothing:
 //! `cargo test --release --test capacity -- --ignored --nocapture --test-threads=1`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
@@ -19,10 +19,10 @@
 use support::ledger::marked_request;
 use support::operator::add_account;
 
-/// How long an idle system is watched.
-const IDLE: Duration = Duration::from_secs(6);
+/// Duration of the measurement of an idle system.
+const IDLE_DURATION: Duration = Duration::from_secs(6);
 
-/// What one process has used so far.
+/// Resources used by one process since its start.
 #[derive(Clone, Copy)]
 struct Usage {
     cpu_s: f64,
@@ -85,8 +85,8 @@
     );
 }
 
-/// Watches every process of an idle system and prints the mean and the greatest of each role.
-fn watch_idle(cluster: &Cluster, label: &str) {
+/// Measures an idle system; prints the mean usage of entry hosts by role, and the usage of each control host.
+fn measure_idle(cluster: &Cluster, label: &str) {
     std::thread::sleep(Duration::from_secs(2));
     let entries: Vec<_> = (0..cluster.entries.len())
         .map(|n| entry_usage(cluster, n))
@@ -94,9 +94,9 @@
     let controls: Vec<_> = (0..cluster.controls.len())
         .map(|n| control_usage(cluster, n))
         .collect();
-    let begin = Instant::now();
-    std::thread::sleep(IDLE);
-    let seconds = begin.elapsed().as_secs_f64();
+    let started = Instant::now();
+    std::thread::sleep(IDLE_DURATION);
+    let seconds = started.elapsed().as_secs_f64();
     let leader = cluster.wait_leader();
     let after: Vec<_> = (0..entries.len())
         .map(|n| entry_usage(cluster, n))
@@ -110,9 +110,9 @@
                 .linked
         })
         .collect();
-    for (role, wanted) in [("relaying entry", true), ("other entry", false)] {
+    for (role, is_linked) in [("relaying entry", true), ("other entry", false)] {
         let own: Vec<usize> = (0..entries.len())
-            .filter(|n| linked.contains(n) == wanted)
+            .filter(|n| linked.contains(n) == is_linked)
             .collect();
         if own.is_empty() {
             continue;
@@ -149,12 +149,12 @@
     }
 }
 
-/// Applies single-row changes and prints what each costs a process of each role.
-fn watch_changes(cluster: &Cluster, label: &str, count: usize) {
+/// Applies single-row changes and prints the cost per change for an entry host and the leader.
+fn measure_changes(cluster: &Cluster, label: &str, count: usize) {
     let leader = cluster.wait_leader();
     let last = cluster.entries.len() - 1;
     let before = (entry_usage(cluster, last), control_usage(cluster, leader));
-    let begin = Instant::now();
+    let started = Instant::now();
     cluster.add_accounts(&format!("slope-{}", fastrand::u32(..)), 0..count);
     let version = cluster
         .operator
@@ -164,7 +164,7 @@
     for entry in 0..cluster.entries.len() {
         cluster.wait_entry_version(entry, version);
     }
-    let seconds = begin.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     let after = (entry_usage(cluster, last), control_usage(cluster, leader));
     for (role, before, after) in [("entry", before.0, after.0), ("leader", before.1, after.1)] {
         println!(
@@ -187,8 +187,8 @@
             ..ClusterPlan::default()
         });
         let label = format!("{entries} entries in {halls} halls");
-        watch_idle(&cluster, &label);
-        watch_changes(&cluster, &label, 40);
+        measure_idle(&cluster, &label);
+        measure_changes(&cluster, &label, 40);
     }
 }
 
@@ -203,7 +203,7 @@
             replicas: 1,
             ..ClusterPlan::default()
         });
-        watch_idle(&cluster, &format!("{controls} voters"));
+        measure_idle(&cluster, &format!("{controls} voters"));
     }
 }
 
@@ -219,7 +219,7 @@
         });
         for number in 5..targets {
             let name = format!("more-{number}");
-            cluster.world.add(
+            cluster.testbed.add(
                 TargetKind::Engine,
                 &name,
                 "linnet-pool",
@@ -227,12 +227,12 @@
                 TargetBehaviour::default(),
             );
         }
-        cluster.world.publish(true);
-        watch_idle(&cluster, &format!("{targets} targets"));
+        cluster.testbed.publish(true);
+        measure_idle(&cluster, &format!("{targets} targets"));
     }
 }
 
-/// Rows of `accounts` accounts with a limit on each of `pipelines` pipelines.
+/// Returns rows of `accounts` accounts with a limit on each of `pipelines` pipelines.
 fn large_table(accounts: usize, pipelines: usize) -> Vec<TableRow> {
     let mut rows = Vec::new();
     for pipeline in 0..pipelines {
@@ -242,14 +242,14 @@
             deadline_ms: 2_000,
             repeatable: true,
         }));
-        for (place, pool) in ["encoders", "retrievers", "rerankers", "linnet-pool"]
+        for (index, pool) in ["encoders", "retrievers", "rerankers", "linnet-pool"]
             .iter()
             .enumerate()
         {
             rows.push(TableRow::Stage(StageRow {
                 pipeline: name.clone(),
-                stage: format!("stage-{place}"),
-                position: place as u32 + 1,
+                stage: format!("stage-{index}"),
+                position: index as u32 + 1,
                 pool: (*pool).to_owned(),
                 streams: false,
             }));
@@ -304,28 +304,28 @@
             upserts: rows,
             deletes: Vec::new(),
         };
-        let begin = Instant::now();
+        let started = Instant::now();
         let version = cluster.apply(&change);
         println!(
             "{label}: accepted in {:.2} s",
-            begin.elapsed().as_secs_f64()
+            started.elapsed().as_secs_f64()
         );
         for entry in 0..3 {
             cluster.wait_entry_version(entry, version);
         }
         println!(
             "{label}: in force on 3 entries {:.2} s after it was sent",
-            begin.elapsed().as_secs_f64()
+            started.elapsed().as_secs_f64()
         );
-        watch_idle(&cluster, &label);
-        watch_changes(&cluster, &label, 20);
+        measure_idle(&cluster, &label);
+        measure_changes(&cluster, &label, 20);
         cluster.entries[0].kill();
-        let begin = Instant::now();
+        let started = Instant::now();
         cluster.entries[0].start();
         cluster.wait_entry_version(0, version);
         println!(
             "{label}: from a blank start to in force {:.2} s, {:.0} B received, memory {:.1} MB",
-            begin.elapsed().as_secs_f64(),
+            started.elapsed().as_secs_f64(),
             entry_usage(&cluster, 0).received,
             entry_usage(&cluster, 0).memory_mb
         );
@@ -348,7 +348,7 @@
         ("a claimed request", true),
     ] {
         let before = (entry_usage(&cluster, 0), control_usage(&cluster, leader));
-        let begin = Instant::now();
+        let started = Instant::now();
         std::thread::scope(|scope| {
             for thread in 0..8 {
                 scope.spawn(move || {
@@ -363,7 +363,7 @@
                 });
             }
         });
-        let seconds = begin.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         let after = (entry_usage(&cluster, 0), control_usage(&cluster, leader));
         println!(
             "{label}: {:.3} ms of the entry's processor time, {:.0} B to control and back; leader {:.3} ms, {:.0} B sent; {:.0} requests/s",
@@ -385,7 +385,7 @@
         replicas: 20,
         ..ClusterPlan::default()
     });
-    for target in cluster.world.targets.iter() {
+    for target in cluster.testbed.targets.iter() {
         target.fake.set_behaviour(TargetBehaviour {
             service_ms: 1.0,
             token_ms: 200.0,
@@ -439,27 +439,27 @@
     let folder = cluster.folder.path().join("bare");
     let host = cluster.control_ops(cluster.wait_leader());
     let operator = support::operator::Operator::new();
-    let mut bare = Vec::new();
+    let mut bare_syncs = Vec::new();
     let mut commits = Vec::new();
     let mut file = std::fs::File::create(&folder).unwrap();
     for number in 0..200 {
         use std::io::Write;
-        let begin = Instant::now();
+        let started = Instant::now();
         file.write_all(&[7; 200]).unwrap();
         file.sync_data().unwrap();
-        bare.push(begin.elapsed().as_secs_f64() * 1_000.0);
+        bare_syncs.push(started.elapsed().as_secs_f64() * 1_000.0);
         let change = add_account(&format!("one-{number}"), 1);
-        let begin = Instant::now();
+        let started = Instant::now();
         operator.change(host, &change).unwrap();
-        commits.push(begin.elapsed().as_secs_f64() * 1_000.0);
+        commits.push(started.elapsed().as_secs_f64() * 1_000.0);
     }
-    println!("bare write and sync: {}", quantiles(bare));
+    println!("bare write and sync: {}", quantiles(bare_syncs));
     println!(
         "one writer, change to acknowledged (HTTP in it): {}",
         quantiles(commits.clone())
     );
     let single = 1_000.0 * commits.len() as f64 / commits.iter().sum::<f64>();
-    let begin = Instant::now();
+    let started = Instant::now();
     std::thread::scope(|scope| {
         for writer in 0..64 {
             let operator = &operator;
@@ -472,15 +472,15 @@
             });
         }
     });
-    let many = 1_600.0 / begin.elapsed().as_secs_f64();
+    let many = 1_600.0 / started.elapsed().as_secs_f64();
     println!(
         "commits a second: one writer {single:.0}, 64 writers {many:.0}, ratio {:.1}",
         many / single
     );
 
-    let mut spread = Vec::new();
+    let mut propagation_times = Vec::new();
     for number in 0..60 {
-        let begin = Instant::now();
+        let started = Instant::now();
         let version = cluster.apply(&add_account(&format!("spread-{number}"), 1));
         for entry in 0..9 {
             while cluster
@@ -493,11 +493,11 @@
                 std::thread::sleep(Duration::from_millis(1));
             }
         }
-        spread.push(begin.elapsed().as_secs_f64() * 1_000.0);
+        propagation_times.push(started.elapsed().as_secs_f64() * 1_000.0);
     }
     println!(
         "change sent to in force on 9 entries: {}",
-        quantiles(spread)
+        quantiles(propagation_times)
     );
 }
 
@@ -515,7 +515,7 @@
         let others: Vec<_> = (0..3).filter(|other| *other != leader).collect();
         let change = add_account(&format!("failover-{number}"), 1);
         let operator = support::operator::Operator::with_timeout(Duration::from_millis(300));
-        let begin = Instant::now();
+        let started = Instant::now();
         cluster.controls[leader].kill();
         'taken: loop {
             for other in &others {
@@ -527,9 +527,9 @@
             }
             std::thread::sleep(Duration::from_millis(3));
         }
-        times.push(begin.elapsed().as_secs_f64() * 1_000.0);
+        times.push(started.elapsed().as_secs_f64() * 1_000.0);
         cluster.controls[leader].start();
-        // The next kill must meet a whole cluster.
+        // The cluster must be complete before the next kill.
         support::wait_until("the voter is back", || {
             let own = cluster.operator.control_status(cluster.control_ops(leader));
             let version = cluster
@@ -543,30 +543,30 @@
     println!("leader killed to next commit: {}", quantiles(times));
 }
 
-/// Sends for some seconds at a rate to entry hosts by turns and returns the taken requests a second.
-fn taken_rate(cluster: &Cluster, hosts: &[usize], rate: f64, seconds: f64) -> f64 {
-    let taken = std::sync::atomic::AtomicUsize::new(0);
+/// Sends requests at a rate to entry hosts in turn; returns the accepted requests per second.
+fn accepted_rate(cluster: &Cluster, hosts: &[usize], rate: f64, seconds: f64) -> f64 {
+    let accepted = std::sync::atomic::AtomicUsize::new(0);
     let count = (rate * seconds) as usize;
-    let begin = Instant::now();
+    let started = Instant::now();
     std::thread::scope(|scope| {
         for number in 0..count {
-            let due = begin + Duration::from_secs_f64(number as f64 / rate);
+            let due = started + Duration::from_secs_f64(number as f64 / rate);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             let host = cluster.callers(hosts[number % hosts.len()]);
-            let taken = &taken;
+            let accepted = &accepted;
             scope.spawn(move || {
                 let request = CallerRequest::to_path("POST", "/v1/services/orders/x", b"")
                     .with("authorization", "Bearer limited-key");
                 if request
                     .send(host)
-                    .is_some_and(|answer| answer.status == 200)
+                    .is_some_and(|response| response.status == 200)
                 {
-                    taken.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                    accepted.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 }
             });
         }
     });
-    taken.into_inner() as f64 / seconds
+    accepted.into_inner() as f64 / seconds
 }
 
 #[test]
@@ -599,8 +599,8 @@
             ("the hosts of one hall", &own_hall),
             ("one host", &vec![0]),
         ] {
-            taken_rate(&cluster, hosts, 180.0, 3.0);
-            let rate = taken_rate(&cluster, hosts, 180.0, 5.0);
+            accepted_rate(&cluster, hosts, 180.0, 3.0);
+            let rate = accepted_rate(&cluster, hosts, 180.0, 5.0);
             println!(
                 "limit of {LIMIT}/s over {entries} entries in {halls} halls, 180/s to {label}: {rate:.0}/s taken, {:.2} of the limit",
                 rate / f64::from(LIMIT)
--- a/crates/linnetdale/tests/deferred.rs
+++ b/crates/linnetdale/tests/deferred.rs
@@ -1,4 +1,4 @@
-//! Deferred requests over real processes: accepted durably, run once, kept until acknowledged.
+//! Deferred requests over real processes: accepted durably, run once, stored until acknowledged.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -6,7 +6,7 @@
 
 use linnetdale::fakes::{FaultKind, expected_answer};
 use support::cluster::{Cluster, ClusterPlan};
-use support::http::{CallerAnswer, CallerRequest};
+use support::http::{CallerRequest, CallerResponse};
 use support::ledger::{marked_input, marked_request};
 use support::{wait_for, wait_until};
 
@@ -21,58 +21,73 @@
     marked_request(marker).with("x-mode", "deferred")
 }
 
-fn accept(cluster: &Cluster, request: &CallerRequest, entry: usize) -> String {
-    let answer = request.send(cluster.callers(entry)).unwrap();
-    assert_eq!(answer.status, 202, "{answer:?}");
-    answer.json()["handle"].as_str().unwrap().to_owned()
+fn submit(cluster: &Cluster, request: &CallerRequest, entry: usize) -> String {
+    let response = request.send(cluster.callers(entry)).unwrap();
+    assert_eq!(response.status, 202, "{response:?}");
+    response.json()["handle"].as_str().unwrap().to_owned()
 }
 
-fn ask(cluster: &Cluster, entry: usize, method: &str, handle: &str) -> Option<CallerAnswer> {
+fn send_handle_request(
+    cluster: &Cluster,
+    entry: usize,
+    method: &str,
+    handle: &str,
+) -> Option<CallerResponse> {
     let request = CallerRequest::to_path(method, &format!("/v1/deferred/{handle}"), b"");
     request.send(cluster.callers(entry))
 }
 
-/// Waits until a deferred request has an end.
-fn wait_done(cluster: &Cluster, entry: usize, handle: &str) -> CallerAnswer {
+/// Waits for the outcome of a deferred request.
+fn wait_done(cluster: &Cluster, entry: usize, handle: &str) -> CallerResponse {
     wait_for("a deferred request ends", || {
-        let answer = ask(cluster, entry, "GET", handle)?;
-        (answer.status != 202 && answer.code() != "no_quorum").then_some(answer)
+        let response = send_handle_request(cluster, entry, "GET", handle)?;
+        (response.status != 202 && response.code() != "no_quorum").then_some(response)
     })
 }
 
-fn check_whole(marker: &str, answer: &CallerAnswer) {
-    let wanted = expected_answer(&["encode", "retrieve", "rerank"], &marked_input(marker));
-    assert_eq!(answer.tokens(), Some(wanted), "{answer:?}");
+fn check_complete(marker: &str, response: &CallerResponse) {
+    let expected = expected_answer(&["encode", "retrieve", "rerank"], &marked_input(marker));
+    assert_eq!(response.tokens(), Some(expected), "{response:?}");
 }
 
 #[test]
-fn an_answer_is_kept_until_it_is_acknowledged_and_gone_after() {
+fn a_deferred_response_is_stored_until_it_is_acknowledged() {
     let cluster = Cluster::start(plan());
-    let handle = accept(&cluster, &deferred("kept"), 0);
+    let handle = submit(&cluster, &deferred("kept"), 0);
     let first = wait_done(&cluster, 1, &handle);
-    check_whole("kept", &first);
-    assert_eq!(ask(&cluster, 2, "GET", &handle).unwrap().body, first.body);
-    assert_eq!(ask(&cluster, 1, "DELETE", &handle).unwrap().status, 204);
+    check_complete("kept", &first);
+    assert_eq!(
+        send_handle_request(&cluster, 2, "GET", &handle)
+            .unwrap()
+            .body,
+        first.body
+    );
+    assert_eq!(
+        send_handle_request(&cluster, 1, "DELETE", &handle)
+            .unwrap()
+            .status,
+        204
+    );
     for method in ["GET", "DELETE"] {
-        let answer = ask(&cluster, 0, method, &handle).unwrap();
+        let response = send_handle_request(&cluster, 0, method, &handle).unwrap();
         assert_eq!(
-            (answer.status, answer.code().as_str()),
+            (response.status, response.code().as_str()),
             (404, "no_such_job")
         );
     }
-    assert_eq!(cluster.world.runs("generate-", "kept"), 1);
+    assert_eq!(cluster.testbed.runs("generate-", "kept"), 1);
 }
 
 #[test]
-fn a_request_key_gives_one_job_and_no_other_account_sees_it() {
+fn a_request_key_identifies_one_job_that_other_accounts_cannot_see() {
     let cluster = Cluster::start(plan());
     let request = deferred("keyed").with("x-request-key", "report-7");
-    let handle = accept(&cluster, &request, 0);
+    let handle = submit(&cluster, &request, 0);
     for entry in 0..3 {
-        assert_eq!(accept(&cluster, &request, entry), handle);
+        assert_eq!(submit(&cluster, &request, entry), handle);
     }
-    check_whole("keyed", &wait_done(&cluster, 0, &handle));
-    assert_eq!(cluster.world.runs("generate-", "keyed"), 1);
+    check_complete("keyed", &wait_done(&cluster, 0, &handle));
+    assert_eq!(cluster.testbed.runs("generate-", "keyed"), 1);
     let other = deferred("other")
         .with("x-request-key", "report-7")
         .send(cluster.callers(1))
@@ -88,78 +103,85 @@
 }
 
 #[test]
-fn the_loss_of_the_host_that_runs_it_delays_a_job_that_may_run_twice_and_ends_any_other() {
+fn a_lost_host_delays_repeatable_jobs_and_ends_other_jobs() {
     let mut cluster = Cluster::start(plan());
-    cluster.world.order_fault("rerank-", FaultKind::Freeze, 1);
-    let twice = accept(&cluster, &deferred("twice"), 0);
-    let once = accept(&cluster, &deferred("once").with("x-repeatable", "no"), 0);
+    cluster
+        .testbed
+        .inject_faults("rerank-", FaultKind::Freeze, 1);
+    let twice = submit(&cluster, &deferred("twice"), 0);
+    let once = submit(&cluster, &deferred("once").with("x-repeatable", "no"), 0);
     wait_until("both run", || {
-        cluster.world.runs("rerank-", "twice") == 1 && cluster.world.runs("rerank-", "once") == 1
+        cluster.testbed.runs("rerank-", "twice") == 1
+            && cluster.testbed.runs("rerank-", "once") == 1
     });
     cluster.entries[0].kill();
-    cluster.world.end_faults();
-    check_whole("twice", &wait_done(&cluster, 1, &twice));
+    cluster.testbed.clear_faults();
+    check_complete("twice", &wait_done(&cluster, 1, &twice));
     let lost = wait_done(&cluster, 2, &once);
     assert_eq!(
         (lost.code().as_str(), lost.ran().as_str()),
         ("may_have_run", "unknown")
     );
-    assert_eq!(cluster.world.runs("rerank-", "once"), 1);
-    // The host that was lost comes back and does not run it again.
+    assert_eq!(cluster.testbed.runs("rerank-", "once"), 1);
+    // The restarted host does not run the request again.
     cluster.entries[0].start();
     cluster.wait_ready(0);
     assert_eq!(wait_done(&cluster, 0, &once).body, lost.body);
 }
 
 #[test]
-fn jobs_and_answers_survive_the_leader_and_a_restart_of_all_voters() {
+fn jobs_and_responses_survive_a_restart_of_all_voters() {
     let mut cluster = Cluster::start(plan());
-    let done = accept(&cluster, &deferred("done"), 0);
+    let done = submit(&cluster, &deferred("done"), 0);
     let first = wait_done(&cluster, 0, &done);
-    // No engine is listed, so this one waits.
+    // No engine is listed, so this request waits.
     cluster.unlist("generate", 1);
-    let waiting = accept(&cluster, &deferred("waiting"), 1);
+    let waiting = submit(&cluster, &deferred("waiting"), 1);
     cluster.restart_controls();
     cluster.wait_leader();
     assert_eq!(wait_done(&cluster, 2, &done).body, first.body);
-    assert_eq!(cluster.world.runs("", "waiting"), 0);
-    cluster.world.publish(true);
-    check_whole("waiting", &wait_done(&cluster, 2, &waiting));
+    assert_eq!(cluster.testbed.runs("", "waiting"), 0);
+    cluster.testbed.publish(true);
+    check_complete("waiting", &wait_done(&cluster, 2, &waiting));
 }
 
 #[test]
-fn a_planned_stop_gives_back_what_has_not_begun() {
+fn a_planned_stop_releases_jobs_that_have_not_started() {
     let mut cluster = Cluster::start(plan());
     cluster.unlist("generate", 0);
-    let handle = accept(
+    let handle = submit(
         &cluster,
         &deferred("given-back").with("x-repeatable", "no"),
         0,
     );
-    cluster.entries[0].ask_to_stop();
-    assert!(cluster.entries[0].wait_end().success());
-    cluster.world.publish(true);
-    check_whole("given-back", &wait_done(&cluster, 1, &handle));
-    assert_eq!(cluster.world.runs("generate-", "given-back"), 1);
+    cluster.entries[0].request_stop();
+    assert!(cluster.entries[0].wait_for_exit().success());
+    cluster.testbed.publish(true);
+    check_complete("given-back", &wait_done(&cluster, 1, &handle));
+    assert_eq!(cluster.testbed.runs("generate-", "given-back"), 1);
 }
 
 #[test]
-fn without_a_quorum_nothing_is_accepted() {
+fn no_deferred_request_is_accepted_without_a_quorum() {
     let mut cluster = Cluster::start(plan());
     let leader = cluster.wait_leader();
     for number in (0..3).filter(|number| *number != leader) {
         cluster.controls[number].kill();
     }
     wait_until("the lease lapses", || cluster.leader().is_none());
-    let answer = deferred("refused").send(cluster.callers(0)).unwrap();
+    let response = deferred("refused").send(cluster.callers(0)).unwrap();
     assert_eq!(
-        (answer.status, answer.code().as_str(), answer.ran().as_str()),
+        (
+            response.status,
+            response.code().as_str(),
+            response.ran().as_str()
+        ),
         (503, "no_quorum", "no")
     );
-    assert!(answer.retry_after.is_some());
-    let answer = marked_request("mode")
+    assert!(response.retry_after.is_some());
+    let response = marked_request("mode")
         .with("x-mode", "later")
         .send(cluster.callers(0))
         .unwrap();
-    assert_eq!(answer.code(), "bad_header");
+    assert_eq!(response.code(), "bad_header");
 }
--- a/crates/linnetdale/tests/halls.rs
+++ b/crates/linnetdale/tests/halls.rs
@@ -1,4 +1,4 @@
-//! A data hall that is cut off goes on with what it holds.
+//! A data hall without connection to the control hosts keeps serving with its current table.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -8,10 +8,10 @@
 use serde_json::json;
 use support::cluster::{Cluster, ClusterPlan};
 use support::http::CallerRequest;
+use support::invariant_monitor::InvariantMonitor;
 use support::wait_until;
-use support::watch::Watch;
 
-/// Two halls with three entry hosts each: 0, 2, 4 and 1, 3, 5.
+/// Returns a plan of two halls with three entry hosts each: 0, 2, 4 and 1, 3, 5.
 fn two_halls() -> ClusterPlan {
     ClusterPlan {
         entries: 6,
@@ -20,8 +20,8 @@
     }
 }
 
-/// Cuts the entry hosts of hall 1 off from every control host.
-fn cut_hall(cluster: &Cluster) {
+/// Cuts the links between the entry hosts of hall 1 and all control hosts.
+fn isolate_hall(cluster: &Cluster) {
     for entry in [1, 3, 5] {
         let name = format!("entry-{entry}");
         cluster.rules.cut(&name, "*");
@@ -50,24 +50,24 @@
 fn the_loss_of_the_relaying_host_does_not_stop_changes() {
     let mut cluster = Cluster::start(two_halls());
     cluster.entries[0].kill();
-    cluster.entries[1].freeze();
+    cluster.entries[1].suspend();
     cluster.add_accounts("later", 0..3);
     for entry in [2, 3, 4, 5] {
         cluster.wait_entry_version(entry, 4);
     }
-    cluster.entries[1].thaw();
+    cluster.entries[1].resume();
     cluster.wait_entry_version(1, 4);
 }
 
 #[test]
-fn a_host_restarted_in_a_cut_off_hall_takes_the_newest_of_its_hall() {
+fn a_host_restarted_in_an_unreachable_hall_gets_the_newest_table_of_its_hall() {
     let mut cluster = Cluster::start(two_halls());
     cluster.add_accounts("before", 0..3);
     for entry in 0..6 {
         cluster.wait_entry_version(entry, 4);
     }
-    let watch = Watch::start(&cluster.all_control_ops(), &cluster.all_entry_ops());
-    cut_hall(&cluster);
+    let monitor = InvariantMonitor::start(&cluster.all_control_ops(), &cluster.all_entry_ops());
+    isolate_hall(&cluster);
     cluster.add_accounts("during", 0..3);
     for entry in [0, 2, 4] {
         cluster.wait_entry_version(entry, 7);
@@ -77,26 +77,26 @@
     cluster.wait_ready(3);
     let status = cluster.operator.entry_status(cluster.entry_ops(3)).unwrap();
     assert_eq!(status.table_version, 4);
-    // The cut-off hall serves; what needs a quorum is refused at once as not run.
+    // The unreachable hall serves requests; those that need a quorum are refused as not run.
     for entry in [1, 3, 5] {
         let request = CallerRequest::to_pipeline("yard-desk", &json!({ "marker": "cut-off" }));
-        let answer = request.send(cluster.callers(entry)).unwrap();
-        assert!(answer.tokens().is_some(), "{answer:?}");
-        let answer = request
+        let response = request.send(cluster.callers(entry)).unwrap();
+        assert!(response.tokens().is_some(), "{response:?}");
+        let response = request
             .once("cut-off")
             .send(cluster.callers(entry))
             .unwrap();
         assert_eq!(
-            (answer.code().as_str(), answer.ran().as_str()),
+            (response.code().as_str(), response.ran().as_str()),
             ("no_quorum", "no")
         );
-        assert!(answer.retry_after.is_some());
+        assert!(response.retry_after.is_some());
     }
     cluster.rules.heal();
     for entry in 0..6 {
         cluster.wait_entry_version(entry, 7);
     }
-    watch.finish();
+    monitor.finish();
 }
 
 #[test]
@@ -113,13 +113,17 @@
             .is_some()
     });
     let request = CallerRequest::to_pipeline("yard-desk", &json!({ "marker": "early" }));
-    let answer = request.send(cluster.callers(0)).unwrap();
+    let response = request.send(cluster.callers(0)).unwrap();
     assert_eq!(
-        (answer.status, answer.code().as_str(), answer.ran().as_str()),
+        (
+            response.status,
+            response.code().as_str(),
+            response.ran().as_str()
+        ),
         (503, "not_ready", "no")
     );
-    assert!(answer.retry_after.is_some());
-    assert_eq!(cluster.world.runs("", "early"), 0);
+    assert!(response.retry_after.is_some());
+    assert_eq!(cluster.testbed.runs("", "early"), 0);
     let ready = CallerRequest::to_path("GET", "/ready", b"")
         .send(cluster.callers(0))
         .unwrap();
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn keys_between_processes_roll_without_a_stop() {
+fn peer_keys_can_be_rotated_without_downtime() {
     let cluster = Cluster::start(ClusterPlan {
         entries: 2,
         halls: 1,
@@ -143,7 +147,7 @@
     ];
     for (number, text) in rounds.iter().enumerate() {
         std::fs::write(&file, text).unwrap();
-        // Longer than it takes for every process to read the file again.
+        // Longer than the interval at which processes read the file.
         std::thread::sleep(std::time::Duration::from_millis(2_200));
         cluster.add_accounts(&format!("round-{number}"), 0..1);
         for entry in 0..2 {
--- a/crates/linnetdale/tests/members.rs
+++ b/crates/linnetdale/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members come, go and are repaired without losing what was acknowledged.
+//! Members are added, removed and repaired without losing acknowledged changes.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -6,8 +6,8 @@
 
 use linnetdale::quorum::{Member, MemberChange};
 use support::cluster::{Cluster, ClusterPlan};
+use support::invariant_monitor::InvariantMonitor;
 use support::operator::{Operator, member_of};
-use support::watch::Watch;
 use support::{wait_for, wait_until};
 
 fn controls_only() -> ClusterPlan {
@@ -18,10 +18,10 @@
     }
 }
 
-/// Sends a change of members to whoever leads until it is taken.
+/// Sends a membership change to the leader until it is accepted.
 fn change_member(cluster: &Cluster, change: &MemberChange) {
     let operator = Operator::new();
-    wait_until("a change of members is taken", || {
+    wait_until("a membership change is accepted", || {
         let leader = cluster.leader();
         leader.is_some_and(|leader| {
             let status = operator.change_member(cluster.control_ops(leader), change);
@@ -50,26 +50,26 @@
     member_of(&status)
 }
 
-/// Wipes the disk of a stopped control host and starts it again.
-fn wipe(cluster: &mut Cluster, number: usize) {
+/// Kills a control host, deletes its data and starts it again.
+fn wipe_disk(cluster: &mut Cluster, number: usize) {
     cluster.controls[number].kill();
     std::fs::remove_dir_all(cluster.data_folder(number)).unwrap();
     cluster.controls[number].start();
 }
 
 #[test]
-fn a_wiped_voter_is_repaired_and_a_second_one_lost_right_after() {
+fn a_repaired_voter_replaces_a_second_lost_one_in_the_majority() {
     let mut cluster = Cluster::start(controls_only());
-    let watch = Watch::start(&cluster.all_control_ops(), &[]);
+    let monitor = InvariantMonitor::start(&cluster.all_control_ops(), &[]);
     let mut acknowledged = cluster.add_accounts("before", 0..20);
     let leader = cluster.wait_leader();
     let wiped = (leader + 1) % 3;
     let former = as_member(&cluster, wiped).id;
-    wipe(&mut cluster, wiped);
+    wipe_disk(&mut cluster, wiped);
     assert_ne!(as_member(&cluster, wiped).id, former);
     acknowledged.extend(cluster.add_accounts("wiped", 0..5));
-    // The leader goes on calling the former identity at the same address, ten times a second; the
-    // new one must not answer in its name, however often it is called.
+    // The leader keeps calling the former identity at the same address, ten times per second; the
+    // new replica must not reply in its place.
     std::thread::sleep(std::time::Duration::from_millis(1_500));
     let status = cluster
         .operator
@@ -82,7 +82,7 @@
     let output = cluster.ctl(&["member", "repair", &cluster.control_ops(wiped).to_string()]);
     assert!(output.status.success(), "{output:?}");
     wait_voters(&cluster, 3);
-    // The host that held everything is lost; the repaired one must carry the majority.
+    // A complete host is lost, so the repaired one must be part of the majority.
     let leader = cluster.wait_leader();
     let lost = if leader == wiped {
         (wiped + 1) % 3
@@ -93,7 +93,7 @@
     std::fs::remove_dir_all(cluster.data_folder(lost)).unwrap();
     acknowledged.extend(cluster.add_accounts("after", 0..5));
     cluster.check_accounts(&acknowledged);
-    watch.finish();
+    monitor.finish();
 }
 
 #[test]
@@ -102,10 +102,10 @@
     let acknowledged = cluster.add_accounts("before", 0..5);
     let leader = cluster.wait_leader();
     let (wiped, other) = ((leader + 1) % 3, (leader + 2) % 3);
-    // The only other holder of everything is away: with the wiped host's vote a host that lacks
-    // changes, or a blank one, could be elected.
+    // The leader is down: with the vote of the wiped host, a host that lacks changes, or an empty
+    // one, could be elected.
     cluster.controls[leader].kill();
-    wipe(&mut cluster, wiped);
+    wipe_disk(&mut cluster, wiped);
     as_member(&cluster, wiped);
     std::thread::sleep(std::time::Duration::from_secs(4));
     assert_eq!(cluster.leader(), None);
@@ -125,12 +125,12 @@
 }
 
 #[test]
-fn a_second_forming_does_not_touch_a_cluster_or_a_wiped_host() {
+fn a_second_init_affects_neither_a_cluster_nor_a_wiped_host() {
     let mut cluster = Cluster::start(controls_only());
     let acknowledged = cluster.add_accounts("before", 0..3);
     assert!(cluster.ctl(&["init"]).status.success());
     let wiped = (cluster.wait_leader() + 1) % 3;
-    wipe(&mut cluster, wiped);
+    wipe_disk(&mut cluster, wiped);
     as_member(&cluster, wiped);
     let output = cluster.ctl(&["init"]);
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -144,7 +144,7 @@
 #[test]
 fn voters_grow_to_five_and_shrink_to_three_while_one_is_cut_off() {
     let mut cluster = Cluster::start(controls_only());
-    let watch = Watch::start(&cluster.all_control_ops(), &[]);
+    let monitor = InvariantMonitor::start(&cluster.all_control_ops(), &[]);
     let mut acknowledged = cluster.add_accounts("three", 0..5);
     for number in 3..5 {
         cluster.add_control(number, "hall-0");
@@ -164,11 +164,11 @@
     wait_voters(&cluster, 4);
     acknowledged.extend(cluster.add_accounts("four", 0..5));
     cluster.rules.heal();
-    // A leader that is taken out commits that first and then steps down.
+    // A leader that is removed commits its removal and then steps down.
     let leader = cluster.wait_leader();
     let member = as_member(&cluster, leader);
     change_member(&cluster, &MemberChange::Remove(member.id));
-    let next = cluster.wait_other_leader(leader);
+    let next = cluster.wait_for_new_leader(leader);
     wait_voters(&cluster, 3);
     assert_ne!(next, leader);
     acknowledged.extend(cluster.add_accounts("three-again", 0..5));
@@ -176,11 +176,11 @@
         cluster.controls[gone].kill();
     }
     cluster.check_accounts(&acknowledged);
-    watch.finish();
+    monitor.finish();
 }
 
 #[test]
-fn a_data_folder_serves_one_process_and_a_corrupt_one_none() {
+fn a_control_host_exits_on_a_corrupt_journal() {
     let mut cluster = Cluster::start(controls_only());
     let acknowledged = cluster.add_accounts("before", 0..5);
     let broken = (cluster.wait_leader() + 1) % 3;
@@ -191,7 +191,7 @@
     bytes[middle] ^= 1;
     std::fs::write(&journal, &bytes).unwrap();
     cluster.controls[broken].start();
-    let status = cluster.controls[broken].wait_end();
+    let status = cluster.controls[broken].wait_for_exit();
     assert!(!status.success());
     let log = cluster.controls[broken].log_text();
     assert!(
--- a/crates/linnetdale/tests/proofs.rs
+++ b/crates/linnetdale/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! Keeps docs/PROOFS.csv and docs/CALLERS.md true.
+//! Checks that docs/PROOFS.csv and docs/CALLERS.md match the code.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -10,8 +10,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Returns the text of every test file of the workspace: those in `tests` of a crate, and the files
-/// `tests.rs` beside its modules with those in a folder `tests` there.
+/// Returns the text of all test files of the workspace: the files in `tests` of each crate, and the
+/// `tests.rs` files and `tests` folders of its modules.
 fn test_sources() -> String {
     let mut text = String::new();
     let crates = std::fs::read_dir(root().join("crates")).unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn every_proof_names_a_test_that_exists_or_says_why_there_is_none() {
+fn every_proof_refers_to_an_existing_test_or_states_why_there_is_none() {
     let sources = test_sources();
     let table = std::fs::read_to_string(root().join("docs/PROOFS.csv")).unwrap();
     let mut rows = csv::Reader::from_reader(table.as_bytes());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_callers_page_lists_every_error_as_it_is() {
+fn the_callers_page_lists_every_error() {
     let page = std::fs::read_to_string(root().join("docs/CALLERS.md")).unwrap();
     for code in ErrorCode::ALL {
         let row = format!(
--- a/crates/linnetdale/tests/random_run.rs
+++ b/crates/linnetdale/tests/random_run.rs
@@ -1,6 +1,6 @@
-//! A seeded mix of all faults under load, over real processes, with its history checked.
+//! A seeded mix of all faults under load, over real processes, with a check of all responses.
 //!
-//! Bounded in CI. For a long run: `LINNET_RANDOM_REQUESTS=20000 LINNET_RANDOM_SEED=7 cargo test
+//! Short by default. For a long run: `LINNET_RANDOM_REQUESTS=20000 LINNET_RANDOM_SEED=7 cargo test
 //! --release --test random_run -- --nocapture`.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
@@ -17,63 +17,63 @@
 use linnetdale::fakes::{FaultKind, FaultOrder};
 use support::cluster::{Cluster, ClusterPlan};
 use support::daemon::Daemon;
-use support::ledger::{Told, differences, marked_request};
+use support::invariant_monitor::InvariantMonitor;
+use support::ledger::{RequestRecord, differences, marked_request};
 use support::operator::{Operator, add_account};
-use support::watch::Watch;
 
 const CALLERS: usize = 6;
 const OPERATORS: usize = 2;
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_setting(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
-/// What the callers and operators of a run share.
+/// State that the callers and operators of a run share.
 struct Shared {
-    wanted: usize,
+    max_requests: usize,
     sent: AtomicUsize,
     stop: AtomicBool,
-    told: Mutex<Vec<Told>>,
+    records: Mutex<Vec<RequestRecord>>,
     acknowledged: Mutex<Vec<String>>,
 }
 
-/// Sends requests through hosts by turns; one that may run only once is sent again under its key.
-fn call(who: usize, seed: u64, hosts: &[std::net::SocketAddr], shared: &Shared) {
-    let mut chance = fastrand::Rng::with_seed(seed + who as u64);
+/// Sends requests to random hosts; non-repeatable ones are sent several times with the same key.
+fn send_requests(index: usize, seed: u64, hosts: &[std::net::SocketAddr], shared: &Shared) {
+    let mut rng = fastrand::Rng::with_seed(seed + index as u64);
     loop {
         let number = shared.sent.fetch_add(1, Ordering::Relaxed);
-        if number >= shared.wanted {
+        if number >= shared.max_requests {
             shared.stop.store(true, Ordering::Relaxed);
             return;
         }
         let marker = format!("r{number}");
-        let once = chance.u8(..).is_multiple_of(3);
+        let once = rng.u8(..).is_multiple_of(3);
         let mut request = marked_request(&marker).with("x-deadline-ms", "1500");
         if once {
             request = request.once(&marker);
         }
-        std::thread::sleep(Duration::from_millis(chance.u64(..80)));
-        let sendings = if once { chance.usize(1..4) } else { 1 };
-        for _ in 0..sendings {
-            let answer = request.send(hosts[chance.usize(..hosts.len())]);
-            shared.told.lock().unwrap().push(Told {
+        std::thread::sleep(Duration::from_millis(rng.u64(..80)));
+        let attempts = if once { rng.usize(1..4) } else { 1 };
+        for _ in 0..attempts {
+            let response = request.send(hosts[rng.usize(..hosts.len())]);
+            shared.records.lock().unwrap().push(RequestRecord {
                 marker: marker.clone(),
                 once,
-                answer,
+                response,
             });
         }
     }
 }
 
-/// Adds accounts and notes the acknowledged ones.
-fn operate(who: usize, hosts: &[std::net::SocketAddr], shared: &Shared) {
+/// Adds accounts and records the acknowledged ones.
+fn add_accounts_until_stop(index: usize, hosts: &[std::net::SocketAddr], shared: &Shared) {
     let operator = Operator::with_timeout(Duration::from_secs(1));
     let mut number = 0;
     while !shared.stop.load(Ordering::Relaxed) {
-        let name = format!("op{who}-{number}");
+        let name = format!("op{index}-{number}");
         number += 1;
         let change = add_account(&name, 1);
         for host in hosts {
@@ -90,79 +90,79 @@
     }
 }
 
-/// Brings one fault for a while and ends it; returns its name.
-fn disturb(cluster: &mut Cluster, chance: &mut fastrand::Rng) -> &'static str {
-    let control = chance.usize(..cluster.controls.len());
-    let entry = chance.usize(..cluster.entries.len());
-    let pause = Duration::from_millis(chance.u64(50..900));
+/// Injects one random fault for a random time; returns its name.
+fn inject_random_fault(cluster: &mut Cluster, rng: &mut fastrand::Rng) -> &'static str {
+    let control = rng.usize(..cluster.controls.len());
+    let entry = rng.usize(..cluster.entries.len());
+    let duration = Duration::from_millis(rng.u64(50..900));
     let name = format!("control-{control}");
-    match chance.u8(..) % 8 {
+    match rng.u8(..) % 8 {
         0 => {
             cluster.controls[control].kill();
-            std::thread::sleep(pause);
+            std::thread::sleep(duration);
             cluster.controls[control].start();
             "control killed"
         }
         1 => {
-            cluster.controls[control].freeze();
-            std::thread::sleep(pause);
-            cluster.controls[control].thaw();
+            cluster.controls[control].suspend();
+            std::thread::sleep(duration);
+            cluster.controls[control].resume();
             "control frozen"
         }
         2 => {
             cluster.rules.cut(&name, "*");
-            if chance.bool() {
+            if rng.bool() {
                 cluster.rules.cut("*", &name);
             }
-            std::thread::sleep(pause);
+            std::thread::sleep(duration);
             cluster.rules.heal();
             "control cut"
         }
         3 => {
             cluster.entries[entry].kill();
-            std::thread::sleep(pause);
+            std::thread::sleep(duration);
             cluster.entries[entry].start();
             "entry killed"
         }
         4 => {
-            cluster.entries[entry].freeze();
-            std::thread::sleep(pause);
-            cluster.entries[entry].thaw();
+            cluster.entries[entry].suspend();
+            std::thread::sleep(duration);
+            cluster.entries[entry].resume();
             "entry frozen"
         }
         5 => {
             let name = format!("entry-{entry}");
             cluster.rules.cut_both(&name, "*");
             cluster.rules.cut("*", &name);
-            std::thread::sleep(pause);
+            std::thread::sleep(duration);
             cluster.rules.heal();
             "entry cut off from control"
         }
         _ => {
             let kinds = FaultKind::value_variants();
-            let kind = kinds[chance.usize(..kinds.len())];
-            // A stream's faults do nothing at a stage pool, and leaving is for good.
+            let kind = kinds[rng.usize(..kinds.len())];
+            // Stream faults have no effect on a stage target. `Leaving` is permanent, so it is skipped.
             if kind != FaultKind::Leaving {
-                let target = chance.usize(..cluster.world.targets.len());
-                let count = chance.u64(1..20);
-                cluster.world.targets[target]
+                let target = rng.usize(..cluster.testbed.targets.len());
+                let count = rng.u64(1..20);
+                cluster.testbed.targets[target]
                     .fake
                     .order_fault(FaultOrder { kind, count });
             }
-            std::thread::sleep(pause / 4);
+            std::thread::sleep(duration / 4);
             "target fault"
         }
     }
 }
 
 #[test]
-fn a_seeded_mix_of_faults_leaves_no_difference_between_ledgers_and_callers() {
-    let seed = setting("LINNET_RANDOM_SEED", 20_261_202);
+fn responses_match_the_ledgers_under_a_seeded_mix_of_faults() {
+    let seed = env_setting("LINNET_RANDOM_SEED", 20_261_202);
     let shared = Shared {
-        wanted: setting("LINNET_RANDOM_REQUESTS", 1_200) as usize,
+        max_requests: env_setting("LINNET_RANDOM_REQUESTS", 1_200) as usize,
         sent: AtomicUsize::new(0),
         stop: AtomicBool::new(false),
-        told: Mutex::default(),
+        records: Mutex::default(),
         acknowledged: Mutex::default(),
     };
     let mut cluster = Cluster::start(ClusterPlan {
@@ -170,29 +170,29 @@
         replicas: 3,
         ..ClusterPlan::default()
     });
-    let watch = Watch::start(&cluster.all_control_ops(), &cluster.all_entry_ops());
+    let monitor = InvariantMonitor::start(&cluster.all_control_ops(), &cluster.all_entry_ops());
     let hosts: Vec<_> = (0..3).map(|entry| cluster.callers(entry)).collect();
     let controls = cluster.all_control_ops();
     let mut faults: BTreeMap<&str, usize> = BTreeMap::new();
     std::thread::scope(|scope| {
-        for who in 0..CALLERS {
+        for index in 0..CALLERS {
             let (hosts, shared) = (&hosts, &shared);
-            scope.spawn(move || call(who, seed, hosts, shared));
+            scope.spawn(move || send_requests(index, seed, hosts, shared));
         }
-        for who in 0..OPERATORS {
+        for index in 0..OPERATORS {
             let (controls, shared) = (&controls, &shared);
-            scope.spawn(move || operate(who, controls, shared));
+            scope.spawn(move || add_accounts_until_stop(index, controls, shared));
         }
-        let mut chance = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         while !shared.stop.load(Ordering::Relaxed) {
             *faults
-                .entry(disturb(&mut cluster, &mut chance))
+                .entry(inject_random_fault(&mut cluster, &mut rng))
                 .or_default() += 1;
-            std::thread::sleep(Duration::from_millis(chance.u64(20..200)));
+            std::thread::sleep(Duration::from_millis(rng.u64(20..200)));
         }
     });
     cluster.rules.heal();
-    cluster.world.end_faults();
+    cluster.testbed.clear_faults();
     cluster
         .controls
         .iter_mut()
@@ -202,33 +202,33 @@
     cluster.wait_leader();
     cluster.add_accounts("last", 0..1);
     cluster.check_accounts(&acknowledged);
-    watch.finish();
+    monitor.finish();
 
-    let told = shared.told.into_inner().unwrap();
-    let found: Vec<_> = told
+    let records = shared.records.into_inner().unwrap();
+    let found: Vec<_> = records
         .iter()
-        .flat_map(|told| differences(&cluster.world, told))
+        .flat_map(|record| differences(&cluster.testbed, record))
         .collect();
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
-    for told in &told {
-        let outcome = match &told.answer {
-            Some(answer) if answer.ran() == "whole" => "whole".to_owned(),
-            Some(answer) => format!("{} ran={}", answer.code(), answer.ran()),
+    for record in &records {
+        let outcome = match &record.response {
+            Some(response) if response.ran() == "complete" => "complete".to_owned(),
+            Some(response) => format!("{} ran={}", response.code(), response.ran()),
             None => "connection lost".to_owned(),
         };
         *outcomes.entry(outcome).or_default() += 1;
     }
     println!(
-        "seed {seed}: {} sendings, {} changes acknowledged, {} faults {faults:?}, outcomes {outcomes:#?}, {} differences",
-        told.len(),
+        "seed {seed}: {} requests, {} changes acknowledged, {} faults {faults:?}, outcomes {outcomes:#?}, {} differences",
+        records.len(),
         acknowledged.len(),
         faults.values().sum::<usize>(),
         found.len()
     );
     assert!(found.is_empty(), "{found:#?}");
-    let whole = outcomes.get("whole").copied().unwrap_or(0);
+    let complete = outcomes.get("complete").copied().unwrap_or(0);
     assert!(
-        whole * 2 > told.len(),
-        "most requests are answered whole: {outcomes:#?}"
+        complete * 2 > records.len(),
+        "fewer than half of the requests have a complete response: {outcomes:#?}"
     );
 }
--- a/crates/linnetdale/tests/support/cluster.rs
+++ b/crates/linnetdale/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole system of real processes.
+//! A complete system of real processes.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -11,11 +11,11 @@
 
 use super::daemon::Daemon;
 use super::operator::{OPERATOR_KEY, Operator, add_account};
-use super::relay::{CutRules, run_relay};
-use super::world::World;
+use super::relay::{LinkRules, run_relay};
+use super::testbed::Testbed;
 use super::{wait_for, wait_until};
 
-/// How large a system a test wants.
+/// Size and settings of the system of a test.
 #[derive(Debug, Clone, Copy)]
 pub struct ClusterPlan {
     pub controls: usize,
@@ -37,29 +37,29 @@
     }
 }
 
-/// The processes, in order of number, and all that is around them.
+/// The processes, in order of number, with their links, targets and operator.
 pub struct Cluster {
     pub controls: Vec<Daemon>,
     pub entries: Vec<Daemon>,
-    pub rules: CutRules,
-    pub world: World,
+    pub rules: LinkRules,
+    pub testbed: Testbed,
     pub operator: Operator,
     pub folder: TempDir,
     ip: IpAddr,
     runtime: Runtime,
-    /// Held so that no other test of this machine takes the same address.
-    _claim: TcpListener,
+    /// Listener that keeps other tests on this machine from using the same address.
+    _address_guard: TcpListener,
 }
 
-const CONTROL_LISTEN: u16 = 7100;
-const CONTROL_RELAY: u16 = 7150;
-const CONTROL_OPS: u16 = 7200;
-const ENTRY_PEER: u16 = 7300;
-const ENTRY_OPS: u16 = 7400;
-const ENTRY_CALLERS: u16 = 8000;
+const CONTROL_PEER_PORT: u16 = 7100;
+const CONTROL_RELAY_PORT: u16 = 7150;
+const CONTROL_OPS_PORT: u16 = 7200;
+const ENTRY_PEER_PORT: u16 = 7300;
+const ENTRY_OPS_PORT: u16 = 7400;
+const ENTRY_CALLER_PORT: u16 = 8000;
 
 impl Cluster {
-    /// Starts the processes, forms the cluster and applies the tests' table as version 1.
+    /// Starts the processes, forms the cluster and applies the test table as version 1.
     pub fn start(plan: ClusterPlan) -> Self {
         let cluster = Self::start_blank(plan);
         let hosts: Vec<_> = (0..plan.controls)
@@ -73,9 +73,9 @@
         cluster
     }
 
-    /// Starts the processes without a cluster.
+    /// Starts the processes without forming a cluster.
     pub fn start_blank(plan: ClusterPlan) -> Self {
-        let (ip, claim) = free_address();
+        let (ip, address_guard) = reserve_address();
         let folder = tempfile::tempdir().unwrap();
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
@@ -85,7 +85,7 @@
         let halls: Vec<_> = (0..plan.halls)
             .map(|number| format!("hall-{number}"))
             .collect();
-        let world = World::start(ip, &halls, plan.replicas, runtime.handle());
+        let testbed = Testbed::start(ip, &halls, plan.replicas, runtime.handle());
         std::fs::write(
             folder.path().join("keys"),
             format!("k1 {}\n", "5a".repeat(32)),
@@ -94,13 +94,13 @@
         let mut cluster = Self {
             controls: Vec::new(),
             entries: Vec::new(),
-            rules: CutRules::default(),
-            world,
+            rules: LinkRules::default(),
+            testbed,
             operator: Operator::new(),
             folder,
             ip,
             runtime,
-            _claim: claim,
+            _address_guard: address_guard,
         };
         for number in 0..plan.controls {
             cluster.add_control(number, &halls[number % halls.len()]);
@@ -111,13 +111,13 @@
         cluster
     }
 
-    /// Starts one more control host; it is blank.
+    /// Starts a control host that is not a member of a cluster.
     pub fn add_control(&mut self, number: usize, hall: &str) {
         let name = format!("control-{number}");
         let port = number as u16;
         let (listen, relay) = (
-            self.at(CONTROL_LISTEN + port),
-            self.at(CONTROL_RELAY + port),
+            self.address(CONTROL_PEER_PORT + port),
+            self.address(CONTROL_RELAY_PORT + port),
         );
         let listener = self
             .runtime
@@ -144,17 +144,17 @@
         let name = format!("entry-{number}");
         let port = number as u16;
         let hall = number % halls.len();
-        let control = (0..plan.controls).map(|c| self.at(CONTROL_RELAY + c as u16));
-        let mates = (0..plan.entries).filter(|other| other % halls.len() == hall);
-        let mates = mates.map(|other| self.at(ENTRY_PEER + other as u16));
-        let (control, mates): (Vec<_>, Vec<_>) = (control.collect(), mates.collect());
+        let control = (0..plan.controls).map(|c| self.address(CONTROL_RELAY_PORT + c as u16));
+        let hall_peers = (0..plan.entries).filter(|other| other % halls.len() == hall);
+        let hall_peers = hall_peers.map(|other| self.address(ENTRY_PEER_PORT + other as u16));
+        let (control, hall_peers): (Vec<_>, Vec<_>) = (control.collect(), hall_peers.collect());
         let mut args = self.common_args(&name, &halls[hall]);
         args.extend(flag("--caller-listen", self.callers(number)));
-        args.extend(flag("--peer-listen", self.at(ENTRY_PEER + port)));
+        args.extend(flag("--peer-listen", self.address(ENTRY_PEER_PORT + port)));
         args.extend(flag("--ops-listen", self.entry_ops(number)));
         args.extend(flag("--control", join(&control)));
-        args.extend(flag("--hall-peers", join(&mates)));
-        args.extend(flag("--host-list", self.world.host_list));
+        args.extend(flag("--hall-peers", join(&hall_peers)));
+        args.extend(flag("--host-list", self.testbed.host_list));
         args.extend(flag("--drain-ms", plan.drain_ms));
         args.extend(flag("--deferred-lease-ms", 1_500));
         let program = env!("CARGO_BIN_EXE_linnet-entry");
@@ -178,24 +178,24 @@
         args
     }
 
-    fn at(&self, port: u16) -> SocketAddr {
+    fn address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip, port)
     }
 
     pub fn control_ops(&self, number: usize) -> SocketAddr {
-        self.at(CONTROL_OPS + number as u16)
+        self.address(CONTROL_OPS_PORT + number as u16)
     }
 
     pub fn entry_ops(&self, number: usize) -> SocketAddr {
-        self.at(ENTRY_OPS + number as u16)
+        self.address(ENTRY_OPS_PORT + number as u16)
     }
 
     pub fn callers(&self, number: usize) -> SocketAddr {
-        self.at(ENTRY_CALLERS + number as u16)
+        self.address(ENTRY_CALLER_PORT + number as u16)
     }
 
     pub fn entry_peer(&self, number: usize) -> SocketAddr {
-        self.at(ENTRY_PEER + number as u16)
+        self.address(ENTRY_PEER_PORT + number as u16)
     }
 
     pub fn data_folder(&self, number: usize) -> PathBuf {
@@ -214,7 +214,7 @@
             .collect()
     }
 
-    /// Returns the number of the control host whose lease lasts.
+    /// Returns the number of the control host with a valid lease.
     pub fn leader(&self) -> Option<usize> {
         (0..self.controls.len()).find(|number| {
             let status = Operator::with_timeout(std::time::Duration::from_millis(400))
@@ -227,11 +227,11 @@
         wait_for("a control host leads", || self.leader())
     }
 
-    /// Waits until another control host than this leads.
-    pub fn wait_other_leader(&self, than: usize) -> usize {
+    /// Waits until a control host other than `former` leads.
+    pub fn wait_for_new_leader(&self, former: usize) -> usize {
         wait_for("another control host leads", || {
             (0..self.controls.len())
-                .filter(|number| *number != than)
+                .filter(|number| *number != former)
                 .find(|number| {
                     let operator = Operator::with_timeout(std::time::Duration::from_millis(400));
                     let status = operator.control_status(self.control_ops(*number));
@@ -254,16 +254,17 @@
         });
     }
 
-    /// Sends a change to whoever leads until it is taken; safe because it keeps its key.
+    /// Sends a change to all control hosts until one accepts it; retries are safe because the change key
+    /// stays the same.
     pub fn apply(&self, change: &TableChange) -> u64 {
-        self.apply_within(change, || {})
+        self.apply_with(change, || {})
     }
 
-    /// As [`Cluster::apply`], running `between` before each try.
-    pub fn apply_within(&self, change: &TableChange, mut between: impl FnMut()) -> u64 {
+    /// Same as [`Cluster::apply`], calling `before_attempt` before each attempt.
+    pub fn apply_with(&self, change: &TableChange, mut before_attempt: impl FnMut()) -> u64 {
         let operator = Operator::with_timeout(std::time::Duration::from_secs(2));
-        wait_for("a change is taken", || {
-            between();
+        wait_for("a change is accepted", || {
+            before_attempt();
             for host in self.all_control_ops() {
                 match operator.change(host, change) {
                     Some(ChangeReply::Taken { version }) => return Some(version),
@@ -275,7 +276,7 @@
         })
     }
 
-    /// Adds one account for each number, each acknowledged.
+    /// Adds one account per number, each with an acknowledged change.
     pub fn add_accounts(&self, prefix: &str, numbers: std::ops::Range<usize>) -> Vec<String> {
         let names = numbers.map(|number| format!("{prefix}-{number}"));
         names
@@ -285,8 +286,8 @@
             .collect()
     }
 
-    /// Waits until every running control host holds the same rows, and checks that each
-    /// acknowledged account is there exactly once and that each change made one version.
+    /// Waits until all running control hosts have the same rows, and checks that each acknowledged
+    /// account is present exactly once and that each change created one version.
     pub fn check_accounts(&self, acknowledged: &[String]) {
         let running: Vec<_> = (0..self.controls.len())
             .filter(|number| self.controls[*number].is_running())
@@ -317,14 +318,14 @@
         assert_eq!(
             version,
             1 + present.len() as u64,
-            "each change makes one version"
+            "each change creates one version"
         );
     }
 
-    /// Takes targets whose names begin so out of the host list and waits until a host has noticed.
+    /// Removes targets by name prefix from the host list and waits until an entry host shows them as gone.
     pub fn unlist(&self, prefix: &str, entry: usize) {
         let names: Vec<_> = self
-            .world
+            .testbed
             .targets
             .iter()
             .map(|target| target.name.as_str())
@@ -333,14 +334,14 @@
             .into_iter()
             .filter(|name| !name.starts_with(prefix))
             .collect();
-        self.world.publish_only(&kept, true);
+        self.testbed.publish_only(&kept, true);
         wait_until("the targets are gone", || {
             let status = self.operator.entry_status(self.entry_ops(entry)).unwrap();
             status.targets.iter().any(|target| target.state == "gone")
         });
     }
 
-    /// Starts every control host anew after killing all of them at once.
+    /// Kills all control hosts, then starts them again.
     pub fn restart_controls(&mut self) {
         self.controls.iter_mut().for_each(Daemon::kill);
         self.controls.iter_mut().for_each(Daemon::start);
@@ -358,7 +359,7 @@
     }
 }
 
-fn free_address() -> (IpAddr, TcpListener) {
+fn reserve_address() -> (IpAddr, TcpListener) {
     loop {
         let ip = Ipv4Addr::new(
             127,
@@ -366,8 +367,8 @@
             fastrand::u8(1..255),
             fastrand::u8(1..255),
         );
-        if let Ok(claim) = TcpListener::bind((ip, 6998)) {
-            return (IpAddr::V4(ip), claim);
+        if let Ok(address_guard) = TcpListener::bind((ip, 6998)) {
+            return (IpAddr::V4(ip), address_guard);
         }
     }
 }
@@ -381,7 +382,7 @@
     texts.join(",")
 }
 
-/// The table of the tests, as CSV.
+/// Returns the table of the tests as CSV.
 pub fn table_csv() -> String {
     format!(
         "kind,account,pipeline,stage,position,pool,weight,rate,in_flight,tokens,deadline_ms,repeatable,streams,key_digest
@@ -397,7 +398,7 @@
     )
 }
 
-/// The change that makes the table of the tests out of nothing.
+/// Returns the change that creates the table of the tests from an empty one.
 pub fn table_change() -> TableChange {
     TableChange {
         change_key: "the tests' table".to_owned(),
--- a/crates/linnetdale/tests/support/daemon.rs
+++ b/crates/linnetdale/tests/support/daemon.rs
@@ -1,4 +1,4 @@
-//! One process that a test started.
+//! A process that tests start, suspend, stop and restart.
 
 use std::fs::{File, OpenOptions};
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A process with what is needed to start it again.
+/// A process and the parameters for starting it again.
 pub struct Daemon {
     pub name: String,
     program: &'static str,
@@ -27,7 +27,7 @@
     }
 
     pub fn start(&mut self) {
-        assert!(self.child.is_none(), "{} runs already", self.name);
+        assert!(self.child.is_none(), "{} is already running", self.name);
         let log: File = OpenOptions::new()
             .create(true)
             .append(true)
@@ -46,7 +46,7 @@
         self.child.is_some()
     }
 
-    /// Kills the process without warning.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -54,21 +54,21 @@
         }
     }
 
-    /// Asks for a planned stop.
-    pub fn ask_to_stop(&self) {
+    /// Requests a planned stop with SIGTERM.
+    pub fn request_stop(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits until the process has ended by itself.
-    pub fn wait_end(&mut self) -> ExitStatus {
+    /// Waits until the process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.take().unwrap().wait().unwrap()
     }
 
-    pub fn freeze(&self) {
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -89,7 +89,7 @@
 impl Drop for Daemon {
     fn drop(&mut self) {
         if self.child.is_some() {
-            self.thaw();
+            self.resume();
         }
         self.kill();
         if std::thread::panicking() {
--- a/crates/linnetdale/tests/support/http.rs
+++ b/crates/linnetdale/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! An HTTP caller.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -6,31 +6,31 @@
 
 use serde_json::Value;
 
-/// An answer as a caller sees it.
+/// A response as seen by a caller.
 #[derive(Debug, Clone)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     pub status: u16,
     pub request: String,
     pub retry_after: Option<String>,
     pub body: String,
 }
 
-impl CallerAnswer {
+impl CallerResponse {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// Returns what the error says of running, or `whole` where there is no error.
+    /// Returns the `ran` field of the error, or `complete` if there is no error.
     pub fn ran(&self) -> String {
         let stream_error = self.body.lines().last().unwrap_or_default();
         let error: Value = serde_json::from_str(stream_error).unwrap_or(Value::Null);
         match error.pointer("/error/ran").and_then(Value::as_str) {
             Some(ran) => ran.to_owned(),
-            None => "whole".to_owned(),
+            None => "complete".to_owned(),
         }
     }
 
-    /// Says whether the error leaves open that an earlier sending under the same key ran.
+    /// Returns whether the error states that an earlier attempt with the same key may have run.
     pub fn earlier_unknown(&self) -> bool {
         self.body.contains("\"earlier_sendings\":\"unknown\"")
     }
@@ -45,7 +45,7 @@
             .to_owned()
     }
 
-    /// Returns the tokens of a stream or whole answer; nothing where the answer is not whole.
+    /// Returns the tokens of a stream or plain response; `None` if the response is incomplete.
     pub fn tokens(&self) -> Option<Vec<String>> {
         if let Some(tokens) = self.json().get("tokens").and_then(Value::as_array) {
             return Some(
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a caller sends.
+/// A request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
     pub method: String,
@@ -82,7 +82,7 @@
 }
 
 impl CallerRequest {
-    /// Creates a request to a pipeline with a good key and deadline.
+    /// Creates a request to a pipeline with a valid key and deadline.
     pub fn to_pipeline(pipeline: &str, input: &Value) -> Self {
         Self::to_path(
             "POST",
@@ -102,7 +102,7 @@
         .with("x-deadline-ms", "4000")
     }
 
-    /// Sets a header; an empty value takes it out.
+    /// Sets a header; an empty value removes it.
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.headers.retain(|(key, _)| key != name);
         if !value.is_empty() {
@@ -111,13 +111,13 @@
         self
     }
 
-    /// Marks the request as one that may run only once, under a key.
+    /// Marks the request as non-repeatable, with a request key.
     pub fn once(self, key: &str) -> Self {
         self.with("x-repeatable", "no").with("x-request-key", key)
     }
 
-    /// Sends the request; nothing where the connection was lost before the answer was whole.
-    pub fn send(&self, host: SocketAddr) -> Option<CallerAnswer> {
+    /// Sends the request; `None` if the connection was lost before the response was complete.
+    pub fn send(&self, host: SocketAddr) -> Option<CallerResponse> {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(Duration::from_secs(30)))
@@ -139,7 +139,7 @@
         let retry_after = header("retry-after");
         let status = response.status().as_u16();
         let body = response.body_mut().read_to_string().ok()?;
-        Some(CallerAnswer {
+        Some(CallerResponse {
             status,
             request,
             retry_after,
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Sends the request and reads the stream line by line until `stop` says so.
+    /// Sends the request and reads the stream line by line until `stop` returns true.
     pub fn stream(&self, host: SocketAddr, mut stop: impl FnMut(&str) -> bool) {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .max_idle_connections(0)
@@ -168,7 +168,7 @@
     }
 }
 
-/// Sends bytes as they are and returns the status line and the last line of what comes back.
+/// Sends raw bytes; returns the status line and the fields of the error in the last line of the response.
 pub fn send_raw(host: SocketAddr, bytes: &[u8]) -> String {
     use std::io::{Read, Write};
     let mut socket = std::net::TcpStream::connect(host).unwrap();
@@ -176,9 +176,9 @@
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
     socket.write_all(bytes).unwrap();
-    let mut answer = Vec::new();
-    let _ = socket.read_to_end(&mut answer);
-    let text = String::from_utf8_lossy(&answer).into_owned();
+    let mut response = Vec::new();
+    let _ = socket.read_to_end(&mut response);
+    let text = String::from_utf8_lossy(&response).into_owned();
     let first = text.lines().next().unwrap_or("closed").to_owned();
     let error: Value =
         serde_json::from_str(text.lines().last().unwrap_or_default()).unwrap_or(Value::Null);
--- a/crates/linnetdale/tests/support/watch.rs
+++ b/crates/linnetdale/tests/support/invariant_monitor.rs
@@ -1,4 +1,4 @@
-//! Watches all hosts while a test runs and notes what must never be seen.
+//! Polls all hosts while a test runs and records violations of invariants.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,28 +9,28 @@
 
 use super::operator::Operator;
 
-/// A thread that asks every host again and again.
-pub struct Watch {
+/// Threads that poll the status of every host.
+pub struct InvariantMonitor {
     stop: Arc<AtomicBool>,
-    faults: Arc<Mutex<Vec<String>>>,
+    violations: Arc<Mutex<Vec<String>>>,
     samples: Arc<Mutex<u64>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Watch {
-    /// Watches that no term has two leases and that no process sees its table version fall.
+impl InvariantMonitor {
+    /// Checks that no term has two lease holders and that no process decreases its table version.
     pub fn start(controls: &[SocketAddr], entries: &[SocketAddr]) -> Self {
-        let mut watch = Self {
+        let mut monitor = Self {
             stop: Arc::default(),
-            faults: Arc::default(),
+            violations: Arc::default(),
             samples: Arc::default(),
             threads: Vec::new(),
         };
         let leases: Arc<Mutex<HashMap<u64, u64>>> = Arc::default();
         for host in controls.iter().copied() {
             let leases = leases.clone();
-            let mut last = ((0, 0), 0);
-            watch.spawn(move |operator, faults| {
+            let mut previous = ((0, 0), 0);
+            monitor.spawn(move |operator, violations| {
                 let Some(status) = operator.control_status(host) else {
                     return false;
                 };
@@ -42,62 +42,62 @@
                         .entry(replica.term)
                         .or_insert(replica.id.0);
                     if holder != replica.id.0 {
-                        faults.push(format!("term {} has two leases", replica.term));
+                        violations.push(format!("term {} has two lease holders", replica.term));
                     }
                 }
-                // A started-again process reads its journal anew, and a wiped disk is another
-                // replica, so versions count per identity and process.
+                // A restarted process reads its journal again, and a wiped disk makes another
+                // replica, so versions are compared per identity and process.
                 let process = (replica.id.0, replica.incarnation);
-                if last.0 == process && status.table_version < last.1 {
-                    faults.push(format!(
+                if previous.0 == process && status.table_version < previous.1 {
+                    violations.push(format!(
                         "{host}: version {} after {}",
-                        status.table_version, last.1
+                        status.table_version, previous.1
                     ));
                 }
-                last = (process, status.table_version);
+                previous = (process, status.table_version);
                 true
             });
         }
         for host in entries.iter().copied() {
-            let mut last = (0, 0);
-            watch.spawn(move |operator, faults| {
+            let mut previous = (0, 0);
+            monitor.spawn(move |operator, violations| {
                 let Some(status) = operator.entry_status(host) else {
                     return false;
                 };
-                // A process that was started again begins without a table, however quickly.
-                if last.0 == status.incarnation && status.table_version < last.1 {
-                    faults.push(format!(
+                // A restarted process starts without a table, so versions are compared per process.
+                if previous.0 == status.incarnation && status.table_version < previous.1 {
+                    violations.push(format!(
                         "{host}: version {} after {}",
-                        status.table_version, last.1
+                        status.table_version, previous.1
                     ));
                 }
-                last = (status.incarnation, status.table_version);
+                previous = (status.incarnation, status.table_version);
                 true
             });
         }
-        watch
+        monitor
     }
 
     fn spawn(
         &mut self,
-        mut look: impl FnMut(&Operator, &mut Vec<String>) -> bool + Send + 'static,
+        mut check: impl FnMut(&Operator, &mut Vec<String>) -> bool + Send + 'static,
     ) {
-        let (stop, faults) = (self.stop.clone(), self.faults.clone());
+        let (stop, violations) = (self.stop.clone(), self.violations.clone());
         let samples = self.samples.clone();
         self.threads.push(std::thread::spawn(move || {
             let operator = Operator::with_timeout(Duration::from_millis(500));
             while !stop.load(Ordering::Relaxed) {
-                let mut found = Vec::new();
-                if look(&operator, &mut found) {
+                let mut new_violations = Vec::new();
+                if check(&operator, &mut new_violations) {
                     *samples.lock().unwrap() += 1;
                 }
-                faults.lock().unwrap().extend(found);
+                violations.lock().unwrap().extend(new_violations);
                 std::thread::sleep(Duration::from_millis(8));
             }
         }));
     }
 
-    /// Stops and fails the test where anything forbidden was seen, or where nothing was seen.
+    /// Stops; fails the test if an invariant was violated or too few samples were taken.
     pub fn finish(mut self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
@@ -105,9 +105,9 @@
         }
         assert!(
             *self.samples.lock().unwrap() > 20,
-            "the watch saw too little"
+            "the invariant monitor took too few samples"
         );
-        let faults = self.faults.lock().unwrap();
-        assert!(faults.is_empty(), "{faults:#?}");
+        let violations = self.violations.lock().unwrap();
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
--- a/crates/linnetdale/tests/support/ledger.rs
+++ b/crates/linnetdale/tests/support/ledger.rs
@@ -1,62 +1,68 @@
-//! Compares what callers were told with what targets really ran.
+//! Compares the responses to callers with the runs recorded by targets.
 
 use linnetdale::fakes::expected_answer;
 use serde_json::{Value, json};
 
-use super::http::{CallerAnswer, CallerRequest};
-use super::world::{STAGES, World};
+use super::http::{CallerRequest, CallerResponse};
+use super::testbed::{STAGES, Testbed};
 
-/// One request of a test with its answer; no answer where the caller lost its connection.
-pub struct Told {
+/// One request of a test with its response; `None` if the caller lost its connection.
+pub struct RequestRecord {
     pub marker: String,
     pub once: bool,
-    pub answer: Option<CallerAnswer>,
+    pub response: Option<CallerResponse>,
 }
 
-/// Returns an input whose marker nobody else uses.
+/// Returns an input with a marker that identifies its runs.
 pub fn marked_input(marker: &str) -> Value {
     json!({ "marker": marker, "tokens": 6 })
 }
 
-/// Returns a request to the tests' pipeline.
+/// Returns a request with a marker to the pipeline of the tests.
 pub fn marked_request(marker: &str) -> CallerRequest {
     CallerRequest::to_pipeline("yard-desk", &marked_input(marker))
 }
 
-/// Returns every difference between what a caller was told and what ran; empty when all is well.
-pub fn differences(world: &World, told: &Told) -> Vec<String> {
+/// Returns all contradictions between a response and the recorded runs.
+pub fn differences(testbed: &Testbed, record: &RequestRecord) -> Vec<String> {
     let mut found = Vec::new();
     let runs: Vec<_> = STAGES[..4]
         .iter()
-        .map(|(_, stage, _)| (*stage, world.runs(&format!("{stage}-"), &told.marker)))
+        .map(|(_, stage, _)| (*stage, testbed.runs(&format!("{stage}-"), &record.marker)))
         .collect();
-    let mut note = |text: String| found.push(format!("{}: {text}; ran {runs:?}", told.marker));
-    if told.once && runs.iter().any(|(_, count)| *count > 1) {
-        note("ran more than once".to_owned());
+    let mut add = |text: String| found.push(format!("{}: {text}; ran {runs:?}", record.marker));
+    if record.once && runs.iter().any(|(_, count)| *count > 1) {
+        add("ran more than once".to_owned());
     }
-    let Some(answer) = &told.answer else {
+    let Some(response) = &record.response else {
         return found;
     };
-    match answer.ran().as_str() {
-        "whole" => {
+    match response.ran().as_str() {
+        "complete" => {
             let stages = ["encode", "retrieve", "rerank"];
-            let wanted = expected_answer(&stages, &marked_input(&told.marker));
-            if answer.tokens().as_ref() != Some(&wanted) {
-                note(format!("not its own whole answer: {answer:?}"));
+            let expected = expected_answer(&stages, &marked_input(&record.marker));
+            if response.tokens().as_ref() != Some(&expected) {
+                add(format!(
+                    "not the complete response of its request: {response:?}"
+                ));
             }
             if runs.iter().any(|(_, count)| *count == 0) {
-                note("an answer without a run".to_owned());
+                add("a complete response without a run of every stage".to_owned());
             }
         }
         "no" => {
-            let own = world.runs_of_request(&answer.request);
+            let own = testbed.runs_of_request(&response.request);
             if own > 0 {
-                note(format!("told that this sending did not run: {answer:?}"));
+                add(format!(
+                    "ran despite a response that states otherwise: {response:?}"
+                ));
             }
-            // Another sending under the key ran: then the answer must leave that open.
+            // Another attempt with the same key ran, so the response must not exclude it.
             let others = runs.iter().any(|(_, count)| *count > own);
-            if others && !answer.earlier_unknown() {
-                note(format!("told that no sending ran: {answer:?}"));
+            if others && !response.earlier_unknown() {
+                add(format!(
+                    "an earlier attempt ran despite a response that excludes it: {response:?}"
+                ));
             }
         }
         _ => {}
--- a/crates/linnetdale/tests/support/mod.rs
+++ b/crates/linnetdale/tests/support/mod.rs
@@ -5,32 +5,32 @@
 pub mod cluster;
 pub mod daemon;
 pub mod http;
+pub mod invariant_monitor;
 pub mod ledger;
 pub mod operator;
 pub mod relay;
-pub mod watch;
-pub mod world;
+pub mod testbed;
 
 use std::time::{Duration, Instant};
 
-/// The longest wait for anything that must come true.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// Time after which [`wait_until`] and [`wait_for`] fail the test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Waits until a condition holds; fails the test, with what was waited for, when it never does.
+/// Polls a condition until it holds; fails the test after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "never came true: {what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(15));
     }
 }
 
-/// Waits until something is there and returns it.
+/// Polls `get` until it returns a value.
 pub fn wait_for<T>(what: &str, mut get: impl FnMut() -> Option<T>) -> T {
     let mut found = None;
     wait_until(what, || {
         found = get();
         found.is_some()
     });
-    found.expect("it was found")
+    found.expect("wait_until returned after a value was found")
 }
--- a/crates/linnetdale/tests/support/operator.rs
+++ b/crates/linnetdale/tests/support/operator.rs
@@ -1,4 +1,4 @@
-//! An operator.
+//! Requests of operators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The operators' key of every test.
+/// Operator key of all tests.
 pub const OPERATOR_KEY: &str = "test-operator";
 
-/// Asks hosts over their operators' ports.
+/// HTTP client for the operators' ports of hosts.
 #[derive(Clone)]
 pub struct Operator {
     agent: ureq::Agent,
@@ -73,7 +73,7 @@
         self.get(host, "/v1/timeline").unwrap_or_default()
     }
 
-    /// Returns the rows of the table with their version, as one host holds them.
+    /// Returns the table of one host, possibly stale, with its version.
     pub fn table(&self, host: SocketAddr) -> Option<(u64, Vec<TableRow>)> {
         let mut response = self
             .agent
@@ -97,7 +97,7 @@
         Some((version, parse_csv(&body).rows))
     }
 
-    /// Returns the version of the table where the host says that it has authority.
+    /// Returns the version of the table if the host can serve an authoritative read.
     pub fn authoritative_version(&self, host: SocketAddr) -> Option<u64> {
         let response = self
             .agent
@@ -118,7 +118,7 @@
         Some(status)
     }
 
-    /// Forms a cluster of blank control hosts.
+    /// Forms a cluster of new control hosts.
     pub fn form(&self, hosts: &[SocketAddr]) {
         let voters: Vec<Member> = hosts
             .iter()
@@ -151,7 +151,7 @@
     }
 }
 
-/// An account row that tells by its name which change put it there.
+/// Returns an account row whose name and key identify the change that adds it.
 pub fn account_row(name: &str, weight: u32) -> TableRow {
     TableRow::Account(AccountRow {
         account: name.to_owned(),
@@ -161,7 +161,7 @@
     })
 }
 
-/// A change that puts one account there.
+/// Returns a change that adds one account.
 pub fn add_account(name: &str, base_version: u64) -> TableChange {
     TableChange {
         change_key: format!("add {name}"),
--- a/crates/linnetdale/tests/support/relay.rs
+++ b/crates/linnetdale/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! Relays between processes, which can be cut in silence, each way apart.
+//! Relays between processes. Links can be cut silently in either direction.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The links that are cut, as pairs of names from sender to receiver.
+/// Links that are cut, as pairs of sender and receiver names.
 #[derive(Clone, Default)]
-pub struct CutRules {
+pub struct LinkRules {
     cuts: Arc<Mutex<HashSet<(String, String)>>>,
 }
 
-impl CutRules {
-    /// Cuts what goes from one process to another; `*` stands for any.
+impl LinkRules {
+    /// Blocks all bytes from one process to another; `*` matches any process.
     pub fn cut(&self, from: &str, to: &str) {
         self.cuts
             .lock()
@@ -38,63 +38,63 @@
             .any(|(a, b)| (a == "*" || a == from) && (b == "*" || b == to))
     }
 
-    async fn wait_open(&self, from: &str, to: &str) {
+    async fn wait_for_link(&self, from: &str, to: &str) {
         while self.is_cut(from, to) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 }
 
-/// Passes every connection on to the process `to`, as long as the link is not cut. Who calls is
-/// read from the first message of the handshake.
-pub async fn run_relay(listener: TcpListener, target: SocketAddr, to: String, rules: CutRules) {
-    while let Ok((near, _)) = listener.accept().await {
+/// Forwards every connection to the process `to` unless the link is cut. The name of the connecting
+/// process is read from the first handshake message.
+pub async fn run_relay(listener: TcpListener, target: SocketAddr, to: String, rules: LinkRules) {
+    while let Ok((client, _)) = listener.accept().await {
         let (to, rules) = (to.clone(), rules.clone());
         tokio::spawn(async move {
-            let _ = relay_connection(near, target, to, rules).await;
+            let _ = relay_connection(client, target, to, rules).await;
         });
     }
 }
 
 async fn relay_connection(
-    mut near: TcpStream,
+    mut client: TcpStream,
     target: SocketAddr,
     to: String,
-    rules: CutRules,
+    rules: LinkRules,
 ) -> std::io::Result<()> {
     let mut length = [0; 2];
-    near.read_exact(&mut length).await?;
+    client.read_exact(&mut length).await?;
     let mut hello = vec![0; u16::from_le_bytes(length) as usize];
-    near.read_exact(&mut hello).await?;
+    client.read_exact(&mut hello).await?;
     let ((_, from), _): ((String, String), _) =
         postcard::take_from_bytes(&hello).map_err(std::io::Error::other)?;
-    rules.wait_open(&from, &to).await;
-    let mut far = TcpStream::connect(target).await?;
-    far.set_nodelay(true)?;
-    near.set_nodelay(true)?;
-    far.write_all(&length).await?;
-    far.write_all(&hello).await?;
-    let (mut near_read, mut near_write) = near.split();
-    let (mut far_read, mut far_write) = far.split();
-    let there = pass_bytes(&mut near_read, &mut far_write, &rules, &from, &to);
-    let back = pass_bytes(&mut far_read, &mut near_write, &rules, &to, &from);
+    rules.wait_for_link(&from, &to).await;
+    let mut server = TcpStream::connect(target).await?;
+    server.set_nodelay(true)?;
+    client.set_nodelay(true)?;
+    server.write_all(&length).await?;
+    server.write_all(&hello).await?;
+    let (mut client_read, mut client_write) = client.split();
+    let (mut server_read, mut server_write) = server.split();
+    let upstream = forward_bytes(&mut client_read, &mut server_write, &rules, &from, &to);
+    let downstream = forward_bytes(&mut server_read, &mut client_write, &rules, &to, &from);
     tokio::select! {
-        result = there => result,
-        result = back => result,
+        result = upstream => result,
+        result = downstream => result,
     }
 }
 
-async fn pass_bytes(
+async fn forward_bytes(
     source: &mut (impl AsyncReadExt + Unpin),
     sink: &mut (impl AsyncWriteExt + Unpin),
-    rules: &CutRules,
+    rules: &LinkRules,
     from: &str,
     to: &str,
 ) -> std::io::Result<()> {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let length = source.read(&mut buffer).await?;
-        rules.wait_open(from, to).await;
+        rules.wait_for_link(from, to).await;
         if length == 0 {
             return Ok(());
         }
--- a/crates/linnetdale/tests/support/world.rs
+++ b/crates/linnetdale/tests/support/testbed.rs
@@ -1,4 +1,4 @@
-//! The targets and the host list of a test, inside the test process, so that it can read ledgers.
+//! The fake targets and host list of a test, in the test process, so that it can read their ledgers.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,23 +8,23 @@
 };
 use tokio::runtime::Handle;
 
-/// One fake target with its place.
-pub struct WorldTarget {
+/// A fake target with its entry in the host list.
+pub struct TestbedTarget {
     pub name: String,
     pub fake: FakeTarget,
     entry: HostEntry,
 }
 
-/// All that linnetdale talks to.
-pub struct World {
-    pub targets: Vec<WorldTarget>,
+/// The targets and the host list that the system uses.
+pub struct Testbed {
+    pub targets: Vec<TestbedTarget>,
     pub host_list: SocketAddr,
     list: FakeHostList,
     ip: IpAddr,
     runtime: Handle,
 }
 
-/// Kinds, stage names and pools of the pipeline that tests use.
+/// Kinds, names and pools of the targets of the tests.
 pub const STAGES: [(TargetKind, &str, &str); 5] = [
     (TargetKind::Stage, "encode", "encoders"),
     (TargetKind::Stage, "retrieve", "retrievers"),
@@ -33,14 +33,14 @@
     (TargetKind::Service, "orders", "orders"),
 ];
 
-impl World {
-    /// Starts `replicas` targets of each stage and one service pool, spread over the halls.
+impl Testbed {
+    /// Starts `replicas` targets of each stage and of one service pool, distributed over the halls.
     pub fn start(ip: IpAddr, halls: &[String], replicas: usize, runtime: &Handle) -> Self {
         let list = FakeHostList::default();
         let address = runtime
             .block_on(list.clone().spawn(SocketAddr::new(ip, 0)))
             .unwrap();
-        let mut world = Self {
+        let mut testbed = Self {
             targets: Vec::new(),
             host_list: address,
             list,
@@ -55,11 +55,11 @@
         for (kind, stage, pool) in STAGES {
             for number in 0..replicas {
                 let hall = &halls[number % halls.len()];
-                world.add(kind, &format!("{stage}-{number}"), pool, hall, behaviour);
+                testbed.add(kind, &format!("{stage}-{number}"), pool, hall, behaviour);
             }
         }
-        world.publish(true);
-        world
+        testbed.publish(true);
+        testbed
     }
 
     pub fn add(
@@ -80,14 +80,14 @@
             hall: hall.to_owned(),
             state: "live".to_owned(),
         };
-        self.targets.push(WorldTarget {
+        self.targets.push(TestbedTarget {
             name: name.to_owned(),
             fake,
             entry,
         });
     }
 
-    /// Publishes the list as it is now.
+    /// Publishes the list of all targets.
     pub fn publish(&self, complete: bool) {
         let hosts = self
             .targets
@@ -113,22 +113,22 @@
         self.publish(true);
     }
 
-    pub fn target(&self, name: &str) -> &WorldTarget {
+    pub fn target(&self, name: &str) -> &TestbedTarget {
         self.targets
             .iter()
             .find(|target| target.name == name)
             .unwrap()
     }
 
-    fn target_mut(&mut self, name: &str) -> &mut WorldTarget {
+    fn target_mut(&mut self, name: &str) -> &mut TestbedTarget {
         self.targets
             .iter_mut()
             .find(|target| target.name == name)
             .unwrap()
     }
 
-    /// Orders a fault at every target whose name begins so.
-    pub fn order_fault(&self, prefix: &str, kind: FaultKind, count: u64) {
+    /// Injects a fault at every target with a name prefix.
+    pub fn inject_faults(&self, prefix: &str, kind: FaultKind, count: u64) {
         for target in self
             .targets
             .iter()
@@ -138,11 +138,11 @@
         }
     }
 
-    pub fn end_faults(&self) {
-        self.order_fault("", FaultKind::Busy, 0);
+    pub fn clear_faults(&self) {
+        self.inject_faults("", FaultKind::Busy, 0);
     }
 
-    /// Returns how often any target ran an attempt of one sending.
+    /// Counts the runs of all attempts of one request id.
     pub fn runs_of_request(&self, request: &str) -> usize {
         let attempts = format!("{request}/");
         let targets = self.targets.iter().flat_map(|target| target.fake.ledger());
@@ -151,7 +151,7 @@
             .count()
     }
 
-    /// Returns how often targets whose name begins so ran a request with this marker.
+    /// Counts the runs of a marker at targets with a name prefix.
     pub fn runs(&self, prefix: &str, marker: &str) -> usize {
         let targets = self
             .targets
--- a/crates/linnetdale/tests/table_flow.rs
+++ b/crates/linnetdale/tests/table_flow.rs
@@ -1,4 +1,4 @@
-//! Operators and the table: races, changes sent again, rebasing, catching up, the command line.
+//! Table changes by operators: races, retries, rebasing, catching up, and the command line.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
@@ -9,9 +9,9 @@
 use linnetdale::control::ChangeReply;
 use linnetdale::table::{ChangeRefusal, RowKey};
 use support::cluster::{Cluster, ClusterPlan, table_csv};
+use support::invariant_monitor::InvariantMonitor;
 use support::operator::{Operator, account_row, add_account};
 use support::wait_until;
-use support::watch::Watch;
 
 fn small() -> ClusterPlan {
     ClusterPlan {
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn four_operators_racing_from_one_version_one_wins_and_the_others_are_told() {
+fn one_of_four_racing_changes_wins_and_the_others_get_conflicts() {
     let cluster = Cluster::start(small());
     let host = cluster.control_ops(cluster.wait_leader());
     for round in 0..10_u64 {
         let base = 1 + round;
         let replies: Vec<ChangeReply> = std::thread::scope(|scope| {
             let racers: Vec<_> = (0..4_u32)
-                .map(|who| {
+                .map(|index| {
                     let mut change = add_account("contended", base);
-                    change.change_key = format!("round {round} by {who}");
+                    change.change_key = format!("round {round} by {index}");
                     change.rebase = false;
-                    change.upserts = vec![account_row("contended", who + 1)];
+                    change.upserts = vec![account_row("contended", index + 1)];
                     scope.spawn(move || Operator::new().change(host, &change).unwrap())
                 })
                 .collect();
@@ -60,18 +60,18 @@
 }
 
 #[test]
-fn a_change_sent_again_is_answered_as_the_first_time_by_any_leader() {
+fn a_repeated_change_gets_the_first_reply_from_any_leader() {
     let mut cluster = Cluster::start(small());
     let change = add_account("once", 1);
     let version = cluster.apply(&change);
     assert_eq!(cluster.apply(&change), version);
-    // The answer was lost and the leader with it; another voter is asked.
+    // The response and the leader are lost; the change is sent again to another voter.
     let leader = cluster.wait_leader();
     cluster.controls[leader].kill();
     assert_eq!(cluster.apply(&change), version);
     let mut other = change.clone();
     other.upserts = vec![account_row("another", 1)];
-    let host = cluster.control_ops(cluster.wait_other_leader(leader));
+    let host = cluster.control_ops(cluster.wait_for_new_leader(leader));
     let reply = cluster.operator.change(host, &other).unwrap();
     assert!(
         matches!(&reply, ChangeReply::Refused { refusal: ChangeRefusal::KeyReused(taken) } if *taken == version),
@@ -81,11 +81,11 @@
 }
 
 #[test]
-fn a_change_whose_leader_is_cut_off_before_the_answer_is_unknown_and_safe_to_send_again() {
+fn a_change_with_an_unknown_outcome_can_be_sent_again() {
     let cluster = Cluster::start(small());
     let leader = cluster.wait_leader();
     let name = format!("control-{leader}");
-    // What the leader sends still arrives, so the change may be committed; no answer comes back.
+    // Messages of the leader still arrive, so the change may be committed, but no reply reaches it.
     cluster.rules.cut("*", &name);
     let change = add_account("open", 1);
     let host = cluster.control_ops(leader);
@@ -103,26 +103,26 @@
 }
 
 #[test]
-fn a_voter_and_an_entry_host_come_back_after_500_changes() {
+fn a_voter_and_an_entry_host_catch_up_after_500_changes() {
     let mut cluster = Cluster::start(small());
     let follower = (cluster.wait_leader() + 1) % 3;
     cluster.controls[follower].kill();
     cluster.entries[0].kill();
     let acknowledged = cluster.add_accounts("many", 0..500);
-    let watch = Watch::start(&cluster.all_control_ops(), &cluster.all_entry_ops());
+    let monitor = InvariantMonitor::start(&cluster.all_control_ops(), &cluster.all_entry_ops());
     cluster.controls[follower].start();
     cluster.entries[0].start();
     cluster.wait_entry_version(0, 501);
     cluster.check_accounts(&acknowledged);
-    watch.finish();
+    monitor.finish();
 }
 
 #[test]
-fn a_voter_far_behind_takes_a_snapshot_and_all_start_again_from_snapshots() {
+fn a_lagging_voter_installs_a_snapshot_and_all_voters_restart_from_snapshots() {
     let mut cluster = Cluster::start(small());
     let follower = (cluster.wait_leader() + 1) % 3;
     cluster.controls[follower].kill();
-    // More entries than a leader keeps beside its snapshot.
+    // More entries than a leader retains after its snapshot.
     let acknowledged = cluster.add_accounts("far", 0..2_100);
     cluster.controls[follower].start();
     wait_until("a snapshot is installed", || {
@@ -184,7 +184,7 @@
         "{text}"
     );
 
-    // Another operator edits version 1: of the same row it clashes, of another it is merged.
+    // Another operator's edit of version 1 conflicts if it concerns the same row; otherwise it is merged.
     let base = cluster.folder.path().join("base.csv");
     std::fs::write(&base, table_csv()).unwrap();
     let base = base.to_str().unwrap();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn an_unknown_outcome_is_said_to_be_unknown_with_the_way_to_find_out() {
+fn an_unknown_outcome_is_reported_with_the_key_for_a_retry() {
     let mut cluster = Cluster::start(small());
     let path = cluster.folder.path().join("table.csv");
     std::fs::write(&path, table_csv().replace("brazos,,,,,10", "brazos,,,,,13")).unwrap();
@@ -237,7 +237,7 @@
     cluster
         .controls
         .iter()
-        .for_each(support::daemon::Daemon::freeze);
+        .for_each(support::daemon::Daemon::suspend);
     let output = cluster.ctl(&args);
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(3), "{error}");
@@ -245,8 +245,8 @@
     cluster
         .controls
         .iter_mut()
-        .for_each(|control| control.thaw());
-    wait_until("the change is taken", || {
+        .for_each(|control| control.resume());
+    wait_until("the change is accepted", || {
         let output = cluster.ctl(&args);
         String::from_utf8_lossy(&output.stdout).contains("version 2")
     });
