--- a/crates/linnetdale/tests/claims.rs
+++ b/crates/linnetdale/tests/claims.rs
@@ -137,7 +137,7 @@
         );
         assert!(again.retry_after.is_some());
         let mut last = again;
-        wait_until("the run is taken as over", || {
+        wait_until("the claim of the lost host has expired", || {
             last = request.send(cluster.callers(2)).unwrap();
             last.code() == "may_have_run"
         });
