--- a/crates/linnetdale/tests/members.rs
+++ b/crates/linnetdale/tests/members.rs
@@ -82,7 +82,7 @@
     let output = cluster.ctl(&["member", "repair", &cluster.control_ops(wiped).to_string()]);
     assert!(output.status.success(), "{output:?}");
     wait_voters(&cluster, 3);
-    // A complete host is lost, so the repaired one must be part of the majority.
+    // A host with all changes is lost, so the repaired one must be part of the majority.
     let leader = cluster.wait_leader();
     let lost = if leader == wiped {
         (wiped + 1) % 3
