--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -30,10 +30,10 @@
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A resumable stream moves to another engine if no event has arrived within its remaining time
-/// divided by `SILENT_STREAM_TIME_DIVISOR`. Without this limit, hung engines kept such requests
-/// until their deadline, even while another engine was free. An engine that is merely slow gets at
-/// least `SLOW_STREAM_TIMEOUT_FACTOR` times the expected prefill time, since another engine would
-/// have to repeat the prefill.
+/// divided by `SILENT_STREAM_TIME_DIVISOR`. Without this limit, such requests stayed at hung
+/// engines until their deadline, even while another engine was free. An engine that is merely slow
+/// gets at least `SLOW_STREAM_TIMEOUT_FACTOR` times the expected prefill time, since another engine
+/// would have to repeat the prefill.
 const SILENT_STREAM_TIME_DIVISOR: u32 = 2;
 const SLOW_STREAM_TIMEOUT_FACTOR: u32 = 3;
 
@@ -101,8 +101,9 @@
     pub(crate) last_event: Option<&'a str>,
 }
 
-/// Sends a request to a target and waits for a complete response or for the first event. `may_retry`
-/// says whether another target may be tried after this one, which shortens the time limit.
+/// Sends a request to a target and waits for a complete response or for the first event.
+/// `may_retry` says whether another target may be tried after this one, which shortens the time
+/// limit.
 pub(crate) async fn send_attempt(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
@@ -304,7 +305,7 @@
     };
     let (service, engine) = (attempt.service, attempt.chosen.id.as_str());
     placement.report_unreachable(service, engine);
-    // Applies if this host is the placer.
+    // This host may be the placer itself, in which case no message is sent.
     let mut targets = gateway.targets.borrow_mut();
     targets.apply_peer_unreachable(service, engine, Instant::now());
 }
--- a/crates/gateway/src/caller_disconnect.rs
+++ b/crates/gateway/src/caller_disconnect.rs
@@ -7,8 +7,8 @@
 use crate::Gateway;
 use crate::caller_request::CallerRequest;
 
-/// Records an event when it is dropped before the request has a response: the HTTP library drops the future of
-/// a request once its caller has closed the connection, which leaves no other trace.
+/// Records an event when it is dropped before the request has a response: the HTTP library drops
+/// the future of a request once its caller has closed the connection, which leaves no other trace.
 pub(crate) struct CallerDisconnectGuard {
     gateway: Rc<Gateway>,
     request: Rc<CallerRequest>,
--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -4,9 +4,9 @@
 //! Meanwhile all hosts together may send it `per_s` requests per second; well above that it fails.
 //!
 //! - The host that decides for a whole service, because it places its prompts or coordinates its
-//!   pieces, counts what it sends: [`SendWindow`]. At most two hosts believe to be that host for
-//!   the same target, one on each side of a network partition or during a handover, so that
-//!   together they send at most twice the rate for a moment.
+//!   pieces, counts what it sends: [`SendWindow`]. At most two hosts act as that host for the same
+//!   target, one on each side of a network partition or during a handover, so that together they
+//!   send at most twice the rate for a moment.
 //! - A host that should query the deciding host and cannot reach it sends nothing to cold targets.
 //! - For plain services no host decides for all. Each host sends at its share of half of the rate,
 //!   [`SendShare`], from a random moment on, so that the sum over all hosts has a mean of half of
@@ -73,7 +73,7 @@
     }
 }
 
-/// When one of many hosts without a deciding host may send to a cold target.
+/// The time from which one of many hosts may send to a cold target if no host decides for all.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SendShare {
     next: Option<Instant>,
--- a/crates/gateway/src/confinement.rs
+++ b/crates/gateway/src/confinement.rs
@@ -18,8 +18,8 @@
 const RANKING_LABEL: &str = "confined accounts";
 
 /// How long a target that is not listed any more is still counted. A target that crashes repeatedly
-/// is not listed for moments. If the share were then chosen from the listed targets alone, it would
-/// move to targets of the other accounts.
+/// is missing from the list for moments. If the share were then chosen from the listed targets
+/// alone, it would move to targets of the other accounts.
 const TARGET_RETENTION: Duration = Duration::from_secs(30);
 
 /// The targets of each service that are listed, or were recently.
--- a/crates/gateway/src/coordinator.rs
+++ b/crates/gateway/src/coordinator.rs
@@ -2,7 +2,7 @@
 //!
 //! One entry host coordinates each service, so it knows which targets are free, how many pieces are
 //! queued and how much memory the results take. If two hosts coordinate the same service, for
-//! example while a data hall is cut off, targets refuse the excess calls and the pieces stay
+//! example while a data hall is unreachable, targets refuse the excess calls and the pieces stay
 //! queued.
 
 mod batch;
--- a/crates/gateway/src/coordinator/delegation.rs
+++ b/crates/gateway/src/coordinator/delegation.rs
@@ -16,7 +16,7 @@
 /// itself again.
 const RESUME_FRACTION: f64 = 0.5;
 
-/// A call that another host sends, with the future of its end.
+/// A call that another host sends, with the future that resolves to its outcome.
 pub(crate) struct DelegatedCall {
     pub(crate) sender: SocketAddr,
     pub(crate) end: LocalBoxFuture<'static, CallOutcome>,
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Returns whether other hosts send calls now.
+    /// Returns whether calls are delegated to other hosts now.
     pub(super) fn is_delegating(&self) -> bool {
         self.delegating
     }
 
-    /// Returns the rate in bytes per second.
+    /// Returns the rate of call bytes per second.
     pub(super) fn bytes_per_s(&self) -> f64 {
         self.bytes_per_s
     }
--- a/crates/gateway/src/coordinator/due_call.rs
+++ b/crates/gateway/src/coordinator/due_call.rs
@@ -26,7 +26,7 @@
     /// Time after which the next call may be sent to the target, if that is before the end of this
     /// one.
     pub(crate) next_call_after: Option<Duration>,
-    /// Whether it only tests if the target is healthy, with a copy of a piece.
+    /// Whether the call only tests if the target is healthy, with a copy of a piece.
     pub(crate) trial: bool,
     pub(super) reserved_bytes: u64,
 }
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -44,12 +44,12 @@
     pub(super) result_bytes: u64,
     pub(crate) work: Rc<StageWork>,
     pub(super) failures: u32,
-    /// Identifies its request when that is sent again.
+    /// Identifies the request across retries.
     pub(crate) request_key: RequestKey,
-    /// Number of targets that crashed while running it.
+    /// Number of targets that crashed while running the piece.
     pub(super) target_crashes: u32,
-    /// Whether it must not share a call with pieces of other requests, since it may have crashed a
-    /// target.
+    /// Whether the piece must not share a call with pieces of other requests, since it may have
+    /// crashed a target.
     pub(super) isolated: bool,
 }
 
@@ -204,8 +204,9 @@
         }
     }
 
-    /// Returns whether a new batch would be done too late for its request. Batches of later stages
-    /// are not refused: the work already done for their request would be wasted.
+    /// Returns whether a new batch would complete too late for its request to meet the objective.
+    /// Batches of later stages are not refused: the work already done for their request would be
+    /// wasted.
     pub(super) fn would_miss_objective(&self, batch: &PieceBatch, now: Instant) -> bool {
         if !batch.first_stage {
             return false;
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Returns whether some target responds in time, so that unhealthy ones need not be relied on.
-    /// A target that is backed off does not count.
+    /// Returns whether a healthy target accepts calls, so that no unhealthy one is needed. A target
+    /// that is backed off does not count.
     pub(super) fn has_healthy_target(&self, now: Instant) -> bool {
         let mut targets = self.targets.values();
         targets
@@ -323,7 +324,7 @@
 
     /// Assigns queued pieces, in order, to free targets. A call is filled before another is
     /// started, so that a target stays free for the next request. A piece with a large result goes
-    /// to its data hall if a target is free there.
+    /// to its preferred data hall if a target is free there.
     fn assign_pieces(&mut self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
         let mut open: BTreeMap<String, DueCall> = BTreeMap::new();
         let mut unassigned = Vec::new();
@@ -397,9 +398,9 @@
         Some(id.clone())
     }
 
-    /// Returns whether a piece with a large result should wait for a target in its data hall:
-    /// targets there are free soon enough, and have room for the `queued_before` pieces that wait
-    /// for it ahead of this one as well.
+    /// Returns whether a piece with a large result should wait for a target in its preferred data
+    /// hall. It should if the targets that are free there soon enough can take this piece in
+    /// addition to the `queued_before` pieces that wait for the hall ahead of it.
     fn should_wait_for_hall(
         &self,
         piece: &QueuedPiece,
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -307,8 +307,9 @@
         uses.filter(|(_, uses)| !uses.is_empty()).collect()
     }
 
-    /// Sets the usage of a pool's targets that another coordinator reported. If the connection to
-    /// that host is lost, this one starts with the known memory usage of the targets.
+    /// Sets the usage of a pool's targets that another coordinator reported. If this host takes
+    /// over from that one after its connection is lost, it starts with the known memory usage of
+    /// the targets.
     pub(crate) fn set_peer_usage(&self, peer: &str, pool: &PoolKey, uses: &[TargetUsage]) {
         let mut state = self.state.borrow_mut();
         if let Some(pool) = state.pool_mut(pool) {
@@ -380,7 +381,8 @@
         let pool = call.pool.clone();
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        // What a target asks of another host that sends calls applies to that host only.
+        // The target's response to a delegated call was sent to the other host, and a back-off in
+        // it applies to that host only.
         if sender.is_none() {
             state.set_standing(&call, self.caller.availability(&call.target), now);
         }
--- a/crates/gateway/src/coordinator/result_memory.rs
+++ b/crates/gateway/src/coordinator/result_memory.rs
@@ -45,8 +45,8 @@
         self.bytes
     }
 
-    /// Records bytes as in use until they are removed or `until` has passed. Replaces what the key
-    /// stood for.
+    /// Records bytes as in use until they are removed or `until` has passed. Replaces the previous
+    /// allocation of the key.
     pub(super) fn insert(&mut self, key: MemoryKey, bytes: u64, until: Instant) {
         self.remove(&key);
         self.bytes += bytes;
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -44,14 +44,14 @@
 const MIN_TIME_RATIO: f64 = 0.7;
 const MAX_TIME_RATIO: f64 = 1.6;
 
-/// The end of a call as far as it concerns the state of its target.
+/// The outcome of a call as far as it concerns the state of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallVerdict {
     /// A response arrived in time.
     InTime,
     /// A response arrived after the call had counted as late.
     Late,
-    /// The target was busy and did not run it.
+    /// The target was busy and did not run the call.
     Busy,
     /// Another target incarnation has the address.
     OtherTarget,
@@ -72,11 +72,11 @@
     pub(super) reserved_bytes: u64,
     pub(super) results: ResultMemory,
     cooldown_until: Option<Instant>,
-    /// Until when it has asked this host to send no requests.
+    /// End of the back-off that the target requested from this host.
     backed_off_until: Option<Instant>,
-    /// Whether it said in a response that it is shutting down.
+    /// Whether the target announced in a response that it is shutting down.
     leaving: bool,
-    /// When its calls are expected to end.
+    /// When the calls of this host at the target are expected to end.
     pub(super) busy_until: Instant,
     /// When the next call may be sent although one is running.
     next_call_at: Option<Instant>,
@@ -84,23 +84,23 @@
     overlapping_duration: Duration,
     /// When the call of another coordinator of the pool is expected to end.
     peer_busy_until: Option<Instant>,
-    /// Number of calls in a row that it refused as busy.
+    /// Number of calls in a row that the target refused as busy.
     busy_streak: u32,
-    /// Whether its last call failed or was late. Until a call gets a response in time it gets only
-    /// copies of pieces that other targets run as well.
+    /// Whether the last call failed or was late. Until the target responds to a call in time, it
+    /// gets only copies of pieces that other targets run as well.
     pub(super) unhealthy: bool,
-    /// Number of calls of other hosts at its last response, and the time of that response.
+    /// Number of calls of other hosts at the target's last response, and the time of that response.
     peer_calls: Option<(u32, Instant)>,
-    /// Ratio of the typical duration of its calls to the expected one.
+    /// Ratio of the typical duration of calls at the target to the expected one.
     time_ratio: f64,
-    /// Whether it is in the list of targets that accept work. A target that is not stays until its
-    /// running calls have ended. It may be listed again meanwhile: restarted control hosts know no
-    /// target until its next heartbeat.
+    /// Whether the target is in the list of targets that accept work. An unlisted target is removed
+    /// once its running calls have ended. It may be listed again meanwhile: restarted control hosts
+    /// know no target until its next heartbeat.
     pub(super) listed: bool,
-    /// Whether another target incarnation has its address, which is permanent.
+    /// Whether another target incarnation has taken over the address. Once set, this stays set.
     replaced: bool,
     cold_until: Option<Instant>,
-    /// Calls that it got recently, to limit them while it is cold.
+    /// Calls that the target got recently, to limit them while it is cold.
     cold_window: SendWindow,
 }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Sets for how much longer it is cold.
+    /// Sets for how much longer the target is cold.
     pub(super) fn set_cold(&mut self, cold_ms: u32, now: Instant) {
         self.cold_until = (cold_ms > 0).then(|| now + Duration::from_millis(u64::from(cold_ms)));
     }
@@ -159,18 +159,18 @@
         is_in_future(self.cooldown_until) || self.is_backed_off(now)
     }
 
-    /// Returns whether it has asked this host to send no requests for a while.
+    /// Returns whether the target has asked this host to send no requests for a while.
     pub(super) fn is_backed_off(&self, now: Instant) -> bool {
         self.backed_off_until.is_some_and(|until| until > now)
     }
 
-    /// Returns for how much longer it wants no requests from this host.
+    /// Returns the rest of the back-off that the target requested from this host.
     pub(super) fn remaining_back_off(&self, now: Instant) -> Duration {
         let until = self.backed_off_until.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 
-    /// Applies what it asked of this host.
+    /// Applies the availability that the target has announced to this host.
     pub(super) fn set_standing(&mut self, standing: TargetAvailability, now: Instant) {
         self.leaving = standing == TargetAvailability::Leaving;
         self.backed_off_until = match standing {
@@ -181,8 +181,8 @@
         };
     }
 
-    /// Returns whether it can get a call now: one of its slots is free, or will be when the call
-    /// arrives.
+    /// Returns whether the target can get a call now: one of its slots is free, or will be when the
+    /// call arrives.
     pub(super) fn is_free(&self, spec: &StagePool, now: Instant) -> bool {
         let peer_busy = self.peer_busy_until.is_some_and(|until| until > now);
         let has_slot = self.running < spec.slots || self.accepts_early_call(spec, now);
@@ -230,7 +230,7 @@
         self.busy_until.checked_sub(lead)
     }
 
-    /// Returns whether it accepts calls at all.
+    /// Returns whether the target accepts calls at all.
     pub(super) fn accepts_calls(&self) -> bool {
         self.listed && !self.replaced && !self.leaving
     }
@@ -240,9 +240,9 @@
         expected.mul_f64(self.time_ratio)
     }
 
-    /// Returns the time after which such a call counts as late, if it is sent now. The running call
-    /// goes first. If other hosts call the target as well, their calls do too, and each takes up to
-    /// `longest`.
+    /// Returns the time after which a call that should take `expected` counts as late, if it is
+    /// sent now. The running call goes first. Recent calls of other hosts at the target go first as
+    /// well, and each takes up to `longest`.
     pub(super) fn late_after(
         &self,
         expected: Duration,
@@ -276,7 +276,7 @@
     }
 
     /// Applies the end of a call that had `reserved_bytes` reserved; returns the cooldown of the
-    /// target. Without a verdict nothing is learned about the target.
+    /// target. Without a verdict, the health and the cooldown of the target stay as they are.
     pub(super) fn end_call(
         &mut self,
         verdict: Option<CallVerdict>,
@@ -346,7 +346,7 @@
         }
     }
 
-    /// Replaces the usage that another host reported before.
+    /// Replaces the usage of the target that another host reported before; `None` only removes it.
     pub(super) fn set_peer_usage(
         &mut self,
         peer: &str,
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -24,15 +24,16 @@
 /// Number of failed calls after which a piece counts as failed.
 const MAX_FAILURES: u32 = 3;
 
-/// Number of targets that may crash while running a piece. What happens to the piece after that is
-/// decided for the whole request, from what all hosts know of it.
+/// Number of targets that may crash while running a piece. After that, the decision is made for the
+/// request as a whole, on the evidence of all hosts.
 const MAX_TARGET_CRASHES: u32 = 2;
 
 /// Identifies expected pieces at a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ExpectationKey(u64);
 
-/// Returns what the end of a call implies for its target, or `None` if it implies nothing.
+/// Returns the verdict on a target that follows from the outcome of a call; `None` if the outcome
+/// says nothing about the target.
 fn verdict_of(end: &CallOutcome, late: bool) -> Option<CallVerdict> {
     match end {
         CallOutcome::Responded(..) if late => Some(CallVerdict::Late),
@@ -84,7 +85,7 @@
 /// What has to be done after a call has ended.
 #[derive(Default)]
 pub(super) struct CallEffects {
-    /// How long its target gets no calls.
+    /// Time for which the target of the call gets no further calls.
     pub(super) cooldown: Option<Duration>,
     /// A target with more memory in use than this host knows of.
     pub(super) full_target: Option<(String, SocketAddr)>,
@@ -306,8 +307,8 @@
     }
 
     /// Queues the pieces of a late call again, for other targets, while the call continues until
-    /// `until`. If no other target responds in time, the pieces are not queued again, since that
-    /// would only lengthen the queue.
+    /// `until`. If there is no healthy target, the pieces are not queued again, since that would
+    /// only lengthen the queue.
     pub(super) fn requeue_late_call(&mut self, call: &DueCall, until: Instant, now: Instant) {
         let Some(pool) = self.pools.get_mut(&call.pool) else {
             return;
@@ -330,7 +331,7 @@
         pool.enqueue(copies);
     }
 
-    /// Applies what the target of a call has asked of this host.
+    /// Applies the availability that the target of a call has announced to this host.
     pub(super) fn set_standing(
         &mut self,
         call: &DueCall,
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -25,19 +25,20 @@
 /// Weight of a new sample of the prefill speed.
 const SPEED_GAIN: f64 = 0.05;
 
-/// Cost of an engine with all slots in use against an empty one, in milliseconds: the prefill time
-/// of a prompt of some thousand tokens. Each request adds its share.
+/// Cost of an engine with all slots in use relative to an idle one, in milliseconds: the prefill
+/// time of a prompt of some thousand tokens. Each request adds its share.
 const FULL_ENGINE_COST_MS: f64 = 100.0;
 
 /// Additional cost of computing a shared part again that another engine has cached, as a factor of
-/// the prefill time and as a maximum. It keeps the engine from other prompts and takes cache memory
-/// from other parts. The maximum makes prompts leave a slow engine or a long queue all the same.
+/// the prefill time and as a maximum. Computing it again delays other prompts at the engine and
+/// takes cache memory from other parts. With the maximum, prompts still move away from a slow
+/// engine or a long queue.
 const RECOMPUTE_FACTOR: f64 = 4.0;
 const MAX_RECOMPUTE_COST_MS: f64 = 250.0;
 
 /// Fraction of the prefill time that counts if no engine is known to have the part cached: the
-/// engine that every host ranks first for the part may have it all the same, since this host may
-/// have started to place prompts only a moment ago.
+/// engine that every host ranks first for the part may have it cached nevertheless, since this host
+/// may have started to place prompts only a moment ago.
 const UNKNOWN_CACHE_FACTOR: f64 = 0.5;
 
 /// Cost of each megabyte of results that crosses data halls, in milliseconds.
@@ -303,7 +304,7 @@
         let pacer = self.pacers.entry(engine.to_owned());
         let pacer = pacer.or_insert_with(|| RatePacer::new(rate, now));
         pacer.set_rate(rate, now);
-        // The rate allows it, or the host that asks knows no other engine.
+        // The rate allows the prompt, or the requesting host knows no other engine.
         let _ = pacer.reserve(now, Duration::MAX);
     }
 
@@ -499,7 +500,7 @@
         }
     }
 
-    /// Forgets what an engine has cached, since it failed or was restarted.
+    /// Removes the record of what an engine has cached, since it failed or was restarted.
     pub(crate) fn forget_engine(&mut self, engine: &str) {
         for holders in self.holders.values_mut() {
             holders.retain(|(id, _)| id != engine);
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -195,12 +195,12 @@
             results = Some(run_stages_with_rerun(gateway, &service, request, trace).await?);
             trace.stages_time = Some(started.elapsed());
         }
-        // The request's status may have changed by its own last run, or at another entry host while
-        // its stages ran.
+        // The status of the request may have changed because of its own last run, or at another
+        // entry host while its stages ran.
         if let Err(refusal) = acquire_run_permit(gateway, request, &mut run_permit).await {
             return Err(adjust_refusal(trace, refusal));
         }
-        // Selects the target only now, since targets may have left while the stages ran.
+        // Selects the target only now, since targets may have been withdrawn while the stages ran.
         let excluded = ExcludedTargets {
             tried: &tried,
             rate_limited: withheld >= MAX_RATE_LIMITED_TRIES,
@@ -227,7 +227,7 @@
                 .as_mut()
                 .into_iter()
                 .for_each(RunPermit::mark_sent);
-            // A target that backed off may still be used after its back-off.
+            // A target that is backed off is not excluded: it may be used again after the back-off.
             if !gateway.notices.is_backed_off(&chosen.id) {
                 tried.push(chosen.id.clone());
             }
@@ -253,8 +253,8 @@
                 return Ok(relay_stream(relay, stream));
             }
             AttemptOutcome::Complete(status, headers, body) => {
-                // A target that fails a share of its requests responds with a server error
-                // without having run them.
+                // A server error does not prove that the request ran to its end: a target that
+                // fails a share of its requests responds so without having run them.
                 if !status.is_server_error() {
                     gateway.record_complete_run(request, &chosen.id);
                 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -278,8 +278,8 @@
         let targets_updated = !update.targets.is_empty();
         let evacuated = update.evacuations.is_some();
         // After this returns, the control host receives the acknowledgement of the update and in
-        // turn tells the target that it gets no more work. A withdrawn target must therefore be out
-        // of the list by then.
+        // turn notifies the target that it gets no more work. A withdrawn target must therefore be
+        // out of the list by then.
         let withdraws_active_target = self.withdraws_active_target(&update);
         let entry_hosts_changed = update.entry_hosts.is_some();
         self.directory
--- a/crates/gateway/src/gateway/target_list.rs
+++ b/crates/gateway/src/gateway/target_list.rs
@@ -103,7 +103,7 @@
         let mut lists = self.target_list_updates.subscribe();
         let all_known =
             async { while !services.iter().all(known) && lists.changed().await.is_ok() {} };
-        // A caller that needs a missing service reports it.
+        // After a timeout, the code that needs a missing service reports its absence.
         let _ = tokio::time::timeout(max_wait, all_known).await;
     }
 }
--- a/crates/gateway/src/graph.rs
+++ b/crates/gateway/src/graph.rs
@@ -54,7 +54,7 @@
         bytes_by_hall(request, &self.stages, &self.final_stages, store)
     }
 
-    /// Returns the result handles of the final stages, which no other stage comes after.
+    /// Returns the result handles of the final stages, on which no other stage depends.
     pub(crate) fn handles(&self) -> Vec<String> {
         let stages = self
             .final_stages
--- a/crates/gateway/src/message_v1.rs
+++ b/crates/gateway/src/message_v1.rs
@@ -14,8 +14,8 @@
 use reply::to_reply_v1;
 use request::to_request_v1;
 
-/// Queues a request in a writer in the peer's message version and returns whether the writer is full. A
-/// request that this version lacks is dropped.
+/// Queues a request in a writer in the peer's message version and returns whether the writer is
+/// full. A request that this version lacks is dropped.
 ///
 /// # Errors
 ///
--- a/crates/gateway/src/message_v1/request.rs
+++ b/crates/gateway/src/message_v1/request.rs
@@ -29,8 +29,8 @@
 
 impl From<PieceBatchV1> for PieceBatch {
     fn from(message: PieceBatchV1) -> Self {
-        // The batch carries no key. One made from the request's id is shared with no other request, so
-        // a crash is not attributed to another one.
+        // The batch carries no key. One made from the request's id is shared with no other request,
+        // so a crash is not attributed to another one.
         let request_key = RequestKey::new("", "", [&message.work.request, ""], &[]);
         Self {
             number: message.number,
--- a/crates/gateway/src/notice_store.rs
+++ b/crates/gateway/src/notice_store.rs
@@ -1,8 +1,8 @@
 //! The restrictions that targets have asked this host to observe, for as long as they apply.
 //!
-//! They are kept by target ID and apart from the list of targets: a target may be missing from the
-//! list for a while, and a host without a connection to a control host has an outdated list, but
-//! knows what targets stated in responses to it. The restrictions are checked when a target is
+//! They are stored by target ID, separately from the list of targets: a target may be missing from
+//! the list for a while, and a host without a connection to a control host has an outdated list,
+//! but knows what targets stated in responses to it. The restrictions are checked when a target is
 //! chosen, and again right before a request is written, since a response that asks for one may
 //! arrive in between.
 
--- a/crates/gateway/src/path_time.rs
+++ b/crates/gateway/src/path_time.rs
@@ -20,8 +20,9 @@
 pub(crate) fn estimate_path_time(gateway: &Gateway, request: &CallerRequest) -> PathTime {
     let table = gateway.route_table();
     let stages = &request.route.stages;
-    // For each stage its end, and the sum of the waits on the longest path to it. The present queue of a
-    // later pool shrinks while the earlier stages run, so their time is deducted from the wait.
+    // For each stage its end, and the sum of the waits on the longest path to it. The present queue
+    // of a later pool shrinks while the earlier stages run, so their time is deducted from the
+    // wait.
     let mut ends: Vec<(f64, f64)> = Vec::with_capacity(stages.len());
     let mut times: Vec<f64> = Vec::with_capacity(stages.len());
     for (number, stage) in stages.iter().enumerate() {
@@ -52,8 +53,8 @@
     }
 }
 
-/// Returns the time from the end of each stage to the first event of the response if nothing has to wait,
-/// in milliseconds.
+/// Returns the time from the end of each stage to the first event of the response if nothing has to
+/// wait, in milliseconds.
 pub(crate) fn time_to_first_event_ms(gateway: &Gateway, request: &CallerRequest) -> Vec<f64> {
     let table = gateway.route_table();
     let stages = &request.route.stages;
@@ -76,7 +77,8 @@
     table?.find_service(service)?.stage_pool.as_ref()
 }
 
-/// Returns the time of a call with the given number of pieces, at most a full batch, in milliseconds.
+/// Returns the time of a call with the given number of pieces, at most a full batch, in
+/// milliseconds.
 fn call_time_ms(pool: Option<&StagePool>, count: u32) -> f64 {
     let pool = pool.filter(|_| count > 0);
     pool.map_or(0.0, |pool| {
--- a/crates/gateway/src/piece.rs
+++ b/crates/gateway/src/piece.rs
@@ -149,7 +149,8 @@
     /// Whether the request is suspected of crashing targets, so that its pieces share no call with
     /// those of other requests.
     pub(crate) isolated: bool,
-    /// What the pieces have in common. Sent once per batch, since the handles of many results are long.
+    /// What the pieces have in common. Sent once per batch, since the handles of many results are
+    /// long.
     pub work: StageWork,
     /// Number of pieces; they are numbered from 0.
     pub piece_count: u32,
--- a/crates/gateway/src/piece_message.rs
+++ b/crates/gateway/src/piece_message.rs
@@ -11,8 +11,8 @@
 use crate::send_permit_issuer::{SendPermitReply, SendPermitRequest};
 use crate::stage_call::{CallOutcome, StageCall, StageRelease};
 
-/// A request from one entry host to another: to the coordinator of a pool, the placer of a service, the
-/// issuer of permits, or a host that sends calls to nearby targets.
+/// A request from one entry host to another: to the coordinator of a pool, the placer of a service,
+/// the issuer of permits, or a host that sends calls to nearby targets.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum PieceRequest {
     /// Runs a batch of pieces.
@@ -32,7 +32,7 @@
         handles: Vec<String>,
         bytes: u64,
     },
-    /// Asks on which engine a prompt would be placed now, without placing it.
+    /// Requests the present choice of an engine for a prompt, without placing the prompt.
     PlanPlacement {
         number: u64,
         request: PlacementRequest,
@@ -54,8 +54,8 @@
     EngineUnreachable { service: String, engine: String },
     /// Reports the sender's records of suspect requests.
     Suspects(Vec<SuspectRecord>),
-    /// Asks for a permit to run a suspect or held request once. `id` is the id of this attempt, for the
-    /// log.
+    /// Requests a permit to run a suspect or held request once. `id` is the id of this attempt, for
+    /// the log.
     AcquireRunPermit {
         number: u64,
         key: RequestKey,
@@ -65,7 +65,7 @@
     ReleaseRunPermit(u64),
     /// A heartbeat.
     Heartbeat,
-    /// Asks for a permit to send to a target with a rate limit.
+    /// Requests a permit to send to a target with a rate limit.
     AcquireSendPermit {
         number: u64,
         request: SendPermitRequest,
@@ -100,8 +100,8 @@
     RunPermit { number: u64, reply: RunPermitReply },
     /// The outcome of a delegated call.
     DelegatedCallEnded { number: u64, outcome: CallOutcome },
-    /// The sender's use of the targets of a pool, sent to the hosts that would become its coordinator if
-    /// the sender were lost.
+    /// The sender's use of the targets of a pool, sent to the hosts that would become its
+    /// coordinator if the sender were lost.
     TargetUsage {
         pool: PoolKey,
         usage: Vec<TargetUsage>,
--- a/crates/gateway/src/piece_message/tests.rs
+++ b/crates/gateway/src/piece_message/tests.rs
@@ -1,5 +1,5 @@
-//! Snapshots of the bytes of each message. Shipped lines never change: a new message version gets lines of its
-//! own.
+//! Snapshots of the bytes of each message. Shipped lines never change: a new message version gets
+//! lines of its own.
 
 use std::net::SocketAddr;
 
--- a/crates/gateway/src/pool_key.rs
+++ b/crates/gateway/src/pool_key.rs
@@ -1,8 +1,8 @@
 //! Partitions of stage pools and of engine pools.
 //!
-//! A single coordinator per pool fills calls best, but its traffic and work grow with the pool. A large
-//! pool is therefore partitioned by data hall, and a large hall again; each partition has a coordinator of
-//! its own.
+//! A single coordinator per pool fills calls best, but its traffic and work grow with the pool. A
+//! large pool is therefore partitioned by data hall, and a large hall again; each partition has a
+//! coordinator of its own.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -51,8 +51,8 @@
             .map(|partition| partition.hall.as_str())
     }
 
-    /// Returns whether a target belongs to the pool. The result follows from the key alone, so a partition
-    /// that was formed when the pool had another size keeps its targets.
+    /// Returns whether a target belongs to the pool. The result follows from the key alone, so a
+    /// partition that was formed when the pool had another size keeps its targets.
     pub(crate) fn contains(&self, record: &TargetRecord) -> bool {
         record.service == self.service && self.contains_target(&record.hall, &record.id)
     }
@@ -77,8 +77,9 @@
 /// Maximum number of engines with a single placer, which examines each of them for every prompt.
 const MAX_PLACER_TARGETS: u32 = 192;
 
-/// Returns the key of the engines among which a prompt is placed: all engines of a service, or a partition of one
-/// hall if there are many. Prompts with the same shared parts map to the same engines, which then have these cached.
+/// Returns the key of the engines among which a prompt is placed: all engines of a service, or a
+/// partition of one hall if there are many. Prompts with the same shared parts map to the same
+/// engines, which then have these cached.
 pub(crate) fn placement_pool_key(
     service: &str,
     halls: &[(String, u32)],
@@ -184,8 +185,8 @@
     partitions.filter(|(_, count)| *count > 0).collect()
 }
 
-/// Counts the targets in each partition of a hall in a single pass: a pass for each partition would take time
-/// quadratic in the size of the pool.
+/// Counts the targets in each partition of a hall in a single pass: a pass for each partition would
+/// take time quadratic in the size of the pool.
 fn partition_sizes(hall: &str, ids: &[&str], partition_count: u16) -> Vec<u32> {
     let mut counts = vec![0; usize::from(partition_count)];
     for id in ids {
--- a/crates/gateway/src/pool_key/tests.rs
+++ b/crates/gateway/src/pool_key/tests.rs
@@ -129,8 +129,8 @@
         .collect()
 }
 
-/// The work of one placer must not grow with the fleet: neither the engines that it examines for a prompt nor its
-/// share of the prompts.
+/// The work of one placer must not grow with the fleet: neither the engines that it examines for a
+/// prompt nor its share of the prompts.
 #[test]
 fn the_engines_and_prompts_of_one_placer_are_bounded_in_large_fleets() {
     for engines in [100, 1_000, 5_715, 20_000] {
--- a/crates/gateway/src/rate_tracker.rs
+++ b/crates/gateway/src/rate_tracker.rs
@@ -53,7 +53,7 @@
     /// Set once the gateway is assembled.
     requester: OnceCell<PermitRequester>,
     permits: SendPermitCache,
-    /// Paces the times at which refused callers of a service are told to retry.
+    /// Paces the retry-after times of the refused callers of each service.
     retry_pacers: RefCell<HashMap<String, RatePacer>>,
     changes: watch::Sender<u64>,
     store: RefCell<RateStore>,
--- a/crates/gateway/src/rate_tracker/acquire.rs
+++ b/crates/gateway/src/rate_tracker/acquire.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns how long no permit to send to a target is available.
+    /// Returns for how long no permit to send to a target is available.
     pub(crate) fn unavailable_for(&self, target: &str, now: BootInstant) -> Duration {
         match self.rate_limit(target) {
             Some(_) => self.permits.unavailable_for(target, now),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -218,8 +218,8 @@
         Ok(Ok(None)) => {
             let EventStream { lease, headers, .. } = *stream;
             lease.release(&headers);
-            // A body without framing ends with its connection, so its end cannot be told from a
-            // crash of the target.
+            // A body without framing ends with its connection, so its end cannot be distinguished
+            // from a crash of the target.
             if has_body_framing(&headers) {
                 relay
                     .gateway
--- a/crates/gateway/src/rollouts.rs
+++ b/crates/gateway/src/rollouts.rs
@@ -19,11 +19,12 @@
 use crate::target::ChosenTarget;
 use crate::version_split::VersionSplit;
 
-/// Times of prompts and of calls are recorded relative to the expected time, in hundredths: engines that started
-/// recently have fewer shared parts cached, and calls differ in their pieces.
+/// Times of prompts and of calls are recorded relative to the expected time, in hundredths: engines
+/// that started recently have fewer shared parts cached, and calls differ in their pieces.
 const EXPECTED_TIME_SCALE: f64 = 100.0;
 
-/// Added to the expected and the measured time of prompts, so that short ones have little weight, in milliseconds.
+/// Added to the expected and the measured time of prompts, so that short ones have little weight,
+/// in milliseconds.
 const PROMPT_BASE_MS: f64 = 120.0;
 
 /// The route name under which calls with pieces are counted.
@@ -42,7 +43,8 @@
 pub(crate) enum ResponseQuality {
     /// The attempt failed.
     Failed,
-    /// The response was good and its time is significant: in milliseconds, or in hundredths of the expected time.
+    /// The response was good and its time is significant: in milliseconds, or in hundredths of the
+    /// expected time.
     Timed(f64),
     /// The response was good; its time is not significant.
     Good,
@@ -112,8 +114,8 @@
         })
     }
 
-    /// Applies the roll-outs that the control hosts announced, and whether any of them is connected. Returns
-    /// whether anything changed.
+    /// Applies the roll-outs that the control hosts announced, and whether any of them is
+    /// connected. Returns whether anything changed.
     pub(crate) fn refresh_rollouts(&self) -> bool {
         let view = self.directory.borrow();
         let (rollouts, is_connected) = (view.rollouts(), view.is_connected());
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Counts a response of a target if a version of its service is being rolled out. The time is ignored while the
-    /// target is cold, since it says nothing about the version then.
+    /// Counts a response of a target if a version of its service is being rolled out. The time is
+    /// ignored while the target is cold, since it says nothing about the version then.
     pub(crate) fn count_response(
         &self,
         service: &str,
--- a/crates/gateway/src/run_permit.rs
+++ b/crates/gateway/src/run_permit.rs
@@ -19,9 +19,9 @@
 /// Interval between two attempts to get a permit.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Longest wait for a permit, absolute and as a fraction of the time that is left to the request. A
-/// crash is decided on after 150 ms, and a run of a non-streaming request takes less than this
-/// wait.
+/// Longest wait for a permit, absolute and as a fraction of the time that is left to the request.
+/// The decision about a crash is made after 150 ms, and a run of a non-streaming request takes less
+/// than this wait.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(1_000);
 const MAX_PERMIT_WAIT_FRACTION: f64 = 0.25;
 
@@ -83,13 +83,14 @@
     }
 }
 
-/// Acquires permission to run a request: at once if nothing is held against it, and after other
-/// runs of the same request if it is a suspect. `permit` holds the permit, if one is needed.
+/// Acquires permission to run a request: at once if there is no evidence against it, and after
+/// other runs of the same request if it is a suspect. `permit` receives the permit, if one is
+/// needed.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::CrashesTargets`] if the request is held, [`RefusalReason::Overloaded`] if it did
-/// not get a permit in time.
+/// [`RefusalReason::CrashesTargets`] if the request is held, [`RefusalReason::Overloaded`] if it
+/// did not get a permit in time.
 pub(crate) async fn acquire_run_permit(
     gateway: &Rc<Gateway>,
     request: &CallerRequest,
--- a/crates/gateway/src/send_permit.rs
+++ b/crates/gateway/src/send_permit.rs
@@ -11,7 +11,7 @@
 /// Window over which requests are counted to predict how many this host is about to send.
 const DEMAND_WINDOW: Duration = Duration::from_millis(20);
 
-/// How long the longest wait that a request accepts is remembered, as an estimate for later
+/// How long the longest wait that a request accepted is retained, as an estimate for later
 /// requests.
 const MAX_WAIT_RETENTION: Duration = Duration::from_secs(1);
 
@@ -97,7 +97,7 @@
         permits.spare.pop()
     }
 
-    /// Returns how many requests are expected to follow one.
+    /// Returns how many further requests to a target are expected to follow the present one.
     pub(crate) fn demand(&self, target: &str) -> u32 {
         let targets = self.targets.borrow();
         targets
@@ -153,8 +153,8 @@
         permits.next_at - now > max_wait
     }
 
-    /// Returns how long no request of this host gets a permit for a target, even after the longest
-    /// accepted wait.
+    /// Returns for how long no request of this host will get a permit for a target, even after the
+    /// longest accepted wait.
     pub(crate) fn unavailable_for(&self, target: &str, now: BootInstant) -> Duration {
         let targets = self.targets.borrow();
         let permits = targets
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -28,8 +28,8 @@
 /// Value of the retry-after header in responses of a host that has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Accepts connections of callers until `stop` becomes true. Open connections then complete their current
-/// request and close, each in its own task.
+/// Accepts connections of callers until `stop` becomes true. Open connections then complete their
+/// current request and close, each in its own task.
 pub async fn serve_callers(
     gateway: Rc<Gateway>,
     listener: TcpListener,
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -1,4 +1,5 @@
-//! The server side of connections between entry hosts: pieces, prompts, permits and delegated calls.
+//! The server side of connections between entry hosts: pieces, prompts, permits and delegated
+//! calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -28,7 +29,8 @@
 use crate::stage_client::IDLE_SILENCE_TIMEOUT;
 use crate::stage_client::SILENCE_TIMEOUT;
 
-/// Serves the requests of another entry host until its connection is lost, and then cancels what it has pending.
+/// Serves the requests of another entry host until its connection is lost, and then cancels what it
+/// has pending.
 ///
 /// # Errors
 ///
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Returns how long the other host may be silent. The timeout is short while it has work here, since the
-    /// work of a lost host takes capacity from others.
+    /// Returns how long the other host may be silent. The timeout is short while it has work here,
+    /// since the work of a lost host takes capacity from others.
     fn silence_timeout(&self) -> Duration {
         if self.is_empty() {
             IDLE_SILENCE_TIMEOUT
@@ -102,8 +104,8 @@
     }
 }
 
-/// Everything that another entry host has begun here, by the numbers that it assigned. All of it is ended when the
-/// session is dropped, that is when the connection is lost.
+/// Everything that another entry host has begun here, by the numbers that it assigned. All of it is
+/// ended when the session is dropped, that is when the connection is lost.
 struct PieceSession {
     gateway: Rc<Gateway>,
     replies: mpsc::UnboundedSender<PieceReply>,
@@ -283,7 +285,8 @@
         let coordinator = &self.gateway.coordinator;
         let expected = self.expectations.values();
         expected.for_each(|key| coordinator.end_expected(*key));
-        // The map is drained before any batch is cancelled, since cancelling runs code that borrows it.
+        // The map is drained before any batch is cancelled, since cancelling runs code that borrows
+        // it.
         let batches: Vec<BatchKey> = self
             .work
             .batches
@@ -295,7 +298,8 @@
     }
 }
 
-/// Sends a delegated call, and the outcome to the coordinator. Stops if the coordinator's connection is lost.
+/// Sends a delegated call, and the outcome to the coordinator. Stops if the coordinator's
+/// connection is lost.
 async fn send_for_peer(
     gateway: Rc<Gateway>,
     number: u64,
@@ -315,8 +319,8 @@
     let _ = replies.send(PieceReply::DelegatedCallEnded { number, outcome });
 }
 
-/// Reports to another host this host's use of the targets of the pools for which the other is a successor as
-/// coordinator.
+/// Reports to another host this host's use of the targets of the pools for which the other is a
+/// successor as coordinator.
 async fn report_usage(gateway: &Gateway, peer: &str, replies: mpsc::UnboundedSender<PieceReply>) {
     let mut reported: Vec<PoolKey> = Vec::new();
     loop {
--- a/crates/gateway/src/serve_pieces/tests/fleet.rs
+++ b/crates/gateway/src/serve_pieces/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! A light-weight fleet around one entry host: other entry hosts that send it pieces and prompts, and stage
-//! targets that respond to its calls. All but the host itself run on a thread of their own.
+//! A light-weight fleet around one entry host: other entry hosts that send it pieces and prompts,
+//! and stage targets that respond to its calls. All but the host itself run on a thread of their
+//! own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -182,7 +183,8 @@
         .is_ok()
 }
 
-/// The messages of a host for one stage of a request: the announcement of pieces, its end, and the batch.
+/// The messages of a host for one stage of a request: the announcement of pieces, its end, and the
+/// batch.
 fn batch_requests(number: u64) -> [PieceRequest; 3] {
     let rank = Rank {
         account_priority: 1,
--- a/crates/gateway/src/serve_pieces/tests/role_cost.rs
+++ b/crates/gateway/src/serve_pieces/tests/role_cost.rs
@@ -23,8 +23,8 @@
 /// Numbers of entry hosts that use the measured one.
 const FLEET_SIZES: [usize; 3] = [75, 295, 1_000];
 
-/// Total requests a second of all hosts: batches for a pool of 22 targets at nine tenths of its capacity, and
-/// the prompts of 500 requests a second, in bursts.
+/// Total requests a second of all hosts: batches for a pool of 22 targets at nine tenths of its
+/// capacity, and the prompts of 500 requests a second, in bursts.
 const BATCHES_PER_S: f64 = 380.0;
 const PROMPTS_PER_S: f64 = 700.0;
 
--- a/crates/gateway/src/service_availability.rs
+++ b/crates/gateway/src/service_availability.rs
@@ -13,8 +13,8 @@
 use crate::{Gateway, Refusal, RefusalReason};
 
 /// Fraction of the time until its objective is missed that a request may wait for a target; the
-/// rest is for its work. A request that would wait longer is refused at once and told when to
-/// retry, while its caller has time to do so.
+/// rest is for its work. A request that would wait longer is refused at once with a retry-after
+/// time, while its caller has time to retry.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 
 /// Maximum number of requests that wait at the same time. Each keeps its body in memory.
@@ -173,8 +173,8 @@
 }
 
 /// Waits until a target that may run a request accepts requests again, if that is soon enough for
-/// the request. A send permit is not awaited here: those that could be had in time were given to
-/// other requests.
+/// the request. A send permit is not awaited here: those that were available in time have been
+/// issued to other requests.
 ///
 /// # Errors
 ///
@@ -227,8 +227,9 @@
     }
 }
 
-/// Returns the refusal of a request for whose service no send permit is available. Refused callers
-/// are told to retry one after the other, paced by the sum of the rates.
+/// Returns the refusal of a request for whose service no send permit is available. The retry-after
+/// times of refused callers are paced by the sum of the rates, so that they retry one after the
+/// other.
 fn rate_refusal(
     gateway: &Gateway,
     service: &str,
--- a/crates/gateway/src/stage_call.rs
+++ b/crates/gateway/src/stage_call.rs
@@ -1,7 +1,7 @@
 //! Calls to stage targets: their form between entry hosts, and the client that sends them.
 //!
-//! The body of a call to a target repeats the inputs for every piece. Between entry hosts the inputs are
-//! sent once for all pieces of a request, which takes a tenth of the bytes.
+//! The body of a call to a target repeats the inputs for every piece. Between entry hosts the
+//! inputs are sent once for all pieces of a request, which takes a tenth of the bytes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,8 +32,8 @@
 /// Approximate size of the punctuation around one input.
 const INPUT_OVERHEAD_BYTES: usize = 3;
 
-/// Timeout for the send permit of a call. Calls are already scheduled by the rate limit of their target, so a
-/// permit is late only by the inaccuracy of timers.
+/// Timeout for the send permit of a call. Calls are already scheduled by the rate limit of their
+/// target, so a permit is late only by the inaccuracy of timers.
 const CALL_PERMIT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Timeout of requests that run no pieces: releases of results and queries of free memory.
@@ -204,8 +204,8 @@
         self.notices.availability(target, BootInstant::now())
     }
 
-    /// Asks a target to drop results that are no longer needed. A release that is lost or withheld is not
-    /// repeated: the results expire anyway, only later.
+    /// Asks a target to drop results that are no longer needed. A release that is lost or withheld
+    /// is not repeated: the results expire anyway, only later.
     pub(crate) async fn send_release(&self, release: &StageRelease) {
         let targets = &self.protocol.targets;
         let body = (targets.encode_stage_free)(&release.handles);
@@ -221,8 +221,8 @@
         let _ = timeout(CONTROL_REQUEST_TIMEOUT, response).await;
     }
 
-    /// Asks a target how much memory it has free for results, in bytes; `None` if it does not respond in
-    /// time.
+    /// Queries how much memory a target has free for results, in bytes; `None` if it does not
+    /// respond in time.
     pub(crate) async fn query_free_bytes(&self, target: &str, address: SocketAddr) -> Option<u64> {
         let targets = &self.protocol.targets;
         let request = Request::get(targets.report_path)
@@ -253,8 +253,8 @@
                     .acquire_permit(target, CALL_PERMIT_TIMEOUT)
                     .await
             }
-            // Control requests take no permit from the rate limit of the target; the gate withholds them
-            // while there is one.
+            // Control requests take no permit from the rate limit of the target; the gate withholds
+            // them while there is one.
             SendKind::Control => Some(SendPermit::UNRESTRICTED),
         };
         let Some(permit) = permit else {
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -1,5 +1,5 @@
-//! Client of the roles that entry hosts have for each other: coordinators of pools, placers of prompts,
-//! issuers of permits and senders of delegated calls.
+//! Client of the roles that entry hosts have for each other: coordinators of pools, placers of
+//! prompts, issuers of permits and senders of delegated calls.
 
 mod guard;
 mod link;
@@ -38,20 +38,22 @@
 use link::run_link;
 use link_state::{Link, LinkState};
 
-/// Heartbeat interval, and silence after which the peer counts as lost, on a connection with pending
-/// requests.
+/// Heartbeat interval, and silence after which the peer counts as lost, on a connection with
+/// pending requests.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(550);
 
-/// The same on a connection without pending requests. A coordinator or placer for 300 hosts has most of
-/// its connections in this state; at the shorter interval their heartbeats are 4,000 messages a second, in
-/// and out. In a fleet of 75 hosts, on three days, the longer interval reduced the mean CPU use of an entry
-/// host from 0.0092, 0.0121 and 0.0107 cores to 0.0086, 0.0110 and 0.0099.
+/// Heartbeat interval and silence timeout on a connection without pending requests. A coordinator
+/// or placer for 300 hosts has most of its connections in this state; at the shorter interval their
+/// heartbeats are 4,000 messages a second, sent and received. In a fleet of 75 hosts, on three
+/// days, the longer interval reduced the mean CPU use of an entry host from 0.0092, 0.0121 and
+/// 0.0107 cores to 0.0086, 0.0110 and 0.0099.
 pub(crate) const IDLE_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 pub(crate) const IDLE_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Time after which an unused connection is closed. By then its heartbeats have cost both ends more than opening
-/// another connection does; without this timeout a host would end up connected to every coordinator and placer.
+/// Time after which an unused connection is closed. By then its heartbeats have cost both ends more
+/// than opening another connection does; without this timeout a host would end up connected to
+/// every coordinator and placer.
 const UNUSED_LINK_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How long requests may wait for a connection to open; after that they go to another host.
@@ -84,10 +86,10 @@
     (same_hall, rendezvous::score(label, name))
 }
 
-/// Returns the hosts that rank before the host `name` as coordinator of a pool, the best first. For a
-/// partition the hosts of its hall come first, since they are the last to lose contact with its targets. A
-/// stopping host coordinates only if there is no other: the others no longer choose it, and two
-/// coordinators of one pool compete for its targets.
+/// Returns the hosts that rank before the host `name` as coordinator of a pool, the best first. For
+/// a partition the hosts of its hall come first, since they are the last to lose contact with its
+/// targets. A stopping host coordinates only if there is no other: the others no longer choose it,
+/// and two coordinators of one pool compete for its targets.
 fn better_coordinators<'a>(
     pool: &PoolKey,
     name: &str,
@@ -140,11 +142,13 @@
     avoided_until: HashMap<PoolKey, Instant>,
     /// Cached results of [`StageClient::successors`] for the known entry hosts.
     successors: HashMap<PoolKey, Rc<[String]>>,
-    /// Cached results of [`StageClient::better_coordinators`]. A request looks up the coordinator of each
-    /// partition of each pool on its path several times. Ranking 300 hosts and finding the unreachable
-    /// halls takes 36 microseconds, and 0.1 from the caches (`measure_coordinator_ranking`, release build).
+    /// Cached results of [`StageClient::better_coordinators`]. A request looks up the coordinator
+    /// of each partition of each pool on its path several times. Ranking 300 hosts and finding the
+    /// unreachable halls takes 36 microseconds, and 0.1 from the caches
+    /// (`measure_coordinator_ranking`, release build).
     better_coordinators: HashMap<PoolKey, Rc<[EntryHostRecord]>>,
-    /// Cached unreachable halls and the time of their computation; `None` if a connection has changed since.
+    /// Cached unreachable halls and the time of their computation; `None` if a connection has
+    /// changed since.
     unreachable_halls: Option<(Rc<BTreeSet<String>>, Instant)>,
     /// Whether a host is known that no control host lists any more.
     keeps_unlisted_hosts: bool,
@@ -199,9 +203,9 @@
         client
     }
 
-    /// Sets the entry hosts that the control hosts list. An unlisted host to which a connection is up is
-    /// kept: otherwise hosts that lost the control hosts and hosts that did not would choose different
-    /// coordinators.
+    /// Sets the entry hosts that the control hosts list. An unlisted host to which a connection is
+    /// up is kept: otherwise hosts that lost the connections to the control hosts and hosts that
+    /// did not would choose different coordinators.
     pub(crate) fn set_entry_hosts(&self, listed_hosts: Vec<EntryHostRecord>) {
         let mut state = self.state.borrow_mut();
         let listed: HashSet<&str> = listed_hosts.iter().map(|host| host.name.as_str()).collect();
@@ -232,7 +236,8 @@
         self.state.borrow_mut().pools = pools;
     }
 
-    /// Replaces the targets that accept work of some services; those of the others have not changed.
+    /// Replaces the targets that accept work of some services; those of the others have not
+    /// changed.
     pub(crate) fn update_targets(&self, store: &TargetStore, services: &BTreeSet<&str>) {
         let mut state = self.state.borrow_mut();
         for service in services {
@@ -242,7 +247,8 @@
         }
     }
 
-    /// Leaves the roles of coordinator and placer to other hosts from now on, since this one is about to stop.
+    /// Ranks this host behind all others as coordinator and placer from now on, since it is about
+    /// to stop.
     pub(crate) fn begin_stop(&self) {
         let mut state = self.state.borrow_mut();
         state.stopping = true;
@@ -264,7 +270,7 @@
     pub(crate) async fn run_batch(&self, mut batch: PieceBatch) -> FinishedBatch {
         let mut last = vec![Err(PieceFault::CoordinatorLost); batch.piece_count as usize];
         for attempt in 1..=MAX_BATCH_ATTEMPTS {
-            // The last attempt does not depend on another coordinator.
+            // The last attempt is made at this host, so that it depends on no other coordinator.
             let coordinator = if attempt == MAX_BATCH_ATTEMPTS {
                 HostLocation::Local
             } else {
@@ -277,7 +283,7 @@
                     self.run_remotely(address, batch.clone()).await
                 }
             };
-            // No results: the connection was lost, and the coordinator cancels the batch.
+            // There are no results: the connection was lost, and the coordinator cancels the batch.
             let Some(results) = results else {
                 continue;
             };
@@ -300,8 +306,8 @@
         }
     }
 
-    /// Releases results at the coordinator that ran their batch, or at the present coordinator of the pool
-    /// if that host was lost.
+    /// Releases results at the coordinator that ran their batch, or at the present coordinator of
+    /// the pool if that host was lost.
     pub(crate) fn release_results(
         &self,
         coordinator: HostLocation,
@@ -330,7 +336,8 @@
         }
     }
 
-    /// Returns the names of the hosts that are next in line as coordinator of a pool if this one were lost.
+    /// Returns the names of the hosts that are next in line as coordinator of a pool if this one
+    /// were lost.
     pub(crate) fn successors(&self, pool: &PoolKey) -> Rc<[String]> {
         let mut state = self.state.borrow_mut();
         if let Some(cached) = state.successors.get(pool) {
@@ -354,9 +361,9 @@
         successors
     }
 
-    /// Returns the coordinator or placer of a pool. All hosts with the same list of entry hosts rank these
-    /// alike, so they choose the same one. A host that cannot be reached is skipped until a connection to
-    /// it has been opened in the background.
+    /// Returns the coordinator or placer of a pool. All hosts with the same list of entry hosts
+    /// rank these alike, so they choose the same one. A host that cannot be reached is skipped
+    /// until a connection to it has been opened in the background.
     fn coordinator_of(&self, pool: &PoolKey) -> HostLocation {
         let unreachable = self.unreachable_halls();
         let candidates = self.better_coordinators(pool);
@@ -382,8 +389,8 @@
         ranked
     }
 
-    /// Returns whether requests may be sent to a host: its connection is up, or has only just begun to open.
-    /// Opens a connection if there is none.
+    /// Returns whether requests may be sent to a host: its connection is up, or has only just begun
+    /// to open. Opens a connection if there is none.
     fn connect_or_check(&self, address: SocketAddr) -> bool {
         let mut state = self.state.borrow_mut();
         let link = state
@@ -467,15 +474,16 @@
         self.set_link_state(address, LinkState::Up);
     }
 
-    /// Returns whether a host supports a message version. Without a connection to it the newest is assumed.
+    /// Returns whether a host supports a message version. Without a connection to it the newest is
+    /// assumed.
     fn supports(&self, address: SocketAddr, version: MessageVersion) -> bool {
         let state = self.state.borrow();
         let link = state.links.get(&address);
         link.is_none_or(|link| link.message_version >= version)
     }
 
-    /// Sets the state of a connection. If it was lost, drops all pending replies, so that their requests
-    /// try another host.
+    /// Sets the state of a connection. If it was lost, drops all pending replies, so that their
+    /// requests try another host.
     fn set_link_state(&self, address: SocketAddr, new_state: LinkState) {
         let dropped = {
             let mut state = self.state.borrow_mut();
@@ -521,8 +529,8 @@
         }
     }
 
-    /// Sends a request on an existing connection, and lets `record` store what waits for the reply.
-    /// Without a connection the request is dropped.
+    /// Sends a request on an existing connection, and lets `record` store the channel that receives
+    /// the reply. Without a connection the request is dropped.
     fn send_to(&self, address: SocketAddr, request: PieceRequest, record: impl FnOnce(&mut Link)) {
         let mut state = self.state.borrow_mut();
         if let Some(link) = state.links.get_mut(&address) {
@@ -537,8 +545,8 @@
         }
     }
 
-    /// Returns the time after which a heartbeat is due if nothing else is sent; `None` if the peer is
-    /// silent although requests are pending.
+    /// Returns the time after which a heartbeat is due if nothing else is sent; `None` if the peer
+    /// is silent although requests are pending.
     fn heartbeat_interval(&self, address: SocketAddr) -> Option<Duration> {
         let state = self.state.borrow();
         let link = state.links.get(&address)?;
@@ -552,7 +560,8 @@
         })
     }
 
-    /// Removes a connection that has not been used for [`UNUSED_LINK_TIMEOUT`]; returns whether it did.
+    /// Removes a connection that has not been used for [`UNUSED_LINK_TIMEOUT`]; returns whether it
+    /// did.
     fn remove_if_unused(&self, address: SocketAddr) -> bool {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
--- a/crates/gateway/src/stage_client/guard.rs
+++ b/crates/gateway/src/stage_client/guard.rs
@@ -1,4 +1,4 @@
-//! Guards that end what a request has begun at a coordinator or placer when they are dropped.
+//! Guards that, when dropped, end what a request has begun at a coordinator or placer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -41,7 +41,8 @@
     Remote(SocketAddr, u64),
 }
 
-/// The placement of a prompt on an engine; it counts towards the load of the engine until this is dropped.
+/// The placement of a prompt on an engine; it counts towards the load of the engine until this is
+/// dropped.
 pub(crate) struct Placement {
     pub(super) client: StageClient,
     pub(super) handle: PlacementHandle,
--- a/crates/gateway/src/stage_client/link.rs
+++ b/crates/gateway/src/stage_client/link.rs
@@ -33,8 +33,8 @@
             return;
         }
         client.set_link_state(address, LinkState::Lost);
-        // Discards queued requests. Their reply channels were dropped just now, so the senders try another
-        // host.
+        // Discards queued requests. Their reply channels were dropped just now, so the senders try
+        // another host.
         while queue.try_recv().is_ok() {}
         sleep(RECONNECT_DELAY).await;
     }
@@ -69,8 +69,8 @@
     }
 }
 
-/// Detects the message version of a host that announced none by its first message. Such a host sends a
-/// heartbeat within 400 ms; until then requests wait or go to another host.
+/// Detects the message version of a host that announced none, by the first message from it. Such a
+/// host sends a heartbeat within 400 ms; until then requests wait or go to another host.
 async fn detect_message_version(
     client: &StageClient,
     address: SocketAddr,
@@ -137,7 +137,8 @@
 ) -> Result<LinkEnd, WireError> {
     let put =
         |writer: &mut PeerWriter, request: &PieceRequest| queue_request(writer, version, request);
-    // The loop, and with it the connection, ends once the peer is silent while requests are pending.
+    // The loop, and with it the connection, ends once the peer is silent while requests are
+    // pending.
     while let Some(interval) = client.heartbeat_interval(address) {
         let request = match timeout(interval, queue.recv()).await {
             Ok(Some(request)) => request,
--- a/crates/gateway/src/stage_client/link_state.rs
+++ b/crates/gateway/src/stage_client/link_state.rs
@@ -16,7 +16,7 @@
 /// The state of a connection to another entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkState {
-    /// The first attempt to open the connection has been running since then.
+    /// The first attempt to open the connection has been running since this time.
     Opening(Instant),
     /// The connection is up.
     Up,
@@ -29,11 +29,13 @@
     pub(super) state: LinkState,
     /// The message version that the peer used last; the newest until it has announced one.
     pub(super) message_version: MessageVersion,
-    /// The time of the last message from the peer, or of the first pending request if that is later.
+    /// The time of the last message from the peer, or of the first pending request if that is
+    /// later.
     pub(super) last_received: Instant,
     /// The time of the last message to the peer other than a heartbeat.
     pub(super) last_used: Instant,
-    /// Number of placements, announcements and run permits at the peer that this host has not ended.
+    /// Number of placements, announcements and run permits at the peer that this host has not
+    /// ended.
     pub(super) remote_holds: u32,
     pub(super) outgoing: mpsc::UnboundedSender<PieceRequest>,
     pub(super) pending_batches: HashMap<u64, oneshot::Sender<PieceResults>>,
@@ -54,8 +56,8 @@
             || !self.pending_send_permits.is_empty()
     }
 
-    /// Sends a request; `record` stores what waits for the reply. An idle peer may be silent for longer, so
-    /// its silence counts from now if this is the first pending request.
+    /// Sends a request; `record` stores the channel that receives the reply. An idle peer may be
+    /// silent for longer, so its silence counts from now if this is the first pending request.
     pub(super) fn send(&mut self, request: PieceRequest, record: impl FnOnce(&mut Self)) {
         let was_idle = !self.has_pending();
         record(self);
@@ -67,7 +69,8 @@
         let _ = self.outgoing.send(request);
     }
 
-    /// Counts what a request begins or ends at the peer; the peer ends all of it when the connection closes.
+    /// Counts what a request begins or ends at the peer; the peer ends all of it when the
+    /// connection closes.
     fn count_remote_holds(&mut self, request: &PieceRequest) {
         match request {
             PieceRequest::PlacePrompt { .. }
@@ -88,9 +91,9 @@
         is_idle && self.remote_holds == 0 && !self.has_pending()
     }
 
-    /// Returns the state by which reachability of the peer's hall is judged. A connection without pending
-    /// requests stays up through a longer silence, but counts as lost here: if all hosts of a hall are
-    /// silent, the hall is unreachable.
+    /// Returns the state by which reachability of the peer's hall is judged. A connection without
+    /// pending requests stays up through a longer silence, but counts as lost here: if all hosts of
+    /// a hall are silent, the hall is unreachable.
     pub(super) fn hall_state_at(&self, now: Instant) -> LinkState {
         let silence = now.saturating_duration_since(self.last_received);
         match self.state {
--- a/crates/gateway/src/stage_client/partitions.rs
+++ b/crates/gateway/src/stage_client/partitions.rs
@@ -10,7 +10,8 @@
 use crate::piece::{PieceBatch, PoolLoad};
 use crate::pool_key::PoolKey;
 
-/// Penalty for partitions outside the preferred hall: how much longer the queue in that hall may be, in milliseconds.
+/// Penalty for partitions outside the preferred hall: how much longer the queue in that hall may
+/// be, in milliseconds.
 const OTHER_HALL_PENALTY_MS: f64 = 150.0;
 
 /// How long a partition is avoided after no piece of a batch could be run there.
@@ -40,9 +41,10 @@
 }
 
 impl StageClient {
-    /// Chooses the partition of a pool for the pieces of one request. Without a preferred hall it takes the
-    /// shorter queue of two partitions drawn at random, so that hosts with the same load reports do not all
-    /// choose the same one. With a preferred hall it chooses that hall unless its queue is much longer.
+    /// Chooses the partition of a pool for the pieces of one request. Without a preferred hall it
+    /// takes the shorter queue of two partitions drawn at random, so that hosts with the same load
+    /// reports do not all choose the same one. With a preferred hall it chooses that hall unless
+    /// its queue is much longer.
     pub(crate) fn choose_partition(
         &self,
         service: &str,
@@ -71,8 +73,8 @@
         best.map_or_else(|| PoolKey::whole(service), |(_, key)| key)
     }
 
-    /// Returns the partitions in the allowed halls that are neither avoided nor in an unreachable hall; if
-    /// there are none, the reachable ones; if there are none either, all.
+    /// Returns the partitions in the allowed halls that are neither avoided nor in an unreachable
+    /// hall; if there are none, the reachable ones; if there are none either, all.
     fn usable_partitions(&self, service: &str, allowed_halls: &AllowedHalls) -> Vec<PoolKey> {
         let state = self.state.borrow();
         let now = Instant::now();
@@ -105,8 +107,8 @@
         ])
     }
 
-    /// Moves a batch of which no piece could be run to another partition of its pool and avoids the former
-    /// one for a while; returns false if there is no other.
+    /// Moves a batch of which no piece could be run to another partition of its pool and avoids the
+    /// former one for a while; returns false if there is no other.
     pub(super) fn move_to_other_partition(&self, batch: &mut PieceBatch) -> bool {
         let until = Instant::now() + PARTITION_COOLDOWN;
         let mut state = self.state.borrow_mut();
@@ -121,7 +123,8 @@
         })
     }
 
-    /// Returns the recent load of the pool of a service; `None` if the load of no partition is known.
+    /// Returns the recent load of the pool of a service; `None` if the load of no partition is
+    /// known.
     pub(crate) fn load_of(&self, service: &str) -> Option<PoolLoad> {
         let partitions = self.state.borrow().pools.partitions_of(service).to_vec();
         let mut sum = PoolLoad::default();
--- a/crates/gateway/src/stage_client/place.rs
+++ b/crates/gateway/src/stage_client/place.rs
@@ -18,7 +18,8 @@
 const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(60);
 
 impl StageClient {
-    /// Returns the placer of a prompt: that of the complete service or of a partition of its engines.
+    /// Returns the placer of a prompt: that of the complete service or of a partition of its
+    /// engines.
     fn placer_of(
         &self,
         targets: &RefCell<TargetStore>,
@@ -35,8 +36,8 @@
         self.coordinator_of(&key)
     }
 
-    /// Places a prompt by way of its placer. If the placer does not reply in time, this host places the
-    /// prompt by its own estimate of the load.
+    /// Places a prompt by way of its placer. If the placer does not reply in time, this host places
+    /// the prompt by its own estimate of the load.
     pub(crate) async fn place_prompt(
         &self,
         targets: &RefCell<TargetStore>,
@@ -91,8 +92,8 @@
         Some((engine, placement))
     }
 
-    /// Asks the placer of a prompt on which engine it would be placed now, without placing it. Falls back to
-    /// this host's own estimate.
+    /// Requests the placer's present choice of an engine for a prompt, without placing the prompt.
+    /// Falls back to this host's own estimate.
     pub(crate) async fn plan_placement(
         &self,
         targets: &RefCell<TargetStore>,
--- a/crates/gateway/src/stage_client/run_permit.rs
+++ b/crates/gateway/src/stage_client/run_permit.rs
@@ -1,4 +1,5 @@
-//! Requests to the host that issues run permits for requests that are suspected of crashing targets.
+//! Requests to the host that issues run permits for requests that are suspected of crashing
+//! targets.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -44,8 +45,8 @@
             .find(is_usable)?
     }
 
-    /// Requests a run permit from another host. Returns the reply and the number that identifies the permit at
-    /// that host; without a reply in time the result is [`RunPermitReply::Busy`].
+    /// Requests a run permit from another host. Returns the reply and the number that identifies
+    /// the permit at that host; without a reply in time the result is [`RunPermitReply::Busy`].
     pub(crate) async fn request_run_permit(
         &self,
         address: SocketAddr,
@@ -98,7 +99,8 @@
         let mut state = self.state.borrow_mut();
         let link = state.links.get_mut(&address);
         if let Some(waiter) = link.and_then(|link| link.pending_run_permits.remove(&number)) {
-            // The receiver is gone if the request ended meanwhile; its guard has released the permit.
+            // The receiver is gone if the request ended meanwhile; its guard has released the
+            // permit.
             let _ = waiter.send(reply);
         }
     }
--- a/crates/gateway/src/stage_client/send_permit.rs
+++ b/crates/gateway/src/stage_client/send_permit.rs
@@ -28,8 +28,9 @@
 }
 
 impl StageClient {
-    /// Returns the host that issues the send permits for a target in a hall. As long as any host of that hall is known
-    /// it is one of these: if the network is partitioned, only one side contains the hall and issues permits.
+    /// Returns the host that issues the send permits for a target in a hall. As long as any host of
+    /// that hall is known it is one of these: if the network is partitioned, only one side contains
+    /// the hall and issues permits.
     pub(crate) fn send_permit_host(&self, target: &str, hall: &str) -> SendPermitHost {
         for address in self.permit_candidates(target, hall) {
             let Some(address) = address else {
@@ -43,7 +44,8 @@
         SendPermitHost::Unreachable
     }
 
-    /// Returns the hosts that may issue permits for a target, the best first; `None` stands for this host.
+    /// Returns the hosts that may issue permits for a target, the best first; `None` stands for
+    /// this host.
     fn permit_candidates(&self, target: &str, hall: &str) -> Vec<Option<SocketAddr>> {
         let state = self.state.borrow();
         let others = state.entry_hosts.iter();
@@ -69,7 +71,8 @@
         ranked.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Returns whether this host knows no other entry host, or reaches at least one. Opens a connection if none is up.
+    /// Returns whether this host knows no other entry host, or reaches at least one. Opens a
+    /// connection if none is up.
     pub(crate) fn reaches_any_host(&self) -> bool {
         let others: Vec<SocketAddr> = {
             let state = self.state.borrow();
@@ -91,7 +94,8 @@
             .any(|address| self.connect_or_check(address))
     }
 
-    /// Requests a send permit from another host. Without a reply in time no permit is issued for now.
+    /// Requests a send permit from another host. Without a reply in time no permit is issued for
+    /// now.
     pub(crate) async fn request_send_permit(
         &self,
         address: SocketAddr,
--- a/crates/gateway/src/stage_client/sender.rs
+++ b/crates/gateway/src/stage_client/sender.rs
@@ -12,8 +12,8 @@
 use crate::rendezvous;
 use crate::stage_call::{CallOutcome, StageCall, StageRelease};
 
-/// Number of candidate senders of a call. Each target has its own first candidate, so one host has the
-/// connection to it; the others are used while the first cannot be reached.
+/// Number of candidate senders of a call. Each target has its own first candidate, so normally one
+/// host has the connection to it; the others are used while the first cannot be reached.
 const MAX_SENDER_CANDIDATES: usize = 3;
 
 /// Removes the reply channel of a delegated call when its outcome is no longer awaited.
@@ -55,9 +55,10 @@
         None
     }
 
-    /// Returns the entry host that sends calls to a target. It is in the hall of the target, so calls cross
-    /// halls in the compact form between entry hosts. `None` if this host sends them: it is the sender
-    /// itself, or no other candidate is up.
+    /// Returns the entry host that sends calls to a target. The sender is in the hall of the
+    /// target, so calls cross halls in the compact form that entry hosts use among each other.
+    /// Returns `None` if this host sends the calls: it is the sender itself, or no other candidate
+    /// is up.
     fn sender_of(&self, target: &str, hall: &str) -> Option<SocketAddr> {
         let mut ranked: Vec<(u64, Option<SocketAddr>)> = {
             let state = self.state.borrow();
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -143,7 +143,8 @@
     assert_eq!(link.hall_state_at(later), LinkState::Lost);
 }
 
-/// Without this a host ends up connected to every coordinator and placer, with heartbeats on each connection.
+/// Without this a host ends up connected to every coordinator and placer, with heartbeats on each
+/// connection.
 #[test]
 fn an_unused_connection_is_closed_after_a_timeout() {
     let mut link = link(LinkState::Up, Instant::now());
--- a/crates/gateway/src/stage_client/unreachable_halls.rs
+++ b/crates/gateway/src/stage_client/unreachable_halls.rs
@@ -7,12 +7,12 @@
 use super::{LinkState, StageClient};
 
 /// Number of lost connections to a hall, with none up, after which the hall counts as unreachable.
-/// Requests then no longer try its other hosts one by one. These are probed in the background, this many at
-/// a time, and the hall is reachable again once a connection is up.
+/// Requests then no longer try its other hosts one by one. These are probed in the background, this
+/// many at a time, and the hall is reachable again once a connection is up.
 const LOST_LINK_THRESHOLD: usize = 2;
 
-/// Lifetime of the cached result while no connection is opened or lost. The computation examines every host,
-/// and each request needs the result several times.
+/// Lifetime of the cached result while no connection is opened or lost. The computation examines
+/// every host, and each request needs the result several times.
 const UNREACHABLE_HALLS_TTL: Duration = Duration::from_millis(50);
 
 /// Number of hosts of one hall, and of connections to them by state.
@@ -29,8 +29,8 @@
     }
 }
 
-/// Returns the unreachable halls, given the hall and connection state of each known host. The own hall is
-/// always reachable.
+/// Returns the unreachable halls, given the hall and connection state of each known host. The own
+/// hall is always reachable.
 fn find_unreachable_halls<'a>(
     own: &str,
     hosts: impl Iterator<Item = (&'a str, Option<LinkState>)>,
@@ -67,8 +67,8 @@
         unreachable
     }
 
-    /// Opens connections to some hosts of each unreachable hall that have none yet: possibly only the hosts
-    /// tried so far are down.
+    /// Opens connections to some hosts of each unreachable hall that have none yet: possibly only
+    /// the hosts tried so far are down.
     pub(crate) fn probe_unreachable_halls(&self) {
         for hall in self.unreachable_halls().iter() {
             let mut state = self.state.borrow_mut();
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -31,8 +31,8 @@
 const REFUSAL_COOLDOWN: Duration = Duration::from_millis(40);
 const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
 
-/// Additional load of a target in another hall, as a fraction of its slots, for a round trip of some
-/// milliseconds and for bytes that cross halls.
+/// Additional load of a target in another hall, as a fraction of its slots, for a round trip of
+/// some milliseconds and for bytes that cross halls.
 const REMOTE_HALL_PENALTY: f64 = 0.25;
 
 /// Additional load of a cold target: it receives work only when the others are full.
@@ -93,7 +93,7 @@
         self.set_cold(record.cold_ms, now);
     }
 
-    /// Sets how much longer the target is cold. Its share is kept until it is warm.
+    /// Sets how much longer the target is cold. Its share is retained until the target is warm.
     fn set_cold(&mut self, cold_ms: u32, now: Instant) {
         self.cold_until = (cold_ms > 0).then(|| now + Duration::from_millis(u64::from(cold_ms)));
         if cold_ms == 0 {
@@ -102,7 +102,7 @@
     }
 
     /// Returns the load of the target for one more request, as a fraction of its slots.
-    /// `other_hall` tells whether it is in another hall than this host.
+    /// `other_hall` says whether the target is in another hall than this host.
     pub(crate) fn load(&self, other_hall: bool, now: Instant) -> f64 {
         let part = |counts: bool, load: f64| if counts { load } else { 0.0 };
         f64::from(self.in_flight) / f64::from(self.slots)
--- a/crates/gateway/src/target_restriction.rs
+++ b/crates/gateway/src/target_restriction.rs
@@ -29,13 +29,13 @@
 /// Whether a target may receive requests of this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TargetAvailability {
-    /// It may.
+    /// The target may receive requests.
     Open,
-    /// Not for this long, since it asked for a back-off.
+    /// The target asked for a back-off, which lasts this much longer.
     BackedOff(Duration),
-    /// Its rate limit leaves no permit for this long.
+    /// The rate limit of the target leaves no send permit for this long.
     RateLimited(Duration),
-    /// It is leaving, and receives no new work.
+    /// The target is leaving, and receives no new work.
     Leaving,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl BackOff {
-    /// Returns how much longer it lasts for requests other than the trial.
+    /// Returns how much longer the back-off lasts for requests other than the trial.
     fn left(&self, now: BootInstant) -> Duration {
         let trial_ends = self.trial_sent.map(|at| at + TRIAL_TIMEOUT);
         self.until.max(trial_ends.unwrap_or_default()) - now
@@ -62,7 +62,7 @@
         self.until <= now
     }
 
-    /// Returns the time since it began.
+    /// Returns the time since the back-off began.
     pub(crate) fn elapsed(&self, now: BootInstant) -> Duration {
         now - self.since
     }
@@ -85,7 +85,7 @@
     pub(crate) leaving: bool,
     /// When the target was last known to be listed as accepting work.
     last_listed: BootInstant,
-    /// When the target last asked for something, in Unix milliseconds.
+    /// When the target last asked for a restriction, in Unix milliseconds.
     last_asked_ms: u64,
     /// If set, the listed incarnation may not be the one that asked, and it is taken for leaving
     /// only until this time.
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Records that the target asks for something now.
+    /// Records that the target asks for a restriction now.
     pub(crate) fn mark_asked(&mut self) {
         self.last_asked_ms = unix_ms();
         self.uncertain_until = None;
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -121,7 +121,7 @@
 }
 
 /// A connection in use. If it is dropped before [`ConnectionLease::release`], the connection is
-/// closed, which tells the target that nobody waits for the response.
+/// closed, by which the target detects that nobody waits for the response.
 pub(crate) struct ConnectionLease {
     pool: UpstreamPool,
     address: SocketAddr,
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Keeps a connection on which nothing was sent for the next request.
+    /// Returns a connection on which nothing was sent to the pool, for the next request.
     fn keep_idle(&self, address: SocketAddr, connection: Connection) {
         let mut state = self.state.borrow_mut();
         state.idle.entry(address).or_default().push(connection);
--- a/crates/gateway/src/version_split.rs
+++ b/crates/gateway/src/version_split.rs
@@ -1,8 +1,10 @@
-//! The split of a service's requests between the version that is being rolled out and the former one.
+//! The split of a service's requests between the version that is being rolled out and the former
+//! one.
 //!
-//! Each host sends the same share of its own requests to the new version, so the total share is right without any
-//! communication between hosts, however unequal their loads are. A host without a connection to a control host would
-//! not learn that the roll-out was reverted, so it sends the version no requests.
+//! Each host sends the same share of its own requests to the new version, so the total share is
+//! right without any communication between hosts, however unequal their loads are. A host without a
+//! connection to a control host would not learn that the roll-out was reverted, so it sends the
+//! version no requests.
 
 use std::collections::HashMap;
 
@@ -20,8 +22,8 @@
 }
 
 impl VersionSplit {
-    /// Returns the split of every service with a roll-out in progress, for a host that is or is not connected
-    /// to a control host.
+    /// Returns the split of every service with a roll-out in progress, for a host that is or is not
+    /// connected to a control host.
     pub(crate) fn all_in_progress(
         rollouts: &RolloutStore,
         is_connected: bool,
@@ -55,14 +57,16 @@
     }
 }
 
-/// Splits the calls of one pool of stage targets by counting them. Drawing a side at each scheduling attempt would not
-/// keep the share: queued pieces would be drawn again and again until they go to whichever side has an idle target.
+/// Splits the calls of one pool of stage targets by counting them. Drawing a side at each
+/// scheduling attempt would not keep the share: queued pieces would be drawn again and again until
+/// they go to whichever side has an idle target.
 #[derive(Debug, Clone)]
 pub(crate) struct CallSplit {
     split: VersionSplit,
     calls: u64,
     tested_calls: u64,
-    /// Random offset of the first call to the version, so that not all hosts send theirs at the same moment.
+    /// Random offset of the first call to the version, so that not all hosts send theirs at the
+    /// same moment.
     phase: f64,
 }
 
@@ -76,7 +80,8 @@
         }
     }
 
-    /// Sets the current split. If it has changed, the counts start anew, since they belong to another share.
+    /// Sets the current split. If it has changed, the counts are reset, since they belong to
+    /// another share.
     pub(crate) fn update(&mut self, split: &VersionSplit) {
         if self.split != *split {
             *self = Self::new(split.clone());
