--- a/crates/gateway/src/cold/tests.rs
+++ b/crates/gateway/src/cold/tests.rs
@@ -2,7 +2,8 @@
 
 const PER_S: f64 = 9.1;
 
-/// Maximum number of requests that the whole fleet may send in a second: 1.5 times the rate and 5.
+/// Maximum number of requests that all hosts together may send in a second: 1.5 times the rate and
+/// 5.
 const MAX_PER_SECOND: usize = 18;
 
 fn rate() -> ColdRate {
@@ -50,7 +51,7 @@
     assert!(max_in_one_second(sent) <= MAX_PER_SECOND);
 }
 
-/// 88 hosts without a deciding host ask to send all the time.
+/// 88 hosts without a deciding host have requests to send all the time.
 #[test]
 fn hosts_that_do_not_know_of_each_other_stay_within_what_is_allowed() {
     const HOSTS: usize = 88;
--- a/crates/gateway/src/confinement/tests.rs
+++ b/crates/gateway/src/confinement/tests.rs
@@ -22,7 +22,7 @@
     assert!(closed_targets(&store_with(1), SERVICE, false).is_empty());
 }
 
-/// A target that crashes repeatedly is not listed for moments.
+/// A target that crashes repeatedly is missing from the list for moments.
 #[test]
 fn the_share_of_confined_accounts_is_stable_while_its_target_is_not_listed() {
     let now = Instant::now();
--- a/crates/gateway/src/coordinator/pool/tests.rs
+++ b/crates/gateway/src/coordinator/pool/tests.rs
@@ -152,10 +152,10 @@
     assert_eq!((uses[0].busy_for_ms, uses[0].expires_in_ms), (182, 4_000));
 }
 
-/// Guards against targets that are lost for good after a restart of the control hosts. These listed
-/// no target for a moment, and targets with a running call just then were marked as leaving and
-/// stayed so when they were listed again: all requests of a pipeline waited until their deadlines,
-/// on every entry host, even after all faults had ended.
+/// Guards against targets that are lost for good after a restart of the control hosts. The
+/// restarted control hosts listed no target for a moment; targets with a running call just then
+/// were marked as leaving, and the mark stayed when they were listed again: all requests of a
+/// pipeline waited until their deadlines, on every entry host, even after all faults had ended.
 #[test]
 fn targets_unlisted_during_a_call_accept_calls_once_listed_again() {
     let (mut pool, now) = (pool(), Instant::now());
--- a/crates/gateway/src/coordinator/state/tests/target_crash.rs
+++ b/crates/gateway/src/coordinator/state/tests/target_crash.rs
@@ -23,7 +23,7 @@
 }
 
 /// All requests with pieces in a call are suspects when its target crashes, though most of them did
-/// not cause the crash. If they were retried together they would crash one target after the other.
+/// not cause the crash. Retried together, they would crash one target after the other.
 #[test]
 fn pieces_of_a_call_whose_target_crashed_are_retried_isolated_by_request() {
     let (mut state, now) = (state(3), Instant::now());
@@ -69,8 +69,8 @@
 }
 
 /// An unhealthy target is tested with a copy of a piece on which no request depends. A copy of a
-/// piece that may crash its target would crash this target too, beside the one that runs the piece
-/// itself.
+/// piece that may crash its target would crash this target too, in addition to the one that runs
+/// the piece itself.
 #[test]
 fn an_unhealthy_target_is_not_tried_with_a_piece_that_may_crash_it() {
     let (mut state, now) = (state(3), Instant::now());
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -87,7 +87,7 @@
     assert_eq!(facts.cached_tokens, 0);
     let (_, chosen, facts) = placer.place(&store, &request("a"), now).unwrap();
     assert_eq!((chosen, facts.cached_tokens), (planned, 0));
-    // The whole prompt is still pending there, and the next prompt finds the part cached.
+    // The complete prompt is still pending there, and the next prompt finds the part cached.
     let (_, facts) = placer.plan(&store, &request("a"), now).unwrap();
     assert_eq!((facts.cached_tokens, facts.queued_tokens), (13_000, 15_000));
 }
--- a/crates/gateway/src/engine/tests/cold_hall.rs
+++ b/crates/gateway/src/engine/tests/cold_hall.rs
@@ -1,4 +1,4 @@
-//! A hall of engines comes back cold during a burst: measures how many prompts each engine gets.
+//! Measures how many prompts each engine gets when a hall of engines returns cold during a burst.
 
 use std::collections::BTreeMap;
 
@@ -44,7 +44,7 @@
 
 /// Places the prompts of two seconds on engines, all with the same shared part or each with its
 /// own. Returns the times of the prompts of each engine, in milliseconds. With `placers` above 1
-/// the placers take turns and know nothing of each other.
+/// the placers alternate and exchange no state.
 fn simulate_burst(
     same_part: bool,
     placers: usize,
--- a/crates/gateway/src/gateway/tests.rs
+++ b/crates/gateway/src/gateway/tests.rs
@@ -130,7 +130,8 @@
 }
 
 /// The control host receives the acknowledgement of the update as soon as `apply_update` returns,
-/// and then tells the target that it gets no more work. The target must be out of the list by then.
+/// and then notifies the target that it gets no more work. The target must be out of the list by
+/// then.
 #[test]
 fn a_draining_target_is_removed_from_the_list_at_once() {
     run(async {
--- a/crates/gateway/src/message_v1/tests.rs
+++ b/crates/gateway/src/message_v1/tests.rs
@@ -21,7 +21,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Requests with the same bytes in both versions leave the version open; no other may be misread.
+/// Requests with the same bytes in both versions do not reveal the version; no other request may be
+/// misread.
 #[test]
 fn a_first_request_reveals_the_message_version_unless_both_versions_have_the_same_bytes() {
     let detect = MessageVersion::detect::<PieceRequest, PieceRequestV1>;
--- a/crates/gateway/src/retry_budget/tests.rs
+++ b/crates/gateway/src/retry_budget/tests.rs
@@ -7,7 +7,7 @@
 };
 
 /// Sends requests evenly over half a minute, with as many retries as the budget allows. Returns the
-/// most retries in a window and the budget of a window.
+/// maximum number of retries in a window and the budget of a window.
 fn retries_in_the_worst_window(hosts: usize, requests_per_s: u64) -> (usize, f64) {
     let start = Instant::now();
     let mut budgets: Vec<_> = (0..hosts).map(|_| RetryBudget::new(RULE)).collect();
--- a/crates/gateway/src/stage_client/tests.rs
+++ b/crates/gateway/src/stage_client/tests.rs
@@ -124,7 +124,7 @@
     assert!(sent_at > long_ago);
     assert!(!link.is_silent(sent_at + SILENCE_TIMEOUT));
     assert!(link.is_silent(sent_at + SILENCE_TIMEOUT + Duration::from_millis(1)));
-    // A second request does not restart the silence.
+    // A second request does not restart the measurement of the silence.
     link.send(PieceRequest::Heartbeat, |link| {
         link.pending_batches.insert(2, oneshot::channel().0);
     });
@@ -143,8 +143,8 @@
     assert_eq!(link.hall_state_at(later), LinkState::Lost);
 }
 
-/// Without this a host ends up connected to every coordinator and placer, with heartbeats on each
-/// connection.
+/// Without this timeout, a host ends up connected to every coordinator and placer, with heartbeats
+/// on each connection.
 #[test]
 fn an_unused_connection_is_closed_after_a_timeout() {
     let mut link = link(LinkState::Up, Instant::now());
--- a/crates/quarantine/src/attribution.rs
+++ b/crates/quarantine/src/attribution.rs
@@ -2,25 +2,25 @@
 //!
 //! Most requests in flight at a crash did not cause it, and an interrupted one is retried at
 //! another target just as the causing one is. A request is therefore found to be the cause only by
-//! crashes that no other request explains: of two requests that were present at the same crashes
-//! neither is, until one of them crashes a target without the other.
+//! crashes that no other request explains: of two requests that were present at the same crashes,
+//! neither is found to be the cause until one of them crashes a target without the other.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{CrashKey, RequestKey, SuspectRecord};
 
-/// Target crashes after which a request is held. One crash is chance for all requests that ran
-/// there, and two may be: an interrupted request is retried at a second target at once, and targets
-/// may crash in numbers.
+/// Target crashes after which a request is held. One crash may be a coincidence for any request
+/// that ran there, and so may two: an interrupted request is retried at a second target at once,
+/// and many targets may crash at the same time.
 pub const HOLD_CRASHES: usize = 3;
 
 /// A request that may be the cause of crashes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate<'a> {
     pub(crate) record: &'a SuspectRecord,
-    /// Whether all hosts have had time to report its crashes. Until then it only keeps other
-    /// requests from being found to be the cause.
+    /// Whether all hosts have had time to report its crashes. Until then the candidate only
+    /// prevents other requests from being found to be the cause.
     pub(crate) decided: bool,
 }
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -28,13 +28,13 @@
 pub enum RequestStatus {
     /// The request runs without restriction.
     Clear,
-    /// At least two targets crashed while it ran there, and it has not completed since. It runs
-    /// once at a time in the fleet, apart from other requests.
+    /// At least two targets crashed while the request ran there, and it has not completed since. It
+    /// runs once at a time in the fleet, apart from other requests.
     Suspect,
-    /// It may become held, but other hosts may not have reported yet what else ran at the targets.
-    /// It waits for the decision, which follows shortly.
+    /// The request may become held, but other hosts may not have reported yet what else ran at the
+    /// targets. It waits for the decision, which follows shortly.
     Undecided,
-    /// It is found to crash the targets that run it, and is refused.
+    /// The request was found to crash the targets that run it, and is refused.
     Held {
         /// Whether it may run once as a trial, to find out whether it still crashes targets.
         trial_due: bool,
--- a/crates/quarantine/src/line.rs
+++ b/crates/quarantine/src/line.rs
@@ -11,7 +11,7 @@
 /// A suspect request as shown to operators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeldLine {
-    /// Request key; releases the request.
+    /// Request key, by which an operator releases the request.
     pub key: String,
     /// Client account that sent it.
     pub account: String,
@@ -19,11 +19,11 @@
     pub method: String,
     /// Host and path of the request.
     pub path: String,
-    /// Whether it is refused; otherwise it is only a suspect.
+    /// Whether the request is refused; otherwise it is only a suspect.
     pub held: bool,
-    /// Number of targets that crashed while it ran there.
+    /// Number of targets that crashed while the request ran there.
     pub ends: usize,
-    /// Number of trials since it is held.
+    /// Number of trials since the request became held.
     pub trials: u32,
     /// Time since the last crash, trial or refusal, in milliseconds.
     pub age_ms: u64,
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -6,14 +6,14 @@
 
 use crate::{CrashKey, HOLD_CRASHES, RequestKey};
 
-/// Longest path that is kept of a request, in bytes.
+/// Maximum length of the path that is stored for a request, in bytes.
 const MAX_PATH_BYTES: usize = 256;
 
-/// Number of crashes from which on a request is of interest to every host.
+/// Minimum number of crashes that makes a request of interest to every host.
 const SHARED_CRASHES: usize = 2;
 
-/// Most crashes that are kept of one request. Decisions need far fewer, and a record stays below a
-/// kilobyte.
+/// Maximum number of crashes that are stored for one request. Decisions need far fewer, and a
+/// record stays below a kilobyte.
 const MAX_CRASHES: usize = 32;
 
 /// Description of a request for operators.
@@ -71,8 +71,8 @@
 
 /// The evidence against one request.
 ///
-/// Records of two hosts merge into the same one in any order: the later round wins, and within a
-/// round the crashes are united and the greater counts are kept.
+/// Records of two hosts merge into the same one in any order: the later round takes precedence, and
+/// within a round the union of the crashes and the greater counts apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
     /// The request.
@@ -82,9 +82,10 @@
     pub round: u32,
     /// Crashes of targets while the request ran there.
     pub crashes: BTreeSet<CrashKey>,
-    /// Whether the request was found to be the cause. Does not change back within a round.
+    /// Whether the request was found to be the cause of crashes. Does not change back within a
+    /// round.
     pub held: bool,
-    /// Number of trials since the request is held.
+    /// Number of trials since the request became held.
     pub trials: u32,
     /// Whether two crashes were recorded at any time, so that the request is of interest to every
     /// host. Most requests with a single crash did not cause it, and only hosts that look for a
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -10,12 +10,14 @@
 use crate::attribution::{Candidate, HOLD_CRASHES, attribute_crashes, unattributed};
 use crate::{CrashKey, RequestKey, RequestStatus, RequestSubject, SuspectRecord};
 
-/// Target crashes after which a request runs once at a time. After one crash it is no more likely
-/// the cause than others that ran there, and isolation would serialize popular requests.
+/// Target crashes after which a request runs once at a time. After one crash, the request is no
+/// more likely to be the cause than others that ran there, and isolation would serialize popular
+/// requests.
 const ISOLATE_CRASHES: usize = 2;
 
-/// Delay from the last crash or trial to the first, second and later trials. The first one releases
-/// an unrelated request held during a series of crashes; the cause crashes one target at each.
+/// Delay from the last crash or trial to the first, second and later trials. The first trial
+/// releases an unrelated request that was held during a series of crashes; a request that is the
+/// cause crashes one target at each trial.
 const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(20),
@@ -29,11 +31,11 @@
 
 /// The requests of an account are confined to a share of the targets once this many of them were
 /// held within [`CONFINE_WINDOW`]. Each request crashes three targets before it is held, so an
-/// account that keeps sending new ones would crash three for each.
+/// account that keeps sending new ones would crash three targets for each.
 const CONFINE_HELD_REQUESTS: usize = 5;
 const CONFINE_WINDOW: Duration = Duration::from_secs(60);
 
-/// Interval at which refusals of a request are published, so that hosts keep its record.
+/// Interval at which refusals of a request are published, so that hosts retain its record.
 const REFUSAL_PUBLISH_INTERVAL: Duration = Duration::from_secs(60);
 
 struct Suspect {
@@ -247,8 +249,9 @@
         suspect.is_some_and(|one| one.record.shared)
     }
 
-    /// Returns the changed records of interest to every host. With all, a host in a fleet of 300
-    /// would get 9,000 of unrelated requests, 2 MB, when a seventh of 3,000 targets crash at once.
+    /// Returns the changed records of interest to every host. If all records were sent, a host in a
+    /// fleet of 300 would receive 9,000 of unrelated requests, 2 MB, when a seventh of 3,000
+    /// targets crash at once.
     pub fn shared_after(&self, after: u64, limit: usize, now: Instant) -> SuspectChanges {
         self.filtered_after(after, limit, now, |record| record.shared)
     }
--- a/crates/quarantine/src/store/retention.rs
+++ b/crates/quarantine/src/store/retention.rs
@@ -6,15 +6,16 @@
 use super::{Suspect, SuspectStore};
 use crate::{RequestKey, RequestSubject, SuspectRecord};
 
-/// Most requests that are kept. Beyond that, records of the account with the most records are
-/// evicted first, so that one account that keeps sending new requests does not displace those of
-/// others. A record takes about 400 bytes.
+/// Maximum number of requests with a record. Beyond that, records of the account with the most
+/// records are evicted first, so that one account that keeps sending new requests does not displace
+/// those of others. A record takes about 400 bytes.
 pub const MAX_SUSPECTS: usize = 4_096;
 
-/// Records that are evicted at once, so that the search for the weakest evidence is rare.
+/// Number of records that are evicted at a time, so that the search for the weakest evidence is
+/// rare.
 const EVICTION_BATCH: usize = 128;
 
-/// How long a record is kept: after the last crash if the request is not held, after the last
+/// How long a record is retained: after the last crash if the request is not held, after the last
 /// refusal if it is. A held request that returns later crashes a few more targets once.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(3_600);
 const HELD_RETENTION: Duration = Duration::from_secs(24 * 3_600);
--- a/crates/quarantine/src/store/tests.rs
+++ b/crates/quarantine/src/store/tests.rs
@@ -78,7 +78,7 @@
     record_crashes(&mut store, &cause, &[1, 2, 3], now);
     assert_eq!(decided(&mut store, &cause, now), REFUSED);
     assert_eq!(store.status(bystander.key, now), RequestStatus::Clear);
-    // Also when it is interrupted once more.
+    // The bystander also stays clear when it is interrupted once more.
     record_crashes(&mut store, &bystander, &[4], now);
     record_crashes(&mut store, &cause, &[4], now);
     assert_eq!(store.status(bystander.key, now), RequestStatus::Clear);
@@ -115,7 +115,7 @@
     assert!(!store.merge(&before, now), "an older round");
     assert_eq!(store.status(popular.key, now), RequestStatus::Clear);
     assert!(store.records(now).is_empty());
-    // The acquittal reaches a host that has held the request since.
+    // The cleared record reaches a host that has held the request since.
     let mut other = SuspectStore::new();
     record_crashes(&mut other, &popular, &[1, 2, 3], now);
     assert_eq!(decided(&mut other, &popular, now), REFUSED);
--- a/crates/rate/src/observation.rs
+++ b/crates/rate/src/observation.rs
@@ -15,9 +15,10 @@
     pub target: String,
     /// The limit that the response carried; `None` if it carried none.
     pub rate_limit: Option<RateLimit>,
-    /// Age of the answered request when the observation was sent on, in milliseconds.
+    /// Age of the answered request when the observation was sent to another process, in
+    /// milliseconds.
     pub sent_age_ms: u64,
-    /// Age of the response when the observation was sent on, in milliseconds.
+    /// Age of the response when the observation was sent to another process, in milliseconds.
     pub received_age_ms: u64,
 }
 
--- a/crates/rate/src/pacer.rs
+++ b/crates/rate/src/pacer.rs
@@ -66,8 +66,8 @@
         Ok(wait)
     }
 
-    /// Reserves further requests at once; returns how many: at most `max_count`, and at most as
-    /// many as the limit allows in a time span.
+    /// Reserves further requests at once and returns their number: at most `max_count`, and at most
+    /// as many as the limit allows in a time span.
     pub fn reserve_batch(&mut self, max_count: u32, span: Duration) -> u32 {
         let interval = interval(self.rate);
         let per_span = span.as_secs_f64() / interval.as_secs_f64().max(f64::MIN_POSITIVE);
--- a/crates/rate/src/store.rs
+++ b/crates/rate/src/store.rs
@@ -8,8 +8,8 @@
 use crate::observation::TimedObservation;
 use crate::{RateLimit, RateObservation};
 
-/// How long a limit applies after the last response that carried it. A target that receives no
-/// requests sends no responses.
+/// How long a limit applies after the last response that carried it. It is retained that long since
+/// a target that receives no requests sends no responses.
 const LIMIT_RETENTION: Duration = Duration::from_secs(600);
 
 /// How long the absence of a limit is remembered, so that an older observation does not restore it.
@@ -105,7 +105,7 @@
         self.entries.get(target)?.observation.rate_limit
     }
 
-    /// Returns the targets that have a limit, with it.
+    /// Returns the targets that have a limit, each with its limit.
     pub fn limits(&self) -> impl Iterator<Item = (&str, RateLimit)> {
         let entries = self.entries.iter();
         entries.filter_map(|(target, entry)| Some((target.as_str(), entry.observation.rate_limit?)))
@@ -301,7 +301,7 @@
         Some(self.entries.get(target)?.observation.received_at)
     }
 
-    /// Removes expired entries; returns the targets whose limit expired, with it.
+    /// Removes expired entries; returns the targets whose limit expired, each with that limit.
     pub fn expire(&mut self, now: BootInstant) -> Vec<(String, RateLimit)> {
         let mut ended = Vec::new();
         let by_revision = &mut self.by_revision;
--- a/crates/rollout/src/count.rs
+++ b/crates/rollout/src/count.rs
@@ -1,10 +1,10 @@
-//! Counts of the responses of both versions. All counts only grow, so a later report of a host replaces an
-//! earlier one.
+//! Counts of the responses of both versions. All counts only grow, so a later report of a host
+//! replaces an earlier one.
 
 use serde::{Deserialize, Serialize};
 
-/// Number of histogram buckets. The first ends at 1 ms, each later one at 1.41 times the end of the one before;
-/// the last, whose nominal end is 46 s, also holds everything longer.
+/// Number of histogram buckets. The first ends at 1 ms, each later one at 1.41 times the end of the
+/// one before; the last, whose nominal end is 46 s, also holds everything longer.
 const BUCKET_COUNT: usize = 32;
 
 /// The side of a roll-out that a target's version is on.
@@ -48,7 +48,8 @@
             .sum()
     }
 
-    /// Returns the first bucket such that at most the given fraction of the times lies in it and later ones.
+    /// Returns the first bucket such that at most the given fraction of the times lies in it and
+    /// later ones.
     pub fn tail_bucket(&self, fraction: f64) -> usize {
         let limit = self.total() as f64 * fraction;
         let is_rare = |bucket: &usize| self.count_from(*bucket) as f64 <= limit;
@@ -126,8 +127,9 @@
     pub phases: Vec<PhaseCounts>,
 }
 
-/// The counts of one entry host for a service during one phase, in which the share of the tested version is
-/// constant. Versions are compared only within a phase, since the load differs between phases.
+/// The counts of one entry host for a service during one phase, in which the share of the tested
+/// version is constant. Versions are compared only within a phase, since the load differs between
+/// phases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PhaseCounts {
     /// The service.
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -12,14 +12,14 @@
 /// The counts of one incarnation of an entry host.
 #[derive(Debug, Clone, Default)]
 struct Reporter {
-    /// Store revision of the last change received from the host itself; 0 if all counts came from other control
-    /// hosts.
+    /// Store revision of the last change received from the host itself; 0 if all counts came from
+    /// other control hosts.
     changed_at: u64,
     phases: BTreeMap<(String, Phase), PhaseCounts>,
 }
 
-/// Counts by entry host incarnation, so that a host that reports to several control hosts, or reconnects, is
-/// counted once.
+/// Counts by entry host incarnation, so that a host that reports to several control hosts, or
+/// reconnects, is counted once.
 #[derive(Debug, Default)]
 pub struct EvidenceStore {
     revision: u64,
@@ -33,7 +33,7 @@
     pub phases: BTreeMap<(u64, u64), BTreeMap<String, RouteCounts>>,
     /// Requests in flight at targets of other versions.
     pub former_in_flight: u32,
-    /// Entry hosts that counted in an earlier phase and have not yet reported the newest one.
+    /// Entry hosts that reported counts for an earlier phase and none yet for the newest one.
     pub lagging_hosts: usize,
 }
 
@@ -56,16 +56,16 @@
         }
     }
 
-    /// Merges counts that another control host received. They are not forwarded, since that host sends them to
-    /// all others itself.
+    /// Merges counts that another control host received. They are not forwarded, since that host
+    /// sends them to all others itself.
     pub fn merge_forwarded(&mut self, reported: &[ReporterCounts]) {
         for one in reported {
             self.merge(&one.reporter, &one.phases);
         }
     }
 
-    /// Returns the counts that entry hosts reported directly to this control host after a revision, and the
-    /// current revision.
+    /// Returns the counts that entry hosts reported directly to this control host after a revision,
+    /// and the current revision.
     pub fn changed_after(&self, revision: u64) -> (Vec<ReporterCounts>, u64) {
         let changed = self
             .reporters
@@ -143,8 +143,8 @@
     }
 }
 
-/// Returns whether counts are newer than others of the same host and phase. If no response was counted in
-/// between, only the requests in flight may differ.
+/// Returns whether counts are newer than others of the same host and phase. If no response was
+/// counted in between, only the requests in flight may differ.
 fn is_newer(counts: &PhaseCounts, before: &PhaseCounts) -> bool {
     let (new, old) = (responses_of(counts), responses_of(before));
     new > old || (new == old && counts != before)
--- a/crates/rollout/src/evidence/tests.rs
+++ b/crates/rollout/src/evidence/tests.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// A host reports to every control host that it is connected to, and these forward the counts to each other.
+/// A host reports to every control host that it is connected to, and these forward the counts to
+/// each other.
 #[test]
 fn a_host_is_counted_once_for_any_reporting_path_and_order() {
     let mut store = EvidenceStore::default();
@@ -49,7 +50,8 @@
     assert_eq!(totals.former_in_flight, 3);
 }
 
-/// Each control host forwards only what entry hosts reported to it, so that counts do not circulate.
+/// Each control host forwards only what entry hosts reported to it, so that counts do not
+/// circulate.
 #[test]
 fn counts_from_another_control_host_are_not_forwarded() {
     let mut first = EvidenceStore::default();
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,12 @@
-//! Roll-outs: shifting the requests of a service step by step to targets of another version of its software,
-//! and back if that version is bad.
+//! Roll-outs: shifting the requests of a service step by step to targets of another version of its
+//! software, and back if that version is bad.
 //!
-//! - [`RolloutOrder`] is the operator's order; [`RolloutStore`] holds the state of each order, as a state
-//!   machine driven by the replicated log.
-//! - [`ResponseTracker`] counts the responses of both versions on an entry host; [`EvidenceStore`] adds up the
-//!   counts of all entry hosts on a control host.
-//! - [`RolloutVerdict`] rates how strongly the counts speak against the version; [`next_step`] decides by the
-//!   verdict, the elapsed time and the targets that are up.
+//! - [`RolloutOrder`] is the operator's order; [`RolloutStore`] holds the state of each order, as a
+//!   state machine driven by the replicated log.
+//! - [`ResponseTracker`] counts the responses of both versions on an entry host; [`EvidenceStore`]
+//!   adds up the counts of all entry hosts on a control host.
+//! - [`RolloutVerdict`] rates how strongly the counts speak against the version; [`next_step`]
+//!   decides by the verdict, the elapsed time and the targets that are up.
 //!
 //! This crate opens no connections and reads no clock.
 
--- a/crates/rollout/src/line.rs
+++ b/crates/rollout/src/line.rs
@@ -24,12 +24,12 @@
     pub cause: String,
     /// The share of requests that the version receives, in thousandths.
     pub permille: u16,
-    /// When it was ordered, in Unix milliseconds.
+    /// When the roll-out was ordered, in Unix milliseconds.
     pub started_ms: u64,
-    /// The duration that it was given, in milliseconds.
+    /// The ordered duration, in milliseconds.
     pub duration_ms: u64,
-    /// Responses of the version, including failures. This count and the ones below are 0 once the roll-out has
-    /// ended.
+    /// Responses of the version, including failures. This count and the ones below are 0 once the
+    /// roll-out has ended.
     pub answers: u64,
     /// Failures among these.
     pub failures: u64,
@@ -37,7 +37,8 @@
     pub former_answers: u64,
     /// Failures among these.
     pub former_failures: u64,
-    /// How strongly the counts speak against the version, as a natural logarithm; it is reverted at 6.91.
+    /// How strongly the counts speak against the version, as a natural logarithm; the version is
+    /// reverted at 6.91.
     pub against: f64,
 }
 
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,4 +1,5 @@
-//! The operator's order: move all requests of a service to targets of one version within a given time.
+//! The operator's order: move all requests of a service to targets of one version within a given
+//! time.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,8 +1,9 @@
 //! The schedule of the share of requests that a version receives.
 //!
-//! A fault may appear late, so most of the time is spent at a share that harms few requests. The remaining
-//! exposure is used near the end, at shares that reveal faults under load. All requests move when a sixth of
-//! the time is left, so that requests in flight at former targets can finish before these stop.
+//! A fault may appear late, so most of the time is spent at a share that harms few requests. The
+//! rest of the allowed exposure is used near the end, at shares that reveal faults under load. All
+//! requests move when a sixth of the time is left, so that requests in flight at former targets can
+//! finish before these stop.
 
 use std::time::Duration;
 
@@ -26,16 +27,16 @@
     }
 }
 
-/// The phases of a roll-out: the fraction of its time at which each begins, and its share as a multiple of the
-/// total allowed exposure. The shares integrate to 0.6 of that exposure over time; the rest is a reserve for
-/// the delay until a late fault is detected.
+/// The phases of a roll-out: the fraction of its time at which each begins, and its share as a
+/// multiple of the total allowed exposure. The shares integrate to 0.6 of that exposure over time;
+/// the rest is a reserve for the delay until a late fault is detected.
 const PHASES: [(f64, f64); 3] = [(0.0, 0.35), (0.7, 2.0), (0.78, 4.0)];
 
 /// Fraction of the time at which all requests move.
 const FULL_SHARE_FROM: f64 = 0.83;
 
-/// Fractions of the time from which a roll-out may complete, and at which it completes regardless of requests
-/// in flight.
+/// Fractions of the time from which a roll-out may complete, and at which it completes regardless
+/// of requests in flight.
 const COMPLETE_FROM: f64 = 0.88;
 const COMPLETE_AT: f64 = 0.95;
 
@@ -48,8 +49,8 @@
 /// Minimum factor by which a share is raised; smaller increases are skipped.
 const MIN_SHARE_INCREASE: f64 = 1.25;
 
-/// Logarithm of the mean gain of the tests at which a version is reverted: one good version in 1,000 reaches
-/// it.
+/// Logarithm of the mean gain of the tests at which a version is reverted: one good version in
+/// 1,000 reaches it.
 const REVERT_THRESHOLD: f64 = 6.91;
 
 /// Logarithm of the mean gain from which the share is not raised further.
@@ -84,7 +85,7 @@
 pub enum RolloutStep {
     /// Change nothing for now.
     NoChange,
-    /// Give the version this share, in thousandths.
+    /// Set the share of the version, in thousandths.
     SetShare(u16, RolloutCause),
     /// End the roll-out with all requests at the version.
     Complete(RolloutCause),
@@ -158,7 +159,8 @@
     (permille.round() as u16).clamp(1, FULL_PERMILLE - 1)
 }
 
-/// Returns the allowed exposure as a share of all requests. With few requests, the slack dominates it.
+/// Returns the allowed exposure as a share of all requests. With few requests, the slack dominates
+/// it.
 fn allowed_exposure(progress: &RolloutProgress<'_>, time: f64) -> f64 {
     let limit = progress.exposure_limit;
     if time < SLACK_FROM {
--- a/crates/rollout/src/plan/tests.rs
+++ b/crates/rollout/src/plan/tests.rs
@@ -1,5 +1,5 @@
-//! Simulates complete roll-outs without a network: requests on several routes, versions with faults, and the
-//! outcomes.
+//! Simulates complete roll-outs without a network: requests on several routes, versions with
+//! faults, and the outcomes.
 
 use fastrand::Rng;
 
@@ -111,7 +111,7 @@
             };
             let fails_by_fault = rng.f64() < errors;
             let fails = fails_by_fault || rng.f64() < service.errors;
-            // Most take 20 to 60 ms; a tenth takes up to three times as long.
+            // Most responses take 20 to 60 ms; a tenth takes up to three times as long.
             let tail = if rng.u8(0..10) == 0 { 3.0 } else { 1.0 };
             let time_ms = (20.0 + 40.0 * rng.f64()) * tail * slowdown;
             tested += u64::from(to_tested);
@@ -136,7 +136,7 @@
             _ => next_step(&progress),
         };
         let step = match (rule, step) {
-            // The other rule alone decides on a revert.
+            // The rule under comparison alone decides on a revert.
             (Some(is_bad), RolloutStep::Revert(_)) if !is_bad(&totals) => match time {
                 0.95.. => RolloutStep::Complete(RolloutCause::Time),
                 _ => RolloutStep::NoChange,
@@ -172,8 +172,8 @@
     store.apply(&command);
 }
 
-/// The alternative to the verdict that was considered: the lower bound of the tested version's failure share is
-/// above the upper bound of the others', after at least thirty responses.
+/// The alternative to the verdict that was considered: the lower bound of the tested version's
+/// failure share is above the upper bound of the others', after at least thirty responses.
 fn bounds_are_disjoint(totals: &RolloutTotals) -> bool {
     let bound = |bad: u64, all: u64, sign: f64| {
         let (n, z) = (all as f64, 3.0);
@@ -190,7 +190,8 @@
     (0..seeds).filter(|seed| holds(*seed)).count() as f64 / seeds as f64
 }
 
-/// One false revert in a thousand is allowed, and response times of a service are compared only with its own.
+/// One false revert in a thousand is allowed, and response times of a service are compared only
+/// with its own.
 #[test]
 fn a_good_version_receives_all_requests_in_time_for_every_load() {
     for (per_s, errors) in [(113.0, 0.005), (260.0, 0.0), (40.0, 0.05), (400.0, 0.14)] {
@@ -301,8 +302,8 @@
     }
 }
 
-/// Targets of former versions stop once the roll-out completes, so the version must have enough targets by
-/// then.
+/// Targets of former versions stop once the roll-out completes, so the version must have enough
+/// targets by then.
 #[test]
 fn a_version_with_too_few_targets_gets_a_small_share_and_is_reverted_at_the_end() {
     let totals = RolloutTotals::default();
@@ -340,8 +341,8 @@
     assert_eq!(step(3, 1, 0.96), complete);
 }
 
-/// Prints the table of docs/design/ROLLOUTS.md: `cargo test --release -p linnet-rollout -- --ignored
-/// --nocapture compare_decision_rules`.
+/// Prints the table of docs/design/ROLLOUTS.md: `cargo test --release -p linnet-rollout --
+/// --ignored --nocapture compare_decision_rules`.
 #[test]
 #[ignore = "prints a table"]
 fn compare_decision_rules_by_fault() {
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -26,7 +26,7 @@
     /// Enough responses were counted, and they speak for the version.
     #[display("evidence")]
     Evidence,
-    /// The elapsed time; there were too few responses to judge by.
+    /// The elapsed time, since there were too few responses to judge by.
     #[display("time")]
     Time,
     /// Responses of the version fail more often than those of others on this route.
@@ -65,7 +65,8 @@
     pub version: String,
     /// The versions of the service's targets when the order was received, without the ordered one.
     pub former: Vec<String>,
-    /// When the order was received, in Unix milliseconds by the clock of the control host that accepted it.
+    /// When the order was received, in Unix milliseconds by the clock of the control host that
+    /// accepted it.
     pub started_ms: u64,
     /// Time within which all requests must have moved, in milliseconds.
     pub duration_ms: u64,
@@ -83,8 +84,9 @@
         self.state == RolloutState::InProgress
     }
 
-    /// Returns how targets of a version are treated. Targets without a version, or with a third one, count as
-    /// former ones while the roll-out is in progress; a version that appears later is not affected by it.
+    /// Returns how targets of a version are treated. Targets without a version, or with a third
+    /// one, count as former ones while the roll-out is in progress; a version that appears later is
+    /// not affected by it.
     pub fn version_status(&self, version: &str) -> VersionStatus {
         let is_tested = version == self.version;
         match self.state {
--- a/crates/rollout/src/response_tracker.rs
+++ b/crates/rollout/src/response_tracker.rs
@@ -4,8 +4,8 @@
 
 use crate::{PhaseCounts, RolloutStore, RouteCounts, VersionSide, VersionStatus};
 
-/// Maximum number of routes counted separately for one service; responses of further routes are counted
-/// together.
+/// Maximum number of routes counted separately for one service; responses of further routes are
+/// counted together.
 const MAX_ROUTES: usize = 64;
 
 /// The name under which further routes are counted.
@@ -28,8 +28,9 @@
         });
     }
 
-    /// Records a response of a target, with its time in milliseconds if it is meaningful for the target; `None`
-    /// is a failure. Nothing is recorded if no roll-out of the service is in progress.
+    /// Records a response of a target, with its time in milliseconds if it is meaningful for the
+    /// target; `None` is a failure. Nothing is recorded if no roll-out of the service is in
+    /// progress.
     pub fn record_response(
         &mut self,
         store: &RolloutStore,
@@ -52,8 +53,8 @@
         counts.side_mut(side).record(response);
     }
 
-    /// Returns the counts. `former_in_flight` returns the number of requests in flight at targets of a service
-    /// whose version is not the tested one.
+    /// Returns the counts. `former_in_flight` returns the number of requests in flight at targets
+    /// of a service whose version is not the tested one.
     pub fn counts(
         &self,
         store: &RolloutStore,
--- a/crates/rollout/src/store.rs
+++ b/crates/rollout/src/store.rs
@@ -9,8 +9,8 @@
 /// Roll-out records that are retained for each service.
 const MAX_RECORDS_PER_SERVICE: usize = 8;
 
-/// Time after the planned end of a roll-out during which the same order counts as a repeat of it: the
-/// acknowledgement of the first order may have been lost.
+/// Time after the planned end of a roll-out during which the same order counts as a repeat of it:
+/// the acknowledgement of the first order may have been lost.
 const REPEAT_WINDOW_MS: u64 = 10_000;
 
 /// The share of a version that receives all requests, in thousandths.
@@ -37,8 +37,8 @@
     SetShare {
         /// The service.
         service: String,
-        /// The expected [`RolloutRecord::revision`] and [`RolloutRecord::step`]; the command is ignored if they
-        /// differ.
+        /// The expected [`RolloutRecord::revision`] and [`RolloutRecord::step`]; the command is
+        /// ignored if they differ.
         expected: (u64, u64),
         /// The share, in thousandths.
         permille: u16,
@@ -172,8 +172,8 @@
         RolloutOutcome::Newest(Some(record))
     }
 
-    /// Merges the records of another process and returns whether anything changed. Of two differing histories
-    /// of a service, the one with the later newest record replaces the other.
+    /// Merges the records of another process and returns whether anything changed. Of two differing
+    /// histories of a service, the one with the later newest record replaces the other.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
         for (service, records) in &other.services {
@@ -210,8 +210,8 @@
     record.step += 1;
 }
 
-/// Returns whether an order repeats one that is in progress or done. A version that was reverted may be ordered
-/// again later, once its targets have been fixed.
+/// Returns whether an order repeats one that is in progress or done. A version that was reverted
+/// may be ordered again later, once its targets have been fixed.
 fn is_repeat(record: &RolloutRecord, order: &RolloutOrder, now_ms: u64) -> bool {
     if record.version != order.version {
         return false;
--- a/crates/rollout/src/store/tests.rs
+++ b/crates/rollout/src/store/tests.rs
@@ -40,8 +40,8 @@
     assert_eq!(newest(&store).version, "v2");
 }
 
-/// Guards against a second roll-out after the acknowledgement of an order is lost and the version is reverted
-/// before the order is repeated.
+/// Guards against a second roll-out after the acknowledgement of an order is lost and the version
+/// is reverted before the order is repeated.
 #[test]
 fn a_repeat_shortly_after_the_end_starts_nothing_and_a_later_order_does() {
     let mut store = RolloutStore::default();
--- a/crates/rollout/src/verdict.rs
+++ b/crates/rollout/src/verdict.rs
@@ -1,10 +1,11 @@
 //! Tests how strongly the counts speak against a version.
 //!
-//! For each route, and for all routes together, two hypotheses are tested: that more responses fail than those
-//! of the former versions, and that more of them are slow relative to those. Each test bets against the tested
-//! version at several bet sizes and averages the gains (a test martingale). If the version is no worse, the
-//! probability that this mean ever reaches w is at most 1/w, however often it is checked. So the counts can be
-//! evaluated with each report, without a minimum number of responses.
+//! For each route, and for all routes together, two hypotheses are tested: that its responses fail
+//! more often than those of the former versions, and that they are slow more often. Each test bets
+//! against the tested version at several bet sizes and averages the gains (a test martingale). If
+//! the version is no worse, the probability that this mean ever reaches w is at most 1/w, however
+//! often it is checked. So the counts can be evaluated with each report, without a minimum number
+//! of responses.
 
 use std::collections::BTreeMap;
 
@@ -13,11 +14,12 @@
 /// Bet sizes; each one tests against a failure share that is higher by about that amount.
 const BET_SIZES: [f64; 4] = [0.03, 0.1, 0.3, 0.7];
 
-/// Shares of the slowest responses of former versions that define slow; one test for each.
+/// Shares of the responses of former versions, taken from the slowest, that define which times are
+/// slow; there is one test for each share.
 const TAIL_SHARES: [f64; 3] = [0.5, 0.2, 0.05];
 
-/// Number of buckets by which times of the tested version may be longer; one bucket is a factor of 1.41. Its
-/// targets may have started recently, with little cached.
+/// Number of buckets by which times of the tested version may be longer; one bucket is a factor of
+/// 1.41. The targets of that version may have started recently, with little cached.
 const BUCKET_SLACK: usize = 1;
 
 /// Minimum number of responses of former versions to compare against.
@@ -26,7 +28,8 @@
 /// Failure share that is assumed if there are no counts of former versions.
 const DEFAULT_BAD_SHARE: f64 = 0.2;
 
-/// Minimum failure share that is assumed of former versions: lower shares cannot be distinguished from zero.
+/// Minimum failure share that is assumed of former versions: lower shares cannot be distinguished
+/// from zero.
 const MIN_BAD_SHARE: f64 = 0.005;
 
 /// Number of standard deviations of the confidence bound on a counted share.
@@ -49,7 +52,8 @@
 struct LogGains([f64; BET_SIZES.len()]);
 
 impl LogGains {
-    /// Returns the gains for `bad` of `all` responses if the share `expected` of them is expected to be bad.
+    /// Returns the gains for `bad` of `all` responses if the share `expected` of them is expected
+    /// to be bad.
     fn new(bad: u64, all: u64, expected: f64) -> Self {
         let good = all.saturating_sub(bad);
         Self(BET_SIZES.map(|size| {
@@ -60,8 +64,8 @@
     }
 }
 
-/// Returns the logarithm of the mean gain over the bet sizes and over the phases in which betting may start: a
-/// version may turn bad after many good responses.
+/// Returns the logarithm of the mean gain over the bet sizes and over the phases in which betting
+/// may start: a version may turn bad after many good responses.
 fn log_mean_gain(phases: impl DoubleEndedIterator<Item = LogGains>) -> f64 {
     let mut sums = [0.0; BET_SIZES.len()];
     let mut logs = vec![0.0];
@@ -143,8 +147,8 @@
     routes
 }
 
-/// Returns the share of bad responses to expect of a version that is no worse: that of the former versions over
-/// all phases, unless they were clearly worse in this phase.
+/// Returns the share of bad responses to expect of a version that is no worse: that of the former
+/// versions over all phases, unless they were clearly worse in this phase.
 fn expected_share((bad, all): (u64, u64), (total_bad, total): (u64, u64)) -> f64 {
     let overall = upper_share(total_bad, total);
     let is_worse =
