--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -354,7 +354,8 @@
     ConnectionLease,
 );
 
-/// Waits for the first complete event. A response that ends before it counts as complete.
+/// Waits for the first complete event. A response that ends before any event counts as a complete
+/// one.
 async fn await_first_event(
     gateway: &Gateway,
     request: &CallerRequest,
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -99,7 +99,7 @@
         let in_pool = records.into_iter().filter(|record| key.contains(record));
         let wanted: BTreeMap<&str, &TargetRecord> =
             in_pool.map(|record| (record.id.as_str(), record)).collect();
-        // A removed target keeps its results until its running calls have ended.
+        // A target that is no longer listed stays, with its results, until its calls have ended.
         self.targets
             .retain(|id, target| wanted.contains_key(id.as_str()) || target.running > 0);
         for (id, target) in &mut self.targets {
@@ -124,7 +124,8 @@
         unlisted: impl Iterator<Item = &'a TargetRecord>,
     ) {
         for record in unlisted {
-            // A removed target keeps its results until its running calls have ended.
+            // A target that is no longer listed stays, with its results, until its calls have
+            // ended.
             match self.targets.get_mut(&record.id) {
                 Some(target) if target.running > 0 => target.listed = false,
                 _ => {
@@ -349,7 +350,7 @@
                 }
             }
         }
-        // No target has room for any of the remaining pieces.
+        // No target has an open slot for the remaining pieces.
         unassigned.extend(rest);
         self.queue = unassigned;
         open.into_values().collect()
--- a/crates/gateway/src/coordinator/stage_target.rs
+++ b/crates/gateway/src/coordinator/stage_target.rs
@@ -72,7 +72,8 @@
     pub(super) reserved_bytes: u64,
     pub(super) results: ResultMemory,
     cooldown_until: Option<Instant>,
-    /// End of the back-off that the target requested from this host.
+    /// When the target accepts requests of this host again, after a back-off or because of its rate
+    /// limit.
     backed_off_until: Option<Instant>,
     /// Whether the target announced in a response that it is shutting down.
     leaving: bool,
@@ -159,18 +160,19 @@
         is_in_future(self.cooldown_until) || self.is_backed_off(now)
     }
 
-    /// Returns whether the target has asked this host to send no requests for a while.
+    /// Returns whether the target accepts no requests of this host now, because of a back-off or
+    /// its rate limit.
     pub(super) fn is_backed_off(&self, now: Instant) -> bool {
         self.backed_off_until.is_some_and(|until| until > now)
     }
 
-    /// Returns the rest of the back-off that the target requested from this host.
+    /// Returns the time until the target accepts requests of this host again.
     pub(super) fn remaining_back_off(&self, now: Instant) -> Duration {
         let until = self.backed_off_until.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 
-    /// Applies the availability that the target has announced to this host.
+    /// Applies the availability of the target for requests of this host.
     pub(super) fn set_standing(&mut self, standing: TargetAvailability, now: Instant) {
         self.leaving = standing == TargetAvailability::Leaving;
         self.backed_off_until = match standing {
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -331,7 +331,7 @@
         pool.enqueue(copies);
     }
 
-    /// Applies the availability that the target of a call has announced to this host.
+    /// Applies the availability of the target of a call for requests of this host.
     pub(super) fn set_standing(
         &mut self,
         call: &DueCall,
--- a/crates/gateway/src/target/store.rs
+++ b/crates/gateway/src/target/store.rs
@@ -326,7 +326,8 @@
         }
     }
 
-    /// Records a usable response, which ends the ejections and refusals in a row.
+    /// Records a usable response, which resets the counts of consecutive failures, ejections and
+    /// refusals.
     pub(crate) fn record_success(&mut self, service: &str, id: &str) {
         if let Some(target) = self.find_mut(service, id) {
             target.failures = 0;
@@ -335,7 +336,8 @@
         }
     }
 
-    /// Records that a target refused a request. Any other response ends the consecutive refusals.
+    /// Records that a target refused a request. A usable response resets the count of consecutive
+    /// refusals.
     pub(crate) fn record_refusal(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id) {
             target.record_refusal(now);
@@ -366,7 +368,7 @@
         targets.filter(move |target| target.is_avoided(now))
     }
 
-    /// Records a failure; returns whether the target is ejected now.
+    /// Records a failure; returns whether the target is ejected because of it.
     pub(crate) fn record_failure(&mut self, service: &str, id: &str, now: Instant) -> bool {
         let all = self.of_service(service).count();
         let ejected = self
--- a/crates/gateway/src/target_restriction.rs
+++ b/crates/gateway/src/target_restriction.rs
@@ -155,8 +155,8 @@
         self.leaving &= recent && certain;
     }
 
-    /// Removes and returns the back-off if it has elapsed and no request has tried the target
-    /// since.
+    /// Removes and returns the back-off if it elapsed more than [`UNTRIED_RETENTION`] ago and no
+    /// trial request awaits a response.
     pub(crate) fn take_untried(&mut self, now: BootInstant) -> Option<BackOff> {
         let is_old =
             |one: &mut BackOff| one.left(now).is_zero() && now - one.until > UNTRIED_RETENTION;
--- a/crates/rate/src/pacer.rs
+++ b/crates/rate/src/pacer.rs
@@ -76,7 +76,8 @@
         count
     }
 
-    /// Returns whether the last reservation is older than a time span.
+    /// Returns whether another request could have been sent for longer than a time span, and none
+    /// was reserved.
     pub fn is_idle(&self, span: Duration, now: BootInstant) -> bool {
         now - self.next_at > span
     }
--- a/crates/rate/src/store.rs
+++ b/crates/rate/src/store.rs
@@ -8,8 +8,8 @@
 use crate::observation::TimedObservation;
 use crate::{RateLimit, RateObservation};
 
-/// How long a limit applies after the last response that carried it. It is retained that long since
-/// a target that receives no requests sends no responses.
+/// How long a limit applies after the last response that carried it, or after it was last
+/// published. It is retained that long since a target that receives no requests sends no responses.
 const LIMIT_RETENTION: Duration = Duration::from_secs(600);
 
 /// How long the absence of a limit is remembered, so that an older observation does not restore it.
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -35,8 +35,8 @@
 /// Fraction of the time at which all requests move.
 const FULL_SHARE_FROM: f64 = 0.83;
 
-/// Fractions of the time from which a roll-out may complete, and at which it completes regardless
-/// of requests in flight.
+/// Fractions of the time from which a roll-out may complete, and at which it is completed or
+/// reverted regardless of requests in flight.
 const COMPLETE_FROM: f64 = 0.88;
 const COMPLETE_AT: f64 = 0.95;
 
