--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -3,7 +3,7 @@
 //! A target is cold for some time after its start, and may become cold again at any moment.
 //! Meanwhile all hosts together may send it `per_s` requests per second; well above that it fails.
 //!
-//! - The host that decides for a whole service, because it places its prompts or coordinates its
+//! - The host that decides for a complete service, because it places its prompts or coordinates its
 //!   pieces, counts what it sends: [`SendWindow`]. At most two hosts act as that host for the same
 //!   target, one on each side of a network partition or during a handover, so that together they
 //!   send at most twice the rate for a moment.
--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -58,7 +58,7 @@
     pub(super) targets: BTreeMap<String, StageTarget>,
     /// Queued pieces in the order in which they are served.
     pub(super) queue: Vec<QueuedPiece>,
-    /// How calls are split between versions during a rollout.
+    /// How calls are split between versions during a roll-out.
     split: Option<CallSplit>,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sets how calls are split between versions during a rollout.
+    /// Sets how calls are split between versions during a roll-out.
     pub(super) fn set_split(&mut self, split: Option<&VersionSplit>) {
         match (split, &mut self.split) {
             (Some(split), Some(known)) => known.update(split),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns whether a target may get a new call during a rollout: it runs the version that the
+    /// Returns whether a target may get a new call during a roll-out: it runs the version that the
     /// split selects next, or no target runs that version.
     fn split_allows(&self, target: &StageTarget) -> bool {
         let Some(split) = &self.split else {
--- a/crates/gateway/src/coordinator/queue.rs
+++ b/crates/gateway/src/coordinator/queue.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sets the services with a version rollout in progress.
+    /// Sets the services with a roll-out in progress.
     pub(crate) fn set_splits(&self, splits: &HashMap<String, VersionSplit>) {
         let mut state = self.state.borrow_mut();
         state.splits.clone_from(splits);
--- a/crates/gateway/src/coordinator/state.rs
+++ b/crates/gateway/src/coordinator/state.rs
@@ -78,7 +78,7 @@
     last_lost: u64,
     /// The targets that accept work, by identity.
     records: HashMap<String, TargetRecord>,
-    /// The services with a version rollout in progress.
+    /// The services with a roll-out in progress.
     pub(super) splits: HashMap<String, VersionSplit>,
 }
 
--- a/crates/gateway/src/send_permit_issuer.rs
+++ b/crates/gateway/src/send_permit_issuer.rs
@@ -18,8 +18,8 @@
 /// Time span for which a host receives permits at once, if it sends that many requests.
 const BATCH_SPAN: Duration = Duration::from_millis(20);
 
-/// How long after the last permit a pacer is kept. Even at the lowest rate, no request has to wait
-/// by then.
+/// How long a pacer is retained after the last permit. Even at the lowest rate, no request has to
+/// wait by then.
 const PACER_RETENTION: Duration = Duration::from_secs(60);
 
 /// What a permit is requested for.
--- a/crates/gateway/src/stage_client.rs
+++ b/crates/gateway/src/stage_client.rs
@@ -204,8 +204,8 @@
     }
 
     /// Sets the entry hosts that the control hosts list. An unlisted host to which a connection is
-    /// up is kept: otherwise hosts that lost the connections to the control hosts and hosts that
-    /// did not would choose different coordinators.
+    /// up is retained: otherwise hosts that lost the connections to the control hosts and hosts
+    /// that did not would choose different coordinators.
     pub(crate) fn set_entry_hosts(&self, listed_hosts: Vec<EntryHostRecord>) {
         let mut state = self.state.borrow_mut();
         let listed: HashSet<&str> = listed_hosts.iter().map(|host| host.name.as_str()).collect();
@@ -224,8 +224,8 @@
         state.entry_hosts = known;
     }
 
-    /// Returns whether a host is kept only because a connection to it is up. The list must then be
-    /// recomputed regularly, since the control hosts do not report the loss of such a host.
+    /// Returns whether a host is retained only because a connection to it is up. The list must then
+    /// be recomputed regularly, since the control hosts do not report the loss of such a host.
     pub(crate) fn keeps_unlisted_hosts(&self) -> bool {
         self.state.borrow().keeps_unlisted_hosts
     }
--- a/crates/gateway/src/target/store.rs
+++ b/crates/gateway/src/target/store.rs
@@ -20,7 +20,7 @@
     hall_counts: HashMap<String, Vec<(String, u32)>>,
     /// The rate that cold targets of a service sustain, if that is less than others do.
     cold_rates: HashMap<String, ColdRate>,
-    /// The services with a rollout in progress.
+    /// The services with a roll-out in progress.
     splits: HashMap<String, VersionSplit>,
     /// Rate limits of targets, by target ID.
     rate_limits: HashMap<String, RateLimit>,
@@ -215,7 +215,7 @@
         targets.into_iter().flat_map(BTreeMap::keys)
     }
 
-    /// Sets the services with a rollout in progress.
+    /// Sets the services with a roll-out in progress.
     pub(crate) fn set_splits(&mut self, splits: HashMap<String, VersionSplit>) {
         self.splits = splits;
     }
@@ -235,7 +235,7 @@
         others.map(|target| target.in_flight).sum()
     }
 
-    /// Draws the side of a rollout for a request of a service, and returns the targets of that
+    /// Draws the side of a roll-out for a request of a service, and returns the targets of that
     /// side, or all targets if the side has none.
     fn candidates_of_drawn_side(&self, service: &str) -> Vec<&Target> {
         let all = || self.of_service(service);
@@ -259,7 +259,7 @@
     }
 
     /// Returns the targets of a service that are not avoided; if all are avoided, those that are
-    /// not ejected, and if all are ejected, all of them. During a rollout, the targets are of one
+    /// not ejected, and if all are ejected, all of them. During a roll-out, the targets are of one
     /// side, drawn anew for each call.
     pub(crate) fn usable(&self, service: &str, now: Instant) -> Vec<&Target> {
         let side = self.candidates_of_drawn_side(service);
--- a/crates/gateway/src/target_crash.rs
+++ b/crates/gateway/src/target_crash.rs
@@ -28,8 +28,7 @@
 /// a timeout proves nothing.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// How long a crash is remembered for requests that notice their broken connection later than
-/// others.
+/// How long a crash is retained for requests that notice their broken connection later than others.
 const CRASH_RETENTION: Duration = Duration::from_secs(5);
 
 /// How long the restart of an unresponsive target is awaited.
--- a/crates/gateway/src/target_restriction.rs
+++ b/crates/gateway/src/target_restriction.rs
@@ -14,11 +14,11 @@
 /// be sent. Until a response arrives, the target receives one request at a time.
 pub(crate) const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an elapsed back-off is kept if no request arrives that could try the target.
+/// How long an elapsed back-off is retained if no request arrives that could try the target.
 pub(crate) const UNTRIED_RETENTION: Duration = Duration::from_secs(2);
 
-/// How long a leaving target is remembered after it was last listed as accepting work. A late
-/// heartbeat may list it again.
+/// How long the leaving mark of a target is retained after the target was last listed as accepting
+/// work. A late heartbeat may list the target again.
 pub(crate) const LEAVING_RETENTION: Duration = Duration::from_secs(600);
 
 /// How long a leaving mark is applied to a listed incarnation that may not be the one that is
@@ -136,8 +136,9 @@
     /// A target may respond before this host receives the registration of its new incarnation, and
     /// the response is then taken for one of the previous incarnation. With responses 90 ms ahead
     /// of the registration, hosts dropped the restrictions of the new incarnation and sent it more
-    /// requests. So a restriction is kept if the listed incarnation started before the target asked
-    /// for it. Since clocks differ, a leaving mark is kept for [`UNCERTAIN_RETENTION`] only.
+    /// requests. So a restriction is retained if the listed incarnation started before the target
+    /// asked for it. Since clocks differ, a leaving mark is retained for [`UNCERTAIN_RETENTION`]
+    /// only.
     pub(crate) fn applies_to_incarnation(&mut self, born: u64, now: BootInstant) -> bool {
         self.last_listed = now;
         if born <= *self.born.get_or_insert(born) {
--- a/crates/rate/src/store.rs
+++ b/crates/rate/src/store.rs
@@ -12,7 +12,7 @@
 /// published. It is retained that long since a target that receives no requests sends no responses.
 const LIMIT_RETENTION: Duration = Duration::from_secs(600);
 
-/// How long the absence of a limit is remembered, so that an older observation does not restore it.
+/// How long the absence of a limit is retained, so that an older observation does not restore it.
 const LIFTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// How often a limit that targets keep sending is published again, so that it does not expire at
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -4,7 +4,7 @@
 
 use crate::{PhaseCounts, ReporterCounts, RolloutRecord, RolloutStore, RouteCounts};
 
-/// Maximum number of entry host incarnations whose counts are kept.
+/// Maximum number of entry host incarnations whose counts are retained.
 const MAX_REPORTERS: usize = 4_096;
 
 type Phase = (u64, u64);
