--- a/crates/gateway/src/schedule.rs
+++ b/crates/gateway/src/schedule.rs
@@ -31,7 +31,7 @@
     /// When each stage ends according to the queues at the start of the request, in milliseconds; 0
     /// for a delayed stage.
     planned_ends: Vec<f64>,
-    /// Expected end of the last of the other stages.
+    /// Expected end of the last stage that is not delayed.
     others_end: Instant,
 }
 
--- a/crates/gateway/src/serve_pieces.rs
+++ b/crates/gateway/src/serve_pieces.rs
@@ -73,9 +73,9 @@
 /// The work for which another entry host awaits a reply.
 #[derive(Default)]
 struct SessionWork {
-    /// Its batches, by the numbers that it assigned.
+    /// Batches of the other host, by the numbers that it assigned.
     batches: RefCell<HashMap<u64, BatchKey>>,
-    /// Number of calls that it delegated to this host.
+    /// Number of calls that the other host delegated to this one.
     delegated_calls: Cell<usize>,
 }
 
@@ -111,9 +111,9 @@
     replies: mpsc::UnboundedSender<PieceReply>,
     work: Rc<SessionWork>,
     placements: HashMap<u64, PlacementKey>,
-    /// Its announcements of pieces.
+    /// Announcements of pieces by the other host.
     expectations: HashMap<u64, ExpectationKey>,
-    /// The requests to which it holds run permits.
+    /// Requests for which the other host has run permits.
     run_permits: HashMap<u64, RequestKey>,
 }
 
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -92,9 +92,9 @@
 /// What an attempt to connect shows about a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProbeOutcome {
-    /// It accepts connections.
+    /// The target accepts connections.
     Open,
-    /// Nothing listens at its address.
+    /// Nothing listens at the address of the target.
     Refused,
     /// The connection attempt timed out or failed otherwise.
     Silent,
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Returns a connection on which nothing was sent to the pool, for the next request.
+    /// Puts a connection back into the pool for the next request; nothing was sent on it.
     fn keep_idle(&self, address: SocketAddr, connection: Connection) {
         let mut state = self.state.borrow_mut();
         state.idle.entry(address).or_default().push(connection);
--- a/crates/rollout/src/count.rs
+++ b/crates/rollout/src/count.rs
@@ -73,7 +73,8 @@
     pub responses: u64,
     /// Requests among them that failed.
     pub failures: u64,
-    /// Times of the others, in milliseconds or relative to the expected time.
+    /// Times of the others as far as they are meaningful, in milliseconds or relative to the
+    /// expected time.
     pub times: ResponseTimeHistogram,
 }
 
--- a/crates/rollout/src/response_tracker.rs
+++ b/crates/rollout/src/response_tracker.rs
@@ -28,9 +28,9 @@
         });
     }
 
-    /// Records a response of a target, with its time in milliseconds if it is meaningful for the
-    /// target; `None` is a failure. Nothing is recorded if no roll-out of the service is in
-    /// progress.
+    /// Records a response of a target, with its time, in milliseconds or relative to the expected
+    /// time, if that is meaningful for the target; `None` is a failure. Nothing is recorded if no
+    /// roll-out of the service is in progress.
     pub fn record_response(
         &mut self,
         store: &RolloutStore,
