--- a/crates/gateway/src/coordinator/pool.rs
+++ b/crates/gateway/src/coordinator/pool.rs
@@ -44,12 +44,12 @@
     pub(super) result_bytes: u64,
     pub(crate) work: Rc<StageWork>,
     pub(super) failures: u32,
-    /// Identifies its request when that is sent again.
+    /// Identifies the request across retries.
     pub(crate) request_key: RequestKey,
-    /// Number of targets that crashed while running it.
+    /// Number of targets that crashed while running the piece.
     pub(super) target_crashes: u32,
-    /// Whether it must not share a call with pieces of other requests, since it may have crashed a
-    /// target.
+    /// Whether the piece must not share a call with pieces of other requests, since it may have
+    /// crashed a target.
     pub(super) isolated: bool,
 }
 
@@ -58,7 +58,7 @@
     pub(super) targets: BTreeMap<String, StageTarget>,
     /// Queued pieces in the order in which they are served.
     pub(super) queue: Vec<QueuedPiece>,
-    /// How calls are split between versions during a rollout.
+    /// How calls are split between versions during a roll-out.
     split: Option<CallSplit>,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sets how calls are split between versions during a rollout.
+    /// Sets how calls are split between versions during a roll-out.
     pub(super) fn set_split(&mut self, split: Option<&VersionSplit>) {
         match (split, &mut self.split) {
             (Some(split), Some(known)) => known.update(split),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns whether a target may get a new call during a rollout: it runs the version that the
+    /// Returns whether a target may get a new call during a roll-out: it runs the version that the
     /// split selects next, or no target runs that version.
     fn split_allows(&self, target: &StageTarget) -> bool {
         let Some(split) = &self.split else {
@@ -99,7 +99,7 @@
         let in_pool = records.into_iter().filter(|record| key.contains(record));
         let wanted: BTreeMap<&str, &TargetRecord> =
             in_pool.map(|record| (record.id.as_str(), record)).collect();
-        // A removed target keeps its results until its running calls have ended.
+        // A target that is no longer listed stays, with its results, until its calls have ended.
         self.targets
             .retain(|id, target| wanted.contains_key(id.as_str()) || target.running > 0);
         for (id, target) in &mut self.targets {
@@ -124,7 +124,8 @@
         unlisted: impl Iterator<Item = &'a TargetRecord>,
     ) {
         for record in unlisted {
-            // A removed target keeps its results until its running calls have ended.
+            // A target that is no longer listed stays, with its results, until its calls have
+            // ended.
             match self.targets.get_mut(&record.id) {
                 Some(target) if target.running > 0 => target.listed = false,
                 _ => {
@@ -204,8 +205,9 @@
         }
     }
 
-    /// Returns whether a new batch would be done too late for its request. Batches of later stages
-    /// are not refused: the work already done for their request would be wasted.
+    /// Returns whether a new batch would complete too late for its request to meet the objective.
+    /// Batches of later stages are not refused: the work already done for their request would be
+    /// wasted.
     pub(super) fn would_miss_objective(&self, batch: &PieceBatch, now: Instant) -> bool {
         if !batch.first_stage {
             return false;
@@ -239,8 +241,8 @@
         }
     }
 
-    /// Returns whether some target responds in time, so that unhealthy ones need not be relied on.
-    /// A target that is backed off does not count.
+    /// Returns whether a healthy target accepts calls, so that no unhealthy one is needed. A target
+    /// that is backed off does not count.
     pub(super) fn has_healthy_target(&self, now: Instant) -> bool {
         let mut targets = self.targets.values();
         targets
@@ -323,7 +325,7 @@
 
     /// Assigns queued pieces, in order, to free targets. A call is filled before another is
     /// started, so that a target stays free for the next request. A piece with a large result goes
-    /// to its data hall if a target is free there.
+    /// to its preferred data hall if a target is free there.
     fn assign_pieces(&mut self, pool: &PoolKey, now: Instant) -> Vec<DueCall> {
         let mut open: BTreeMap<String, DueCall> = BTreeMap::new();
         let mut unassigned = Vec::new();
@@ -348,7 +350,7 @@
                 }
             }
         }
-        // No target has room for any of the remaining pieces.
+        // No target has an open slot for the remaining pieces.
         unassigned.extend(rest);
         self.queue = unassigned;
         open.into_values().collect()
@@ -397,9 +399,9 @@
         Some(id.clone())
     }
 
-    /// Returns whether a piece with a large result should wait for a target in its data hall:
-    /// targets there are free soon enough, and have room for the `queued_before` pieces that wait
-    /// for it ahead of this one as well.
+    /// Returns whether a piece with a large result should wait for a target in its preferred data
+    /// hall. It should if the targets that are free there soon enough can take this piece in
+    /// addition to the `queued_before` pieces that wait for the hall ahead of it.
     fn should_wait_for_hall(
         &self,
         piece: &QueuedPiece,
--- a/crates/gateway/src/target/store.rs
+++ b/crates/gateway/src/target/store.rs
@@ -20,7 +20,7 @@
     hall_counts: HashMap<String, Vec<(String, u32)>>,
     /// The rate that cold targets of a service sustain, if that is less than others do.
     cold_rates: HashMap<String, ColdRate>,
-    /// The services with a rollout in progress.
+    /// The services with a roll-out in progress.
     splits: HashMap<String, VersionSplit>,
     /// Rate limits of targets, by target ID.
     rate_limits: HashMap<String, RateLimit>,
@@ -215,7 +215,7 @@
         targets.into_iter().flat_map(BTreeMap::keys)
     }
 
-    /// Sets the services with a rollout in progress.
+    /// Sets the services with a roll-out in progress.
     pub(crate) fn set_splits(&mut self, splits: HashMap<String, VersionSplit>) {
         self.splits = splits;
     }
@@ -235,7 +235,7 @@
         others.map(|target| target.in_flight).sum()
     }
 
-    /// Draws the side of a rollout for a request of a service, and returns the targets of that
+    /// Draws the side of a roll-out for a request of a service, and returns the targets of that
     /// side, or all targets if the side has none.
     fn candidates_of_drawn_side(&self, service: &str) -> Vec<&Target> {
         let all = || self.of_service(service);
@@ -259,7 +259,7 @@
     }
 
     /// Returns the targets of a service that are not avoided; if all are avoided, those that are
-    /// not ejected, and if all are ejected, all of them. During a rollout, the targets are of one
+    /// not ejected, and if all are ejected, all of them. During a roll-out, the targets are of one
     /// side, drawn anew for each call.
     pub(crate) fn usable(&self, service: &str, now: Instant) -> Vec<&Target> {
         let side = self.candidates_of_drawn_side(service);
@@ -326,7 +326,8 @@
         }
     }
 
-    /// Records a usable response, which ends the ejections and refusals in a row.
+    /// Records a usable response, which resets the counts of consecutive failures, ejections and
+    /// refusals.
     pub(crate) fn record_success(&mut self, service: &str, id: &str) {
         if let Some(target) = self.find_mut(service, id) {
             target.failures = 0;
@@ -335,7 +336,8 @@
         }
     }
 
-    /// Records that a target refused a request. Any other response ends the consecutive refusals.
+    /// Records that a target refused a request. A usable response resets the count of consecutive
+    /// refusals.
     pub(crate) fn record_refusal(&mut self, service: &str, id: &str, now: Instant) {
         if let Some(target) = self.find_mut(service, id) {
             target.record_refusal(now);
@@ -366,7 +368,7 @@
         targets.filter(move |target| target.is_avoided(now))
     }
 
-    /// Records a failure; returns whether the target is ejected now.
+    /// Records a failure; returns whether the target is ejected because of it.
     pub(crate) fn record_failure(&mut self, service: &str, id: &str, now: Instant) -> bool {
         let all = self.of_service(service).count();
         let ejected = self
--- a/crates/gateway/src/target_restriction.rs
+++ b/crates/gateway/src/target_restriction.rs
@@ -14,11 +14,11 @@
 /// be sent. Until a response arrives, the target receives one request at a time.
 pub(crate) const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an elapsed back-off is kept if no request arrives that could try the target.
+/// How long an elapsed back-off is retained if no request arrives that could try the target.
 pub(crate) const UNTRIED_RETENTION: Duration = Duration::from_secs(2);
 
-/// How long a leaving target is remembered after it was last listed as accepting work. A late
-/// heartbeat may list it again.
+/// How long the leaving mark of a target is retained after the target was last listed as accepting
+/// work. A late heartbeat may list the target again.
 pub(crate) const LEAVING_RETENTION: Duration = Duration::from_secs(600);
 
 /// How long a leaving mark is applied to a listed incarnation that may not be the one that is
@@ -29,13 +29,13 @@
 /// Whether a target may receive requests of this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TargetAvailability {
-    /// It may.
+    /// The target may receive requests.
     Open,
-    /// Not for this long, since it asked for a back-off.
+    /// The target asked for a back-off, which lasts this much longer.
     BackedOff(Duration),
-    /// Its rate limit leaves no permit for this long.
+    /// The rate limit of the target leaves no send permit for this long.
     RateLimited(Duration),
-    /// It is leaving, and receives no new work.
+    /// The target is leaving, and receives no new work.
     Leaving,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl BackOff {
-    /// Returns how much longer it lasts for requests other than the trial.
+    /// Returns how much longer the back-off lasts for requests other than the trial.
     fn left(&self, now: BootInstant) -> Duration {
         let trial_ends = self.trial_sent.map(|at| at + TRIAL_TIMEOUT);
         self.until.max(trial_ends.unwrap_or_default()) - now
@@ -62,7 +62,7 @@
         self.until <= now
     }
 
-    /// Returns the time since it began.
+    /// Returns the time since the back-off began.
     pub(crate) fn elapsed(&self, now: BootInstant) -> Duration {
         now - self.since
     }
@@ -85,7 +85,7 @@
     pub(crate) leaving: bool,
     /// When the target was last known to be listed as accepting work.
     last_listed: BootInstant,
-    /// When the target last asked for something, in Unix milliseconds.
+    /// When the target last asked for a restriction, in Unix milliseconds.
     last_asked_ms: u64,
     /// If set, the listed incarnation may not be the one that asked, and it is taken for leaving
     /// only until this time.
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Records that the target asks for something now.
+    /// Records that the target asks for a restriction now.
     pub(crate) fn mark_asked(&mut self) {
         self.last_asked_ms = unix_ms();
         self.uncertain_until = None;
@@ -136,8 +136,9 @@
     /// A target may respond before this host receives the registration of its new incarnation, and
     /// the response is then taken for one of the previous incarnation. With responses 90 ms ahead
     /// of the registration, hosts dropped the restrictions of the new incarnation and sent it more
-    /// requests. So a restriction is kept if the listed incarnation started before the target asked
-    /// for it. Since clocks differ, a leaving mark is kept for [`UNCERTAIN_RETENTION`] only.
+    /// requests. So a restriction is retained if the listed incarnation started before the target
+    /// asked for it. Since clocks differ, a leaving mark is retained for [`UNCERTAIN_RETENTION`]
+    /// only.
     pub(crate) fn applies_to_incarnation(&mut self, born: u64, now: BootInstant) -> bool {
         self.last_listed = now;
         if born <= *self.born.get_or_insert(born) {
@@ -155,8 +156,8 @@
         self.leaving &= recent && certain;
     }
 
-    /// Removes and returns the back-off if it has elapsed and no request has tried the target
-    /// since.
+    /// Removes and returns the back-off if it elapsed more than [`UNTRIED_RETENTION`] ago and no
+    /// trial request awaits a response.
     pub(crate) fn take_untried(&mut self, now: BootInstant) -> Option<BackOff> {
         let is_old =
             |one: &mut BackOff| one.left(now).is_zero() && now - one.until > UNTRIED_RETENTION;
