--- a/crates/directory/src/change_reports.rs
+++ b/crates/directory/src/change_reports.rs
@@ -20,7 +20,7 @@
     pub after: u64,
     /// Maximum number of records.
     pub limit: usize,
-    /// Whether the reader may hold no records yet, including those that it usually receives from
+    /// Whether the reader may have no records yet, including those that it usually receives from
     /// other processes.
     pub catches_up: bool,
 }
--- a/crates/directory/src/document_follower.rs
+++ b/crates/directory/src/document_follower.rs
@@ -11,7 +11,7 @@
 use crate::fetch::{DocumentFetch, FetchProgress, FetchedPayload, SourceSwitch};
 use crate::{DocumentKey, DocumentPart, DocumentRequest, StoredDocument};
 
-/// Where a subscriber keeps its configuration.
+/// Where a subscriber stores its configuration.
 pub struct DocumentSink {
     /// Returns the current configuration.
     pub current: Box<dyn Fn() -> Option<Arc<StoredDocument>>>,
--- a/crates/directory/src/evacuation.rs
+++ b/crates/directory/src/evacuation.rs
@@ -79,8 +79,7 @@
         EvacuationOutcome::InEffect(state)
     }
 
-    /// Merges the state that another process holds; returns the halls that this returned to
-    /// service.
+    /// Merges the state that another process has; returns the halls that this returned to service.
     pub fn merge(&mut self, other: &Self) -> Vec<String> {
         let mut returned = Vec::new();
         for (hall, state) in &other.halls {
--- a/crates/directory/src/evacuation/tests.rs
+++ b/crates/directory/src/evacuation/tests.rs
@@ -18,8 +18,8 @@
     assert!(!store.is_evacuated("south"));
 }
 
-/// A duplicate of an order can arrive late from a connection that was cut, or from the log of a
-/// former leader.
+/// A duplicate of an order can arrive late from a connection that was interrupted, or from the log
+/// of a former leader.
 #[test]
 fn late_duplicate_does_not_undo_later_orders() {
     let mut store = EvacuationStore::default();
@@ -29,7 +29,7 @@
     let late = store.apply(&evacuate);
     assert!(matches!(late, EvacuationOutcome::Outdated(_)), "{late:?}");
     assert!(!store.is_evacuated("north"));
-    // An operator gives the same order again, with the current revision.
+    // An operator issues the same order again, with the current revision.
     store.apply(&order(true, 2));
     assert!(store.is_evacuated("north"));
 }
--- a/crates/directory/src/fetch.rs
+++ b/crates/directory/src/fetch.rs
@@ -16,9 +16,9 @@
 use crate::document_sender::PART_BYTES;
 use crate::{DocumentKey, DocumentPart, DocumentPayload, DocumentRequest, PayloadKey};
 
-/// How long no part may arrive before the subscriber switches to another control host. The timeout
-/// doubles with each such switch up to the maximum, so that a link on which one part takes longer
-/// is not filled with parts from all control hosts.
+/// Time without a part after which the subscriber switches to another control host. It doubles with
+/// each such switch up to the maximum, so that a link on which one part takes longer is not filled
+/// with parts from all control hosts.
 const MIN_PART_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_PART_TIMEOUT: Duration = Duration::from_millis(3_200);
 
@@ -45,7 +45,7 @@
 struct CurrentFetch {
     wanted: DocumentKey,
     base: Option<DocumentKey>,
-    /// The control host in use. While there is none, the received bytes are kept.
+    /// The control host in use. While there is none, the received bytes are retained.
     source: Option<SocketAddr>,
     /// Sources tried since the last time all of them were tried.
     tried: BTreeSet<SocketAddr>,
--- a/crates/directory/src/follow.rs
+++ b/crates/directory/src/follow.rs
@@ -1,4 +1,5 @@
-//! Following the directories of control hosts: a control host follows all others, an entry host a few.
+//! Following the directories of control hosts: a control host follows all others, an entry host a
+//! few.
 
 mod acknowledge;
 mod followed;
@@ -36,8 +37,8 @@
 /// Timeout for opening a connection. The system resends a lost first packet only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Delays before reconnecting to a control host: short at first, since a process that was restarted is back
-/// within moments, and doubled with each failed attempt.
+/// Delays before reconnecting to a control host: short at first, since a process that was restarted
+/// is back within moments, and doubled with each failed attempt.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(320);
 
@@ -58,16 +59,17 @@
     pub recorder: Arc<EventRecorder>,
     /// Record of this process if it serves callers; reported to every control host.
     pub entry_host: watch::Receiver<Option<EntryHostRecord>>,
-    /// Where configurations are stored; `None` for a control host, which gets them through the replicated
-    /// log.
+    /// Where configurations are stored; `None` for a control host, which gets them through the
+    /// replicated log.
     pub documents: Option<DocumentSink>,
-    /// Suspected requests that this process knows of, if it sends requests to targets; reported to every
-    /// control host.
+    /// Suspected requests that this process knows of, if it sends requests to targets; reported to
+    /// every control host.
     pub suspects: Option<SuspectSource>,
-    /// Rate limits that targets announced to this process, if it sends requests to them; reported to every
-    /// control host.
+    /// Rate limits that targets announced to this process, if it sends requests to them; reported
+    /// to every control host.
     pub rate_limits: Option<RateLimitSource>,
-    /// Counts for roll-outs, if this process sends requests to targets; reported to every control host.
+    /// Counts for roll-outs, if this process sends requests to targets; reported to every control
+    /// host.
     pub counts: Option<CountSource>,
     /// Whether this process is a control host.
     pub is_control: bool,
@@ -79,8 +81,8 @@
     pub on_update: Box<dyn Fn(SocketAddr, DirectoryUpdate)>,
     /// Called when the connection to a control host is lost.
     pub on_lost: Box<dyn Fn(SocketAddr)>,
-    /// Waits until the followers of this process have received a withdrawal; `None` for a process without
-    /// followers.
+    /// Waits until the followers of this process have received a withdrawal; `None` for a process
+    /// without followers.
     pub propagation: Option<PropagationWait>,
 }
 
@@ -90,13 +92,15 @@
     /// Members that each connected control host announced.
     announced_members: RefCell<BTreeMap<SocketAddr, Vec<SocketAddr>>>,
     followed: RefCell<BTreeMap<SocketAddr, FollowedHost>>,
-    /// Control hosts for which a task is running, including those that the task is about to stop following.
+    /// Control hosts for which a task is running, including those that the task is about to stop
+    /// following.
     tasks: RefCell<BTreeSet<SocketAddr>>,
     /// Wakes the tasks when a control host is no longer followed.
     unfollowed: watch::Sender<()>,
     /// Control hosts to which a connection is open.
     connected: RefCell<BTreeSet<SocketAddr>>,
-    /// Connected control hosts from which this process receives the lists of targets and entry hosts.
+    /// Connected control hosts from which this process receives the lists of targets and entry
+    /// hosts.
     list_sources: watch::Sender<BTreeSet<SocketAddr>>,
     /// Distinguishes this incarnation of the process from others.
     incarnation: u64,
@@ -133,7 +137,8 @@
         }
     }
 
-    /// Records whether a control host runs an earlier build, by the message version that it announced.
+    /// Records whether a control host runs an earlier build, by the message version that it
+    /// announced.
     fn record_build(&self, address: SocketAddr, message_version: Option<MessageVersion>) {
         if let Some(host) = self.followed.borrow_mut().get_mut(&address) {
             host.runs_earlier_build = message_version < Some(MessageVersion::V3);
@@ -166,7 +171,8 @@
             false => choose_list_sources(self.config.own_address, &connected),
         };
         let former = self.list_sources.send_replace(list_sources.clone());
-        // Hosts that are no longer list sources send no more changes, so their lists would become outdated.
+        // Hosts that are no longer list sources send no more changes, so their lists would become
+        // outdated.
         for removed in former
             .difference(&list_sources)
             .filter(|one| connected.contains(one))
@@ -185,8 +191,8 @@
     }
 }
 
-/// Follows control hosts that the seeds or the followed control hosts name, until the process ends: an entry
-/// host a few of them, a control host all.
+/// Follows control hosts that the seeds or the followed control hosts name, until the process ends:
+/// an entry host a few of them, a control host all.
 pub async fn follow_directory(config: FollowConfig) {
     let state = Rc::new(FollowState::new(config));
     loop {
@@ -202,8 +208,8 @@
     }
 }
 
-// Seeds may be outdated, so the members that connected control hosts announce are used as well. A host that
-// neither names any more is dropped after some rounds.
+// Seeds may be outdated, so the members that connected control hosts announce are used as well. A
+// host that neither names any more is dropped after some rounds.
 fn update_followed(state: &FollowState) -> Vec<SocketAddr> {
     let mut known: BTreeSet<SocketAddr> = state.config.seeds.borrow().iter().copied().collect();
     known.extend(state.announced_members.borrow().values().flatten().copied());
@@ -235,8 +241,8 @@
     now: Instant,
 ) -> BTreeSet<SocketAddr> {
     let followed = state.followed.borrow();
-    // A control host of an earlier build does not tell the others which entry hosts are connected to it, so
-    // this process has to connect to each control host.
+    // A control host of an earlier build does not report to the others which entry hosts are
+    // connected to it, so this process has to connect to each control host.
     if state.config.is_control || followed.values().any(|host| host.runs_earlier_build) {
         return known;
     }
@@ -364,7 +370,8 @@
     }
 }
 
-/// Receives an update. If the control host announced no message version, its first update reveals it.
+/// Receives an update. If the control host announced no message version, its first update reveals
+/// it.
 async fn receive_update(
     state: &FollowState,
     address: SocketAddr,
--- a/crates/directory/src/follow/followed.rs
+++ b/crates/directory/src/follow/followed.rs
@@ -7,9 +7,9 @@
 use crate::ContentHash;
 
 /// Number of control hosts that an entry host follows and receives lists from. Control hosts
-/// forward changes to each other at once, so a few know what all know; one may be lost, and another
-/// cut off, before replacements are found. The traffic of an entry host, and of a control host per
-/// entry host, does not grow with the number of control hosts.
+/// forward changes to each other at once, so a few of them have all the state. One may be lost, and
+/// another cut off, before replacements are found. The traffic of an entry host, and of a control
+/// host per entry host, does not grow with the number of control hosts.
 pub(super) const FOLLOWED_HOSTS: usize = 3;
 
 /// How long a control host counts as usable while the connection is being opened. After that,
@@ -31,8 +31,8 @@
     pub(super) changed_at: Instant,
     /// Since when it is without a leader.
     pub(super) leaderless_since: Option<Instant>,
-    /// Whether it runs an earlier build, which does not tell the other control hosts which entry
-    /// hosts are connected to it.
+    /// Whether it runs an earlier build, which does not report to the other control hosts which
+    /// entry hosts are connected to it.
     pub(super) runs_earlier_build: bool,
 }
 
--- a/crates/directory/src/follow/tests.rs
+++ b/crates/directory/src/follow/tests.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Each host that is lost, or has had no leader for too long, is followed on, and one more beside
-/// it.
+/// For each followed host that is lost, or has had no leader for too long, one more is followed;
+/// the host itself is still followed.
 #[test]
 fn unusable_control_hosts_are_supplemented_by_others() {
     let ranked = ranked(25);
--- a/crates/directory/src/form.rs
+++ b/crates/directory/src/form.rs
@@ -24,8 +24,8 @@
 
 /// How a control host becomes a member.
 pub struct FormConfig {
-    /// Whether this is the first start of the whole system, on empty disks. Only then may a cluster
-    /// be formed.
+    /// Whether this is the first start of the complete system, on empty disks. Only then may a
+    /// cluster be formed.
     pub first_start: bool,
     /// Peer addresses of control hosts to contact first.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
@@ -84,8 +84,9 @@
     }
 }
 
-/// Returns the control host to ask for membership: one that knows a leader, with the longest log. A
-/// host that was removed as well knows no leader, and two such hosts would ask each other for ever.
+/// Returns the control host to request membership from: one that knows a leader, with the longest
+/// log. A host that was removed as well knows no leader, and two such hosts would send each other
+/// requests for ever.
 fn choose_sponsor(identities: &[Identity]) -> Option<&Identity> {
     let members = identities
         .iter()
@@ -93,7 +94,7 @@
     members.max_by_key(|other| (other.leader.is_some(), other.last))
 }
 
-// A founder that stopped half-way through the forming adopts the membership from one that finished.
+// A founder that stopped while forming the cluster adopts the membership from one that finished.
 // This is safe because the cluster has had no leader yet, so its members are still the founders.
 async fn adopt_founding(node: &DirectoryNode, founder: &Identity) {
     if let Some(cluster) = founder.cluster {
@@ -102,8 +103,8 @@
     }
 }
 
-// The log does not tell a member that it was removed while it was cut off; another member that
-// knows a leader does.
+// A member that was removed while it was cut off does not learn of this from its own log, but from
+// another member that knows a leader.
 async fn is_member(node: &DirectoryNode) -> bool {
     let status = node.replica().status();
     if status.members.find(status.id).is_none() {
--- a/crates/directory/src/held_requests.rs
+++ b/crates/directory/src/held_requests.rs
@@ -1,15 +1,15 @@
-//! Held requests in the replicated log, so that they are still refused after the whole fleet lost
-//! power.
+//! Held requests in the replicated log, so that they are still refused after the complete fleet
+//! lost power.
 //!
 //! Processes also send held requests to each other directly, which is faster and needs no quorum.
-//! In addition the leading control host writes those that it knows to the log.
+//! In addition, the leading control host writes the held requests that it knows to the log.
 
 use std::collections::BTreeMap;
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of requests kept on disk. A record takes some 300 bytes, so a snapshot grows by
+/// Maximum number of requests stored on disk. A record takes some 300 bytes, so a snapshot grows by
 /// 150 KB at most.
 const MAX_HELD_REQUESTS: usize = 512;
 
--- a/crates/directory/src/history.rs
+++ b/crates/directory/src/history.rs
@@ -5,12 +5,12 @@
 
 use crate::{DocumentKey, DocumentPayload, StoredDocument};
 
-/// Maximum number of configurations kept, including the newest. The older ones serve as bases for
-/// changes, and for subscribers in the middle of a transfer.
+/// Maximum number of configurations retained, including the newest. The older ones serve as bases
+/// for changes, and for subscribers in the middle of a transfer.
 const MAX_DOCUMENTS: usize = 8;
 
-/// Maximum bytes of configurations kept beside the newest: an eighth of the memory available to a
-/// control host.
+/// Maximum bytes of configurations retained beside the newest: an eighth of the memory available to
+/// a control host.
 const MAX_OLDER_BYTES: usize = 8 * 1024 * 1024;
 
 /// Maximum number of cached payloads. Up-to-date subscribers all have the same base.
@@ -39,7 +39,7 @@
     }
 
     /// Returns the payload for a subscriber that has `base` and requests `wanted`. If `wanted` is
-    /// not kept, the payload carries the newest configuration.
+    /// not retained, the payload carries the newest configuration.
     pub(crate) fn payload(
         &mut self,
         wanted: DocumentKey,
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,16 +1,17 @@
 //! The directory: the routing configuration, the targets and the processes of the system.
 //!
-//! - [`DirectoryNode`] keeps the directory on a control host: the configuration in the replicated
-//!   log, and the rest as state that every control host relearns from heartbeats and from the other
-//!   control hosts.
-//! - [`follow_directory`] keeps a copy of the directory in an entry host, as a [`DirectoryView`].
+//! - [`DirectoryNode`] maintains the directory on a control host: the configuration in the
+//!   replicated log, and the rest as state that every control host relearns from heartbeats and
+//!   from the other control hosts.
+//! - [`follow_directory`] maintains a copy of the directory in an entry host, as a
+//!   [`DirectoryView`].
 //! - Roll-outs of versions are commands of the log too; `node/rollouts` advances them by the counts
 //!   that entry hosts report.
 //! - [`EvacuationStore`] records the data halls that an operator evacuated; it is replicated by the
 //!   log too.
 //! - [`form_or_join`] makes control hosts a cluster without operator action.
 //!
-//! A configuration passes from `history`, which keeps the newest ones and packs them (`payload`),
+//! A configuration passes from `history`, which retains the newest ones and packs them (`payload`),
 //! in parts (`document_sender`) to `fetch`, which decides what to request from which control host,
 //! and through `document_follower` into the entry host.
 
--- a/crates/directory/src/machine.rs
+++ b/crates/directory/src/machine.rs
@@ -54,15 +54,15 @@
 /// The reply to a [`DocumentCommand`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum DocumentReply {
-    /// To `Put`: the current version afterwards.
+    /// The reply to `Put`: the current version afterwards.
     CurrentVersion(u64),
-    /// To `Read`.
+    /// The reply to `Read`.
     Document(Option<Document>),
-    /// To `Evacuate`.
+    /// The reply to `Evacuate`.
     Evacuation(EvacuationOutcome),
-    /// To `Hold`.
+    /// The reply to `Hold`.
     Done,
-    /// To `Rollout`.
+    /// The reply to `Rollout`.
     Rollout(RolloutOutcome),
 }
 
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -264,7 +264,7 @@
 /// The reply of a control host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum DirectoryReply {
-    /// To `Identify`.
+    /// The reply to `Identify`.
     Identity {
         member: Member,
         cluster: Option<u64>,
@@ -277,7 +277,7 @@
     },
     /// The call succeeded.
     Done,
-    /// To `Command`.
+    /// The reply to `Command`.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
     /// This control host does not lead; carries the leader's address if it is known.
     NotLeader(Option<SocketAddr>),
--- a/crates/directory/src/message_v1/tests.rs
+++ b/crates/directory/src/message_v1/tests.rs
@@ -101,7 +101,7 @@
             (hex(&read), version),
             (hex(&message), Some(MessageVersion::V2))
         );
-        // A build that knows only version 1 reads it like this.
+        // A build that supports only version 1 decodes the same bytes to this report.
         let first = report_v1(message.clone());
         assert_eq!(
             postcard::from_bytes::<SubscriberReportV1>(&second).unwrap(),
@@ -121,7 +121,7 @@
     let decode = MessageVersion::detect::<DirectoryUpdate, DirectoryUpdateV1>;
     let complete = postcard::to_stdvec(&update()).unwrap();
     for length in 0..complete.len() {
-        // Truncated at any length, it is not taken for a message of version 2.
+        // A message truncated at any length is not detected as one of version 2.
         if let Ok((_, version)) = decode(&complete[..length]) {
             assert_eq!(version, Some(MessageVersion::V1), "{length} bytes");
         }
--- a/crates/directory/src/node.rs
+++ b/crates/directory/src/node.rs
@@ -28,27 +28,27 @@
 pub(crate) use state::{NodeState, SubscriberState};
 
 /// How long after its start a control host waits for a leader before it sends entry hosts the state
-/// on its disk. After the start of a whole fleet a leader is elected within 0.1 to 0.35 s; without
-/// the wait, hosts served for 60 ms with the configuration of the last snapshot, which was older
-/// than the acknowledged one. If no quorum returns, the state on disk is better than none.
+/// on its disk. When a complete fleet starts, a leader is elected within 0.1 to 0.35 s. Without the
+/// wait, hosts served for 60 ms with the configuration of the last snapshot, which was older than
+/// the acknowledged one. If no quorum returns, the state on disk is better than none.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Timeouts and periods of the directory.
+/// Timeouts and waiting times of the directory.
 #[derive(Debug, Clone, Copy)]
 pub struct DirectoryTiming {
-    /// How long no heartbeat may arrive before a target is marked as silent.
+    /// Time without a heartbeat after which a target is marked as silent.
     pub silence_timeout: Duration,
     /// Timeout for committing a command, in addition to the transfer time for its bytes.
     pub commit_timeout: Duration,
-    /// How long to wait for acknowledgements of followers before a withdrawal is acknowledged.
+    /// Maximum time to wait for acknowledgements of followers before a withdrawal is acknowledged.
     pub propagation_timeout: Duration,
     /// How long after its start a control host has received a heartbeat of every target: two
-    /// heartbeat periods, since one heartbeat may be lost.
+    /// heartbeat intervals, since one heartbeat may be lost.
     pub discovery_time: Duration,
 }
 
 impl DirectoryTiming {
-    /// Creates the timing for targets that send a heartbeat each `heartbeat`.
+    /// Creates the timing for targets whose heartbeat interval is `heartbeat`.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             silence_timeout: heartbeat * 5,
@@ -182,14 +182,14 @@
         self.shared.machine.rollouts()
     }
 
-    /// Sets the limit on what a version may be exposed to during a roll-out.
+    /// Sets the limit on the requests that a version may receive during a roll-out.
     pub fn set_exposure(&self, rule: ExposureLimit) {
         self.lock().exposure = rule;
     }
 
     /// Applies a heartbeat of a target. Returns once it may be acknowledged: a withdrawal only
-    /// after another control host has it too and the connected entry hosts have acknowledged it, or
-    /// had time to.
+    /// after another control host has it too, and the connected entry hosts have acknowledged it or
+    /// the timeout for that has passed.
     ///
     /// # Errors
     ///
@@ -203,8 +203,8 @@
     }
 
     /// Sets the services of the configuration in the registry if they decide whether to accept a
-    /// new target. Parsing the whole configuration for each heartbeat, or for each version, would
-    /// be too expensive.
+    /// new target. Parsing the complete configuration for each heartbeat, or for each version,
+    /// would be too expensive.
     fn refresh_services(&self, record: &TargetRecord) {
         if !self.lock().registry.is_new_at_used_address(record) {
             return;
@@ -279,8 +279,8 @@
     }
 
     /// Resolves when the entry hosts that follow this control host have acknowledged its current
-    /// state, or had time to: another control host that acknowledges a withdrawal relies on this
-    /// for the followers of this host.
+    /// state, or the timeout for that has passed. Another control host that acknowledges a
+    /// withdrawal relies on this for the followers of this host.
     pub async fn wait_for_followers(&self) {
         let revision = self.lock().registry.revision();
         let mut changes = self.shared.acknowledged.subscribe();
--- a/crates/directory/src/node/commands.rs
+++ b/crates/directory/src/node/commands.rs
@@ -127,7 +127,7 @@
         Err(DirectoryError::NoQuorum)
     }
 
-    /// Writes held requests that the log lacks to the log, if this host leads.
+    /// Writes to the log the held requests that it lacks, if this host leads.
     pub(crate) async fn persist_held_requests(&self) {
         let status = self.shared.replica.status();
         if status.leader != Some(status.id) {
--- a/crates/directory/src/node/state.rs
+++ b/crates/directory/src/node/state.rs
@@ -1,4 +1,4 @@
-//! The state that a control host keeps of targets and subscribers.
+//! The state of targets and subscribers on a control host.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     pub(crate) rate_limits: RateStore,
     /// Counts for roll-outs, reported by entry hosts.
     pub(crate) evidence: EvidenceStore,
-    /// Limit on what a version may be exposed to before it has proved itself.
+    /// Limit on the requests that a version may receive before it is known to be good.
     pub(crate) exposure: ExposureLimit,
     pub(crate) subscribers: BTreeMap<u64, SubscriberState>,
     pub(crate) last_subscriber_id: u64,
@@ -140,7 +140,8 @@
     }
 
     /// Stores the entry hosts connected to another control host. One that disconnected here is
-    /// removed from the local list: from now on the other control host decides how it ends.
+    /// removed from the local list: from now on only the reports of the other control host apply to
+    /// it.
     pub(crate) fn set_remote_entry_hosts(
         &mut self,
         from: SocketAddr,
--- a/crates/directory/src/node/suspects/tests.rs
+++ b/crates/directory/src/node/suspects/tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A network cut that refuses connections looks like the crash of a target until it heals.
+/// While a network fault causes connections to be refused, it looks like the crash of a target.
 #[test]
 fn crash_is_retracted_when_the_same_incarnation_sends_heartbeats() {
     let now = Instant::now();
--- a/crates/directory/src/node/tasks.rs
+++ b/crates/directory/src/node/tasks.rs
@@ -33,7 +33,8 @@
 pub(super) async fn announce_state(node: DirectoryNode) {
     let mut changes = node.shared.replica.changes();
     while !node.may_announce_state() {
-        // Also polls, since the end of the wait for a leader is no change of the replica.
+        // Also wakes periodically, since the end of the wait for a leader does not change the
+        // replica.
         let _ = timeout(EXPIRY_INTERVAL, changes.changed()).await;
     }
     node.notify_subscribers();
--- a/crates/directory/src/payload.rs
+++ b/crates/directory/src/payload.rs
@@ -1,4 +1,5 @@
-//! Payloads of configurations: the complete document, or its changes against another one, compressed.
+//! Payloads of configurations: the complete document, or its changes against another one,
+//! compressed.
 
 use std::io::{self, Read, Write};
 
--- a/crates/directory/src/registry.rs
+++ b/crates/directory/src/registry.rs
@@ -34,7 +34,7 @@
     Newer,
 }
 
-/// What a heartbeat, or a message of another control host, changed.
+/// The change caused by a heartbeat or by a message of another control host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegistryChange {
     /// Nothing that followers need.
@@ -89,8 +89,8 @@
 pub struct Registry {
     targets: HashMap<String, TargetEntry>,
     revision: u64,
-    /// The services that the configuration names, as of the last new target for which they
-    /// mattered.
+    /// The services that the configuration names, as of the last new target whose acceptance
+    /// depended on them.
     services: Option<ServiceNames>,
     /// Services whose targets report a start time. A heartbeat for one of these without a start
     /// time comes from another sender.
@@ -203,8 +203,8 @@
         RegistryChange::Registered
     }
 
-    /// Marks targets without a heartbeat for `silence_timeout` as silent and removes those that were withdrawn
-    /// long ago; returns the identities of the targets that became silent.
+    /// Marks targets without a heartbeat for `silence_timeout` as silent and removes those that
+    /// were withdrawn long ago; returns the identities of the targets that became silent.
     pub fn expire(&mut self, now: Instant, silence_timeout: Duration) -> Vec<String> {
         let by_revision = &mut self.by_revision;
         self.targets.retain(|_, entry| {
@@ -420,9 +420,9 @@
         if !(just_started && self.is_configured(&record.service))
             && self.shares_live_address(&record)
         {
-            // This may be a late heartbeat of a former incarnation, or one of another sender. To
-            // accept it would end the target at that address for good; the new target waits until
-            // that one is silent.
+            // This may be a late heartbeat of a former incarnation, or one of another sender.
+            // Accepting it would retire the live target at that address for good, so the new target
+            // counts as silent until the live one is silent.
             record.silent = true;
         }
         if record.state == TargetState::Ready && !record.silent {
--- a/crates/directory/src/serve/additions.rs
+++ b/crates/directory/src/serve/additions.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Adds the heartbeats received since the last update with heartbeats, for another control host, a
-/// few times a second: with heartbeats in each update, the work per heartbeat would grow with the
+/// Adds the heartbeats received since heartbeats were last sent, for another control host and only
+/// a few times a second: with heartbeats in each update, the work per heartbeat would grow with the
 /// number of changes in the fleet.
 pub(super) fn add_heartbeats(
     registry: &Registry,
--- a/crates/directory/src/view.rs
+++ b/crates/directory/src/view.rs
@@ -60,8 +60,9 @@
     },
 }
 
-/// Minimum cold period of the targets of a hall that is returned to service. They may have become
-/// cold shortly before, and report that with their next heartbeat: two heartbeat periods of 1.2 s.
+/// Minimum cold period of the targets of a hall that is returned to service: two heartbeat
+/// intervals of 1.2 s. The targets may have become cold shortly before, and report that only with
+/// their next heartbeat.
 const COLD_AFTER_EVACUATION: Duration = Duration::from_millis(2_400);
 
 impl DirectoryView {
@@ -252,8 +253,8 @@
     /// Returns every available target, with the rest of its cold period.
     pub fn available_targets(&self, now: Instant) -> Vec<TargetRecord> {
         // The newest incarnation of each target, and its record if that is available. A former
-        // incarnation is not used, even if the newest one is silent or was sent by one control host
-        // only.
+        // incarnation is not used, even if the newest one is silent or was reported by only one
+        // control host.
         let mut incarnations: BTreeMap<&str, (u64, Option<&TargetRecord>)> = BTreeMap::new();
         for (id, record) in self.sources.values().flat_map(|source| &source.targets) {
             let newest = incarnations.entry(id).or_insert((record.born, None));
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -110,7 +110,7 @@
             .next()
             .map(|one| (one.born, one.sequence));
         assert_eq!(sequence, Some((6, 1)), "{late:?}");
-        // Nor does a late message keep a silent incarnation alive.
+        // A late message does not make a silent incarnation available again either.
         registry.expire(now + SILENCE_TIMEOUT * 2, SILENCE_TIMEOUT);
         registry.apply_heartbeat(late, now + SILENCE_TIMEOUT * 2);
         assert!(serving(&registry).is_empty());
@@ -395,12 +395,12 @@
         RegistryChange::Registered
     );
     let later = now + Duration::from_millis(1_200);
-    // The next heartbeat reports the same end, slightly late.
+    // The next heartbeat reports the same end of the cold period, slightly late.
     let same = registry.apply_heartbeat(cold(3, 1_850), later);
     assert_eq!(same, RegistryChange::Unchanged);
     let records = registry.changed_after(reported, 9, later).records;
     assert_eq!(records[0].cold_ms, 1_850);
-    // A late earlier heartbeat, and one with an invalid value.
+    // Applies a late earlier heartbeat, and one with an invalid value.
     registry.apply_heartbeat(cold(2, 0), later);
     assert_eq!(
         registry.changed_after(reported, 9, later).records[0].cold_ms,
@@ -483,7 +483,7 @@
     }
     let first = registry.changed_after(0, 128, now);
     assert_eq!(first.records.len(), 128);
-    // One that was sent already, and one that was not.
+    // Changes one target that was sent already, and one that was not.
     registry.apply_heartbeat(record("i-0", 1_000, TargetState::Draining, 2), now);
     registry.apply_heartbeat(record("i-299", 1_299, TargetState::Draining, 2), now);
     let second = registry.changed_after(first.revision, 128, now);
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -17,8 +17,8 @@
 /// The maximum number of requests queued for one pool.
 const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// The expected work times this factor must fit into the time left. Estimates are not exact, and a
-/// request that is shed late wastes the work of its early stages.
+/// Factor on the expected work, which must then fit into the time left. Estimates are not exact,
+/// and a request that is shed late wastes the work of its early stages.
 const ADMISSION_MARGIN: f64 = 1.2;
 
 /// The retry delay announced if a pool has no usable target, so that no drain time is known.
--- a/crates/dispatch/src/fair_queue.rs
+++ b/crates/dispatch/src/fair_queue.rs
@@ -135,9 +135,9 @@
         self.ready.len()
     }
 
-    // An idle account is retained while its tag is ahead of the served tag: without it, an account
-    // that sends one request at a time would jump the queue. Above the limit, idle accounts whose
-    // tag is not ahead are removed, and the account itself.
+    // An idle account is retained while its tag is ahead of the served tag; otherwise an account
+    // that sends one request at a time would jump the queue. Above the limit, the account is
+    // removed in any case, together with all idle accounts whose tag is not ahead.
     fn remove_idle_account(&mut self, account: u32) {
         const MAX_ACCOUNTS: usize = 4_096;
         if self.accounts.len() > MAX_ACCOUNTS {
--- a/crates/dispatch/src/quota.rs
+++ b/crates/dispatch/src/quota.rs
@@ -1,6 +1,6 @@
 //! Enforcement of account limits on one host.
 //!
-//! A limit applies to the whole fleet; each host enforces a share of it. See
+//! A limit applies to the complete fleet; each host enforces a share of it. See
 //! docs/DESIGN-POLICY.md for the worst overshoot and undershoot.
 
 use std::collections::HashMap;
--- a/crates/dispatch/src/share.rs
+++ b/crates/dispatch/src/share.rs
@@ -11,7 +11,7 @@
 /// The inputs of a host for its share of one account's limits.
 #[derive(Debug, Clone, Copy)]
 pub struct ShareInputs {
-    /// The number of live entry hosts in the whole fleet.
+    /// The number of live entry hosts in the complete fleet.
     pub fleet_hosts: u32,
     /// The number of configured entry hosts of the hall, including this one.
     pub hall_hosts: u32,
--- a/crates/entry/src/adapter/client.rs
+++ b/crates/entry/src/adapter/client.rs
@@ -18,7 +18,7 @@
 /// Carries the time left, in milliseconds.
 const TIME_LEFT_HEADER: &str = "x-time-left-ms";
 
-/// How long an idle connection is kept. Shorter than the keep-alive of targets, so that few
+/// How long an idle connection is kept open. Shorter than the keep-alive of targets, so that few
 /// requests are sent on a connection that the target is closing.
 const KEEP_ALIVE_TIMEOUT: Seconds = Seconds(4);
 
--- a/crates/entry/src/caller/check.rs
+++ b/crates/entry/src/caller/check.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// Returns whether the request asks for deferred execution.
+/// Returns whether the caller requests deferred execution.
 pub(crate) fn is_deferred(headers: &HeaderMap) -> Result<bool, CallerError> {
     match header_text(headers, "x-mode", ErrorCode::BadHeader)? {
         None => Ok(false),
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -34,7 +34,7 @@
     pub(crate) leaving_changed: Notify,
 }
 
-/// State of one thread; HTTP clients cannot leave their thread.
+/// State of one thread; HTTP clients cannot be used by another thread.
 #[derive(Clone)]
 pub(crate) struct WorkerContext {
     pub(crate) entry: Arc<EntryContext>,
--- a/crates/entry/src/control_link.rs
+++ b/crates/entry/src/control_link.rs
@@ -118,7 +118,7 @@
                     ..
                 })) => return Ok(reply),
                 Ok(Ok(reply)) if reply.not_applied => sleep(RECONNECT_DELAY).await,
-                // Timed out before it was sent. Taking the token prevents that it is sent later.
+                // Timed out before it was sent. Taking the token prevents it from being sent later.
                 Err(_) if token.try_take() => {}
                 // The connection was lost or the call timed out after sending: it may be applied.
                 _ => failure = CallFailure::Unknown,
--- a/crates/entry/src/control_link/tests.rs
+++ b/crates/entry/src/control_link/tests.rs
@@ -11,7 +11,8 @@
     })
 }
 
-/// The queue is not served, as while the link connects to the next control host.
+/// Simulates the time in which the link connects to the next control host: nothing serves the
+/// queue.
 #[test]
 fn a_call_that_was_not_sent_in_time_was_not_applied_and_is_not_sent_later() {
     let test = async {
--- a/crates/entry/src/source.rs
+++ b/crates/entry/src/source.rs
@@ -58,8 +58,8 @@
         }
         let from_control = source == TableSource::Control;
         let on_received = |_| view.set_linked(from_control);
-        // Only control needs reports about the hall; a relay receives the heartbeats of the hall.
-        // To a relay the empty report only shows that this host is alive.
+        // Only a control host needs reports about the hall; a relay receives the heartbeats of the
+        // hall. To a relay the empty report only shows that this host is alive.
         let report = || FollowReport {
             hosts: if from_control {
                 view.reports(&entry)
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -205,7 +205,8 @@
         identity: node.identity().clone(),
         recorder: recorder.clone(),
         entry_host: no_entry_host,
-        // The quorum replicates the configuration; the directory of another host does not provide it.
+        // The quorum replicates the configuration; the directory of another host does not provide
+        // it.
         documents: None,
         is_control: true,
         own_address,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -27,11 +27,12 @@
 /// Interval at which a planned stop checks for requests in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time before the deadline of a planned stop at which the process ends even with requests in flight.
+/// Time before the deadline of a planned stop at which the process ends even with requests in
+/// flight.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time before that end at which requests in flight are aborted, so that their final responses still
-/// reach the callers.
+/// Time before that end at which requests in flight are aborted, so that their final responses
+/// still reach the callers.
 const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(500);
 
 type AnyError = Box<dyn std::error::Error>;
@@ -178,9 +179,9 @@
     }
 }
 
-/// Performs a planned stop. The host first reports not ready, so that the load balancer sends callers
-/// elsewhere. After `leave_ms` it closes connections between requests. It returns when no request is
-/// in flight or the deadline is reached.
+/// Performs a planned stop. The host first reports not ready, so that the load balancer sends
+/// callers elsewhere. After `leave_ms` it closes connections between requests. It returns when no
+/// request is in flight or the deadline is reached.
 async fn stop(
     gateway: &Rc<Gateway>,
     settings: &NodeSettings,
--- a/crates/node/src/http_server.rs
+++ b/crates/node/src/http_server.rs
@@ -1,5 +1,5 @@
-//! A small HTTP server for ports that read a complete request and write a complete response, without
-//! streaming.
+//! A small HTTP server for ports that read a complete request and write a complete response,
+//! without streaming.
 
 use std::convert::Infallible;
 use std::rc::Rc;
--- a/crates/node/src/notices_page.rs
+++ b/crates/node/src/notices_page.rs
@@ -1,4 +1,5 @@
-//! The page on which an entry host lists what targets requested of it: back-offs, rate limits and departures.
+//! The page on which an entry host lists what targets requested of it: back-offs, rate limits and
+//! departures.
 
 use http::StatusCode;
 use linnet_gateway::Gateway;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -11,9 +11,9 @@
 /// The value of `cluster.peer_keys` that disables authentication between processes.
 const NO_KEYS: &str = "none";
 
-/// The key used without authentication. It is public: messages are still checked for corruption, but any
-/// process that reaches the peer port can send valid ones, so the network has to restrict access to
-/// it.
+/// The key used without authentication. It is public: messages are still checked for corruption,
+/// but any process that reaches the peer port can send valid ones, so the network has to restrict
+/// access to it.
 const WELL_KNOWN_KEY: [u8; 32] = [0; 32];
 
 /// Returns the name, keys and clock that this process uses with peers.
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -24,9 +24,9 @@
     pub(crate) role: NodeRole,
 }
 
-/// Updates the seeds from the settings file until the process ends. An invalid file is logged once per
-/// change or signal, and the previous settings stay in force. Settings that apply only at start are
-/// not reloaded.
+/// Updates the seeds from the settings file until the process ends. An invalid file is logged once
+/// per change or signal, and the previous settings stay in force. Settings that apply only at start
+/// are not reloaded.
 pub(crate) async fn reload_settings(
     source: SettingsSource,
     seeds: watch::Sender<Vec<SocketAddr>>,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -16,8 +16,8 @@
     pub hall: String,
     /// Addresses on which it listens.
     pub listen: ListenSettings,
-    /// Region of each data hall. Evacuation orders for a hall that is not listed are refused; if none
-    /// is listed, any hall is accepted.
+    /// Region of each data hall. Evacuation orders for a hall that is not listed are refused; if
+    /// none is listed, any hall is accepted.
     #[serde(default)]
     pub halls: BTreeMap<String, String>,
     /// The cluster of control hosts.
@@ -31,22 +31,24 @@
     /// Limits of the policies of entry hosts.
     #[serde(default)]
     pub policy: PolicySettings,
-    /// Limits on the exposure to a version during its roll-out; control hosts only.
+    /// Limits on the requests to a version during its roll-out; control hosts only.
     #[serde(default)]
     pub rollout: RolloutSettings,
 }
 
-/// Limits on the requests that a version may receive during its roll-out, before it is proven good.
+/// Limits on the requests that a version may receive during its roll-out, before it is known to be
+/// good.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RolloutSettings {
-    /// Maximum share of the requests of the service that the version receives until the duration of the
-    /// roll-out has elapsed.
+    /// Maximum share of the requests of the service that the version receives until the duration of
+    /// the roll-out has elapsed.
     pub exposure_share: f64,
     /// Number of requests that it may receive in addition to that share.
     pub exposure_slack: f64,
-    /// Maximum time in milliseconds for which a version may still receive requests after it is found to
-    /// be bad. At least the time in which entry hosts notice that no control host is connected.
+    /// Maximum time in milliseconds for which a version may still receive requests after it is
+    /// found to be bad. At least the time in which entry hosts notice that no control host is
+    /// connected.
     pub rollback_ms: u64,
 }
 
@@ -60,8 +62,8 @@
     }
 }
 
-/// Minimum of `rollback_ms`: the time for which an entry host may keep using the last received state of
-/// a roll-out after it loses all control hosts.
+/// Minimum of `rollback_ms`: the time for which an entry host may keep using the last received
+/// state of a roll-out after it loses all control hosts.
 const MIN_ROLLBACK_MS: u64 = 2_000;
 
 /// Addresses on which a node listens. An address that its role does not use may be omitted.
@@ -76,8 +78,8 @@
     pub operators: Option<SocketAddr>,
     /// Address for other processes of the system, as announced to them.
     pub peers: Option<SocketAddr>,
-    /// Address to bind for other processes if it differs from the announced one, as behind a relay or
-    /// network address translation.
+    /// Address to bind for other processes if it differs from the announced one, as behind a relay
+    /// or network address translation.
     pub peers_bind: Option<SocketAddr>,
     /// Address for the metrics page.
     pub metrics: Option<SocketAddr>,
@@ -93,8 +95,8 @@
 /// The cluster of control hosts.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ClusterSettings {
-    /// Addresses of some control hosts. Their ports are ignored: the port of this host's `listen.peers`
-    /// is used for all of them.
+    /// Addresses of some control hosts. Their ports are ignored: the port of this host's
+    /// `listen.peers` is used for all of them.
     pub seeds: Vec<SocketAddr>,
     /// Whether this is the first start of the complete system.
     #[serde(default)]
@@ -129,7 +131,7 @@
     }
 }
 
-/// The retry budget of the whole fleet, for each service.
+/// The fleet-wide retry budget, for each service.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RetrySettings {
@@ -155,15 +157,15 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct PolicySettings {
-    /// Maximum bytes per second of calls to stage targets that a coordinator sends itself; it delegates
-    /// calls beyond that to other hosts. The default is a fifth of a link of 10 Mbit/s, the slowest that
-    /// the system is designed for.
+    /// Maximum bytes per second of calls to stage targets that a coordinator sends itself; it
+    /// delegates calls beyond that to other hosts. The default is a fifth of a link of 10 Mbit/s,
+    /// the slowest that the system is designed for.
     pub shared_bytes_per_s: f64,
-    /// Maximum time in milliseconds for which a request on a host that has just started waits for the
-    /// first configuration and the first targets. When a whole fleet starts, the configuration arrives
-    /// within 0.7 s, and each target with its next heartbeat, after 1.2 s at most. When 94 hosts lost
-    /// power, 340 callers were refused in that time and 107 more for lack of targets, which used up
-    /// their only retry.
+    /// Maximum time in milliseconds for which a request on a host that has just started waits for
+    /// the first configuration and the first targets. When a complete fleet starts, the
+    /// configuration arrives within 0.7 s, and each target with its next heartbeat, after 1.2 s at
+    /// most. When 94 hosts lost power, 340 callers were refused in that time and 107 more for lack
+    /// of targets, which used up their only retry.
     pub start_patience_ms: u64,
 }
 
@@ -201,8 +203,8 @@
 }
 
 impl NodeSettings {
-    /// Reads and validates a settings file. Each of `overrides` is `PLACE=VALUE` and replaces a value of
-    /// the file, as in `listen.metrics=127.0.0.1:9000`.
+    /// Reads and validates a settings file. Each of `overrides` is `PLACE=VALUE` and replaces a
+    /// value of the file, as in `listen.metrics=127.0.0.1:9000`.
     ///
     /// # Errors
     ///
--- a/crates/quorum/src/election.rs
+++ b/crates/quorum/src/election.rs
@@ -16,7 +16,8 @@
 /// Interval between checks of the election timer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts an election if no leader has been in contact, and steps down if the majority is lost.
+/// Starts an election if there was no contact with a leader, and steps down if the majority is
+/// lost.
 pub(crate) async fn run_elections(shared: Arc<ReplicaShared>) {
     loop {
         sleep(CHECK_INTERVAL).await;
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -29,7 +29,7 @@
 /// A request between replicas.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Asks whether the peer would grant its vote; changes no state.
+    /// Queries whether the peer would grant its vote; changes no state.
     PreVote(VoteRequest),
     /// Requests the peer's vote.
     Vote(VoteRequest),
@@ -81,8 +81,8 @@
         /// Whether the voter neither leads nor has been in contact with a leader since it started.
         leaderless: bool,
     },
-    /// Reply to a heartbeat, to a chunk that is not the last one, or to a chunk of a leader whose term
-    /// is over.
+    /// Reply to a heartbeat, to a chunk that is not the last one, or to a chunk of a leader whose
+    /// term is over.
     Acknowledged {
         /// The peer's term.
         term: u64,
--- a/crates/quorum/src/timing.rs
+++ b/crates/quorum/src/timing.rs
@@ -14,13 +14,13 @@
     /// Duration of a leader's lease, measured from the sending of a heartbeat that a majority
     /// acknowledged.
     pub lease_duration: Duration,
-    /// Minimum time without contact to a leader after which a voter takes part in an election.
+    /// Minimum time without contact with a leader after which a voter takes part in an election.
     pub min_election_timeout: Duration,
-    /// Maximum of the random time without contact to a leader after which a voter starts an
+    /// Maximum of the random time without contact with a leader after which a voter starts an
     /// election.
     pub max_election_timeout: Duration,
-    /// Minimum and maximum time that a replica without leader contact since its start waits before
-    /// it asks the voters whether any of them has had contact.
+    /// Minimum and maximum time that a replica without contact with a leader since its start waits
+    /// before it queries whether any voter has had contact.
     pub min_first_election_timeout: Duration,
     /// See [`QuorumTiming::min_first_election_timeout`].
     pub max_first_election_timeout: Duration,
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -88,7 +88,7 @@
 
 #[derive(Debug, Clone)]
 enum ModelStep {
-    /// A voter starts an election; the bits give the voters that its requests reach.
+    /// A voter starts an election; the bits identify the voters that its requests reach.
     StartElection(usize, u8),
     /// A leader appends an entry.
     Append(usize),
--- a/crates/quorum/tests/stored_form.rs
+++ b/crates/quorum/tests/stored_form.rs
@@ -13,7 +13,7 @@
     payload: ListPayload,
 }
 
-/// The position of a variant counts, not its name.
+/// The payload of [`ListEntry`]. The encoding contains the position of a variant, not its name.
 #[derive(Serialize)]
 #[allow(dead_code)]
 enum ListPayload {
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -89,7 +89,7 @@
 pub struct StageSpec {
     /// The service that runs the stage.
     pub service: String,
-    /// Indices of earlier stages whose results it takes.
+    /// Indices of earlier stages whose results it uses.
     pub depends_on: Vec<usize>,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
@@ -104,8 +104,8 @@
     pub health_path: String,
     /// Maximum number of connections that one target accepts from all callers.
     pub max_connections: u32,
-    /// Requests per second, from all hosts, that a cold target can handle; 0 if a cold target handles as many
-    /// as others.
+    /// Requests per second, from all hosts, that a cold target can handle; 0 if a cold target
+    /// handles as many as others.
     pub cold_per_s: f64,
     /// Set if the targets are model engines.
     pub engine: Option<EngineSpec>,
@@ -139,7 +139,8 @@
     pub result_memory_bytes: u64,
     /// Time that a result is retained after its call, in milliseconds.
     pub result_ttl_ms: u64,
-    /// Calls per second that a cold target can handle; 0 if a cold target handles as many as others.
+    /// Calls per second that a cold target can handle; 0 if a cold target handles as many as
+    /// others.
     pub cold_per_s: f64,
 }
 
@@ -159,7 +160,8 @@
     pub keys: Vec<String>,
     /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Regions in which its requests may run, in addition to the route's restriction; empty for all.
+    /// Regions in which its requests may run, in addition to the route's restriction; empty for
+    /// all.
     pub regions: Vec<String>,
 }
 
