--- a/crates/control/src/change_store.rs
+++ b/crates/control/src/change_store.rs
@@ -1,4 +1,5 @@
-//! Store of accepted change keys, so that a change that is sent again gets the same response as before.
+//! Store of accepted change keys, so that a change that is sent again gets the same response as
+//! before.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -46,7 +47,8 @@
     }
 }
 
-/// Returns a digest of the rows of a change, without its base version, which may differ when it is sent again.
+/// Returns a digest of the rows of a change, without its base version, which may differ when it is
+/// sent again.
 pub(crate) fn content_digest(change: &TableChange) -> [u8; 16] {
     let bytes = postcard::to_stdvec(&(&change.upserts, &change.deletes)).unwrap_or_default();
     let mut short = [0; 16];
--- a/crates/control/src/host_reports.rs
+++ b/crates/control/src/host_reports.rs
@@ -22,7 +22,7 @@
 }
 
 impl HostReportStore {
-    /// Merges received reports; of two reports on one host the one with the lower age is kept.
+    /// Merges received reports; of two reports on one host the one with the lower age is retained.
     pub(crate) fn merge_reports(&self, reports: Vec<HostReport>) {
         let now = Instant::now();
         let mut hosts = self.lock();
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,10 @@
 //! The control daemon: a voter that replicates the table and the claims, and serves them.
 //!
 //! - [`ControlSettings`] are its settings; [`run_control`] runs it.
-//! - [`ControlMachine`] is the replicated state machine; [`ControlCommand`] and [`ControlCommandReply`]
-//!   are its commands and their replies.
-//! - [`ControlStatus`], [`ChangeResponse`] and [`FormClusterRequest`] are the messages of its operators' interface.
+//! - [`ControlMachine`] is the replicated state machine; [`ControlCommand`] and
+//!   [`ControlCommandReply`] are its commands and their replies.
+//! - [`ControlStatus`], [`ChangeResponse`] and [`FormClusterRequest`] are the messages of its
+//!   operators' interface.
 
 mod calls;
 mod change_store;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -167,8 +167,8 @@
     }
 
     fn restore(&self, bytes: &[u8]) {
-        // The checksum of the snapshot was verified, so bytes that cannot be decoded come from a newer
-        // build. Continuing with an empty state would lose accepted changes.
+        // The checksum of the snapshot was verified, so bytes that cannot be decoded come from a
+        // newer build. Continuing with an empty state would lose accepted changes.
         let image: MachineImage = match postcard::from_bytes(bytes) {
             Ok(image) => image,
             Err(error) => {
--- a/crates/control/src/ops.rs
+++ b/crates/control/src/ops.rs
@@ -77,8 +77,8 @@
         /// The leader, if known.
         leader: Option<Member>,
     },
-    /// The outcome is not known yet. Sending the change again under the same key is safe and returns
-    /// the outcome.
+    /// The outcome is not known yet. Sending the change again under the same key is safe and
+    /// returns the outcome.
     Unknown,
     /// The change was not accepted; it can be sent again.
     Busy {
@@ -142,8 +142,9 @@
     if let Some(refused) = check_operator(&request, &ops) {
         return refused;
     }
-    // The lease is checked after the request arrived, so no newer version had been accepted elsewhere
-    // when the operator sent it. `?stale=1` returns the table of this host without that check.
+    // The lease is checked after the request arrived, so no newer version had been accepted
+    // elsewhere when the operator sent it. `?stale=1` returns the table of this host without that
+    // check.
     let stale = request.query_string() == "stale=1";
     if !stale && !context.replica.has_valid_lease() {
         return not_leader_response(&context);
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -96,7 +96,8 @@
     ///
     /// # Errors
     ///
-    /// An error of the step [`CtlStep::Apply`] with the message of the host if it refuses the order.
+    /// An error of the step [`CtlStep::Apply`] with the message of the host if it refuses the
+    /// order.
     pub(crate) async fn execute(
         &self,
         host: SocketAddr,
@@ -139,8 +140,8 @@
 
     /// Sends a request to the leader and searches for the leader until the timeout.
     ///
-    /// If a connection is lost after the request was sent, its outcome is unknown; the caller decides
-    /// whether sending it again is safe.
+    /// If a connection is lost after the request was sent, its outcome is unknown; the caller
+    /// decides whether sending it again is safe.
     pub(crate) async fn send_to_leader<T: Serialize>(
         &self,
         method: Method,
--- a/crates/ctl/src/form.rs
+++ b/crates/ctl/src/form.rs
@@ -10,8 +10,8 @@
 use crate::client::{OpsClient, error_text};
 use crate::{CtlError, CtlStep};
 
-/// Forms a cluster of the hosts named by `--control`. After a partial failure it can be run again and
-/// continues with the same cluster.
+/// Forms a cluster of the hosts named by `--control`. After a partial failure it can be run again
+/// and continues with the same cluster.
 pub(crate) async fn form_cluster(client: &OpsClient) -> Result<(), CtlError> {
     let mut found: Vec<(SocketAddr, ControlStatus)> = Vec::new();
     for (host, status) in client.all_statuses().await? {
--- a/crates/ctl/src/held.rs
+++ b/crates/ctl/src/held.rs
@@ -10,7 +10,8 @@
 use crate::settings::HeldCommand;
 use crate::{CtlError, CtlStep};
 
-/// Runs a command on held requests at the first control host that succeeds; all have the same records.
+/// Runs a command on held requests at the first control host that succeeds; all have the same
+/// records.
 pub(crate) async fn run_held(client: &OpsClient, command: HeldCommand) -> Result<(), CtlError> {
     let mut last_error = None;
     for host in client.control_hosts()? {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! - [`CtlSettings`] defines the arguments; [`run_ctl`] runs one command.
 //! - `client` sends requests to the control hosts and finds the leader.
-//! - `table`, `status`, `timeline`, `member`, `held`, `rollout`, `notices` and `form` implement one group of commands each.
+//! - `table`, `status`, `timeline`, `member`, `held`, `rollout`, `notices` and `form` implement one
+//!   group of commands each.
 //! - `logs` implements the commands on collected logs, which contact no host.
 
 mod client;
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Locks the table in force for reading. The guard must be dropped soon and not be held across an await.
+    /// Locks the table in force for reading. The guard must be dropped soon and not be held across
+    /// an await.
     pub fn read(&self) -> RwLockReadGuard<'_, TableStore> {
         self.table.read().unwrap_or_else(PoisonError::into_inner)
     }
@@ -84,12 +85,12 @@
         *self.version.borrow()
     }
 
-    /// Returns the number of live entry hosts in the whole deployment; 0 for unknown.
+    /// Returns the number of live entry hosts in the complete deployment; 0 for unknown.
     pub fn entry_host_count(&self) -> u32 {
         self.entry_host_count.load(Ordering::Relaxed)
     }
 
-    /// Sets the number of live entry hosts in the whole deployment.
+    /// Sets the number of live entry hosts in the complete deployment.
     pub fn set_entry_host_count(&self, hosts: u32) {
         self.entry_host_count.store(hosts, Ordering::Relaxed);
     }
@@ -110,7 +111,8 @@
         Ok(version)
     }
 
-    /// Applies a change that another process has validated; returns false if it is not the next version.
+    /// Applies a change that another process has validated; returns false if it is not the next
+    /// version.
     pub fn apply_checked_change(&self, version: u64, change: TableChange) -> bool {
         {
             let mut table = self.write();
@@ -138,7 +140,8 @@
         true
     }
 
-    /// Replaces the table regardless of its version; only for a replica that starts or installs a snapshot.
+    /// Replaces the table regardless of its version; only for a replica that starts or installs a
+    /// snapshot.
     pub fn restore(&self, image: TableStore) {
         let version = image.version();
         *self.write() = image;
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Returns the complete table in parts. Followers that are served at the same time share one image, so
-    /// that a data hall whose hosts all start at once does not multiply its memory.
+    /// Returns the complete table in parts. Followers that are served at the same time share one
+    /// image, so that a data hall whose hosts all start at once does not multiply its memory.
     pub fn image(&self) -> Arc<TableImage> {
         let mut cached = self.image.lock().unwrap_or_else(PoisonError::into_inner);
         let table = self.read();
--- a/crates/feed/src/follow.rs
+++ b/crates/feed/src/follow.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Follows one source until the connection is lost. `on_version` is called with the version of the source
-/// for each message, `report` returns the report that is sent to the source periodically.
+/// Follows one source until the connection is lost. `on_version` is called with the version of the
+/// source for each message, `report` returns the report that is sent to the source periodically.
 ///
 /// # Errors
 ///
--- a/crates/feed/src/message.rs
+++ b/crates/feed/src/message.rs
@@ -57,7 +57,8 @@
     Heartbeat {
         /// Version of the source.
         version: u64,
-        /// Number of live entry hosts in the whole deployment, as far as the source knows; 0 for unknown.
+        /// Number of live entry hosts in the complete deployment, as far as the source knows; 0 for
+        /// unknown.
         entry_hosts: u32,
     },
 }
--- a/crates/feed/src/serve.rs
+++ b/crates/feed/src/serve.rs
@@ -14,7 +14,8 @@
 /// Time without a byte received from or accepted by a follower after which it counts as gone.
 const FOLLOWER_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves one follower until its connection ends. `on_report` is called with each report of the follower.
+/// Serves one follower until its connection ends. `on_report` is called with each report of the
+/// follower.
 ///
 /// # Errors
 ///
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -71,7 +71,8 @@
 }
 
 impl JournalError {
-    /// Returns whether the process must end, because the data folder is unusable or in an unknown state.
+    /// Returns whether the process must end, because the data folder is unusable or in an unknown
+    /// state.
     pub fn is_fatal(&self) -> bool {
         !matches!(self, JournalError::DiskFull { .. })
     }
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -11,8 +11,8 @@
 const LOCK_NAME: &str = "lock";
 const METADATA_NAME: &str = "mark";
 
-/// Metadata of the replica that owns a data folder. A wiped folder gets a new identity, so that its replica is
-/// a new replica.
+/// Metadata of the replica that owns a data folder. A wiped folder gets a new identity, so that its
+/// replica is a new replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FolderMetadata {
     /// Random identity of the replica, set when the folder was first opened.
@@ -36,8 +36,8 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::Locked`] if another process has locked it, [`JournalError::Corrupt`] if its metadata
-    /// cannot be decoded, or is missing while the folder contains records.
+    /// [`JournalError::Locked`] if another process has locked it, [`JournalError::Corrupt`] if its
+    /// metadata cannot be decoded, or is missing while the folder contains records.
     pub fn open(path: &Path, fresh_identity: u64) -> Result<Self, JournalError> {
         fs::create_dir_all(path)
             .map_err(|error| JournalError::fatal(JournalStep::Lock, path, error))?;
@@ -119,8 +119,8 @@
         .map_err(|error| corrupt(&error.to_string()))
 }
 
-// Records without metadata mean that the metadata was lost. A new identity for the records of another
-// replica could let it vote twice in one term, so the folder is rejected.
+// Records without metadata mean that the metadata was lost. A new identity for the records of
+// another replica could let it vote twice in one term, so the folder is rejected.
 fn new_metadata(folder: &Path, identity: u64) -> Result<FolderMetadata, JournalError> {
     let has_records = fs::read_dir(folder)
         .map_err(|error| JournalError::fatal(JournalStep::Recover, folder, error))?
@@ -152,7 +152,8 @@
         .map_err(|error| JournalError::fatal(JournalStep::Write, &path, error))
 }
 
-/// Replaces a file atomically: after a crash either the old or the new content is there completely.
+/// Replaces a file atomically: after a crash it has either the complete old or the complete new
+/// content.
 pub(crate) fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> std::io::Result<()> {
     let temporary = folder.join(format!("{name}.tmp"));
     let mut file = File::create(&temporary)?;
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -80,9 +80,9 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::DiskFull`] if the disk is full: the write is undone and the journal stays usable.
-    /// A fatal error if a write could not be undone or a sync failed: the state of the disk is
-    /// unknown then, and a second sync that succeeds would not prove that the data is durable.
+    /// [`JournalError::DiskFull`] if the disk is full: the write is undone and the journal stays
+    /// usable. A fatal error if a write could not be undone or a sync failed: the state of the disk
+    /// is unknown then, and a second sync that succeeds would not prove that the data is durable.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), JournalError> {
         let payload = encode_records(records);
         self.frame_buffer.clear();
@@ -101,8 +101,8 @@
     ///
     /// # Errors
     ///
-    /// [`JournalError::DiskFull`] if the new generation could not be written: the old one stays in use.
-    /// A fatal error if the new journal file cannot be opened.
+    /// [`JournalError::DiskFull`] if the new generation could not be written: the old one stays in
+    /// use. A fatal error if the new journal file cannot be opened.
     pub fn compact(&mut self, snapshot: &[u8], records: &[Vec<u8>]) -> Result<(), JournalError> {
         let generation = self.generation + 1;
         let mut frame = Vec::new();
@@ -159,8 +159,8 @@
     next_sequence: u64,
 }
 
-// An invalid last frame is a torn write, which was never acknowledged, so it is truncated. An invalid frame
-// before a valid one had been synced, so the file is rejected as corrupt.
+// An invalid last frame is a torn write, which was never acknowledged, so it is truncated. An
+// invalid frame before a valid one had been synced, so the file is rejected as corrupt.
 fn scan_frames(path: &Path, bytes: &[u8]) -> Result<FrameScan, JournalError> {
     let corrupt = |offset: usize, reason: String| JournalError::Corrupt {
         step: JournalStep::Recover,
@@ -278,8 +278,8 @@
     file.sync_all()
 }
 
-// Called once the given generation is complete, so the others are not needed. A failure to remove them
-// costs disk space, not data.
+// Called once the given generation is complete, so the others are not needed. A failure to remove
+// them costs disk space, not data.
 fn remove_other_generations(folder: &Path, generation: u64) {
     let Ok(listing) = fs::read_dir(folder) else {
         return;
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -7,7 +7,7 @@
 
 use crate::{Journal, JournalError};
 
-/// Size of the collected records from which a group takes no more; keeps a group within one frame.
+/// Size of the collected records at which a group is closed, so that it fits into one frame.
 const MAX_GROUP_BYTES: usize = 8 * 1024 * 1024;
 
 /// Resolves when the records are durable, with an error if the write was refused.
@@ -44,7 +44,8 @@
         Self { jobs }
     }
 
-    /// Queues records; all appends that are queued when the disk is idle share one frame and one sync.
+    /// Queues records; all appends that are queued when the disk is idle share one frame and one
+    /// sync.
     pub fn append(&self, records: Vec<Vec<u8>>) -> CommitReceiver {
         let (done, receiver) = oneshot::channel();
         // A closed queue drops `done`, which the receiver reports.
@@ -52,8 +53,8 @@
         receiver
     }
 
-    /// Accepts jobs again after a refused append; to be called once the owner has rolled back the refused
-    /// records.
+    /// Accepts jobs again after a refused append; to be called once the owner has rolled back the
+    /// refused records.
     pub fn resume(&self) {
         let _ = self.jobs.send(Job::Resume);
     }
@@ -104,7 +105,8 @@
     }
 }
 
-// Adds the queued appends to a group until it reaches `MAX_GROUP_BYTES`; returns the first other job.
+// Adds the queued appends to a group until it reaches `MAX_GROUP_BYTES`; returns the first other
+// job.
 fn collect_group(
     queue: &Receiver<Job>,
     records: &mut Vec<Vec<u8>>,
--- a/crates/logbook/src/explain.rs
+++ b/crates/logbook/src/explain.rs
@@ -4,7 +4,7 @@
 
 use crate::LogLine;
 
-/// Maximum number of lines about the request's targets, of which the newest are kept.
+/// Maximum number of lines about the request's targets; the newest lines are retained.
 const MAX_TARGET_LINES: usize = 12;
 
 /// The logged history of one request.
@@ -12,10 +12,11 @@
 pub struct RequestHistory {
     /// Lines that concern the request, ordered by time.
     pub lines: Vec<LogLine>,
-    /// Events of the targets that it was sent to, up to its last line. If it was refused because all
-    /// targets of its service were unavailable, also the notices of these targets.
+    /// Events of the targets that it was sent to, up to its last line. If it was refused because
+    /// all targets of its service were unavailable, also the notices of these targets.
     pub target_lines: Vec<LogLine>,
-    /// Quarantine events of the same request under other ids and at other hosts, up to its last line.
+    /// Quarantine events of the same request under other ids and at other hosts, up to its last
+    /// line.
     pub held_lines: Vec<LogLine>,
     /// The outcome and its cause, in one sentence.
     pub summary: String,
@@ -54,8 +55,8 @@
     })
 }
 
-/// Returns the quarantine events, up to a time, of the same request under other ids. The lines are matched
-/// by the request key, which quarantine events and the refusal contain.
+/// Returns the quarantine events, up to a time, of the same request under other ids. The lines are
+/// matched by the request key, which quarantine events and the refusal contain.
 fn held_lines(all: &[LogLine], own: &[LogLine], until: &str) -> Vec<LogLine> {
     let key_of = |line: &LogLine| line.field("key").map(str::to_owned);
     let Some(key) = own.iter().find_map(key_of) else {
@@ -82,8 +83,8 @@
     held
 }
 
-/// Texts that follow the name of the service in a refusal because all its targets are unavailable: they
-/// are backed off, or their rate limits are used up.
+/// Texts that follow the name of the service in a refusal because all its targets are unavailable:
+/// they are backed off, or their rate limits are used up.
 const UNAVAILABLE_PHRASES: [&str; 2] = [" wants no requests", " names a rate"];
 
 /// The host and service of a refusal because all targets of the service were unavailable.
@@ -103,8 +104,8 @@
     })
 }
 
-/// Returns whether a line records that a target of an unavailable service backed off, limited its rate or
-/// is leaving, as seen by the host that refused the request.
+/// Returns whether a line records that a target of an unavailable service backed off, limited its
+/// rate or is leaving, as seen by the host that refused the request.
 fn explains_refusal(line: &LogLine, unavailable: UnavailableService<'_>) -> bool {
     let is_notice = matches!(
         line.code,
@@ -157,8 +158,9 @@
     )
 }
 
-/// Describes the planned and the actual time until the response to a request began, from the first line
-/// that has both. The times of calls to stage targets are in other lines, without a planned time.
+/// Describes the planned and the actual time until the response to a request began, from the first
+/// line that has both. The times of calls to stage targets are in other lines, without a planned
+/// time.
 fn describe_times(lines: &[LogLine]) -> String {
     let both = lines.iter().find_map(|line| {
         let planned = line.field_ms("planned_ms")?;
--- a/crates/logbook/src/explain/tests.rs
+++ b/crates/logbook/src/explain/tests.rs
@@ -46,7 +46,8 @@
     assert!(history.target_lines.is_empty());
 }
 
-/// A caller's retry has another id; the request key links it to the crashes of the earlier attempts.
+/// A caller's retry has another id; the request key links it to the crashes of the earlier
+/// attempts.
 #[test]
 fn a_held_request_includes_the_crashes_under_its_other_ids() {
     const LOG: &str = "\
--- a/crates/logbook/src/lib.rs
+++ b/crates/logbook/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! - [`LogLine`] is one parsed line.
 //! - [`LossTable`] counts the outcomes of requests and compares planned with actual times.
-//! - [`explain_request`] collects the lines of all processes about one request and the causes of its outcome.
+//! - [`explain_request`] collects the lines of all processes about one request and the causes of
+//!   its outcome.
 
 mod explain;
 mod line;
--- a/crates/logbook/src/line.rs
+++ b/crates/logbook/src/line.rs
@@ -22,8 +22,8 @@
 }
 
 impl LogLine {
-    /// Parses a line; returns `None` if it records no event known to this version. A prefix before the
-    /// time, such as log collectors add, is ignored.
+    /// Parses a line; returns `None` if it records no event known to this version. A prefix before
+    /// the time, such as log collectors add, is ignored.
     pub fn parse(text: &str) -> Option<Self> {
         let (before, after) = text.split_once(" event=")?;
         let time = before.split_whitespace().rev().nth(1)?.to_owned();
@@ -55,7 +55,8 @@
         self.field(name)?.parse().ok()
     }
 
-    /// Returns the outcome of a request without its details: `answered`, `overloaded`, `target_failed`.
+    /// Returns the outcome of a request without its details: `answered`, `overloaded`,
+    /// `target_failed`.
     pub fn outcome(&self) -> Option<&str> {
         let (_, outcome) = self.detail.split_once("outcome=")?;
         Some(outcome.split(':').next().unwrap_or(outcome))
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -108,7 +108,7 @@
     pub account: String,
     /// The pipeline or plain service.
     pub pipeline: String,
-    /// The weight that replaces the account's own one on this route.
+    /// The weight on this route, in place of that of the account.
     pub weight: Option<u32>,
     /// Limits that apply in addition to those of the account.
     pub limits: RowLimits,
--- a/crates/table/src/store.rs
+++ b/crates/table/src/store.rs
@@ -13,7 +13,8 @@
     ServiceRow, StageRow, TableChange, TableRow, verify_change,
 };
 
-/// The maximum number of deletions kept to detect conflicts with changes based on older versions.
+/// The maximum number of deletions retained to detect conflicts with changes based on older
+/// versions.
 const MAX_TOMBSTONES: usize = 4_096;
 
 /// The id of a client account in a [`TableStore`].
@@ -187,7 +188,8 @@
         own.unwrap_or(self.accounts[account].weight)
     }
 
-    /// Returns the limits of an account on a route, which apply in addition to those of the account.
+    /// Returns the limits of an account on a route, which apply in addition to those of the
+    /// account.
     pub fn route_limits(&self, account: AccountId, route: RouteId) -> RowLimits {
         let limit = self.limits.get(&(account, route));
         limit.map(|limit| limit.limits).unwrap_or_default()
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`HybridClock`] stamps events so that causes sort before effects across processes.
 //! - [`EventCode`] is the closed set of events; `docs/EVENTS.md` is its catalogue.
 //! - [`EventRecorder`] keeps a bounded ring of events and writes them to the log.
-//! - [`NoticeLine`] reports to operators what a target asked of an entry host.
+//! - [`NoticeLine`] reports to operators what a target requested of an entry host.
 //! - [`merge_events`] merges the rings of several processes into one timeline.
 
 mod clock;
--- a/crates/telemetry/src/notice_line.rs
+++ b/crates/telemetry/src/notice_line.rs
@@ -1,4 +1,5 @@
-//! Report of an entry host to operators on the back-offs, rate limits and departures announced by targets.
+//! Report of an entry host to operators on the back-offs, rate limits and departures announced by
+//! targets.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +18,7 @@
     Leaving,
 }
 
-/// What one target asked of the reporting host.
+/// What one target requested of the reporting host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NoticeLine {
     /// Identity of the target.
@@ -32,11 +33,11 @@
     pub remaining_ms: u64,
     /// Number of sends that were withheld.
     pub withheld: u64,
-    /// Rate limit of the target for all hosts together, in requests per second as a decimal number; `None` if it
-    /// has none.
+    /// Rate limit of the target for all hosts together, in requests per second as a decimal number;
+    /// `None` if it has none.
     #[serde(default)]
     pub per_second: Option<String>,
-    /// Number of requests that this host has sent since the target has a rate limit.
+    /// Number of requests that this host has sent since the target has had a rate limit.
     #[serde(default)]
     pub sent: u64,
 }
--- a/crates/telemetry/src/recorder.rs
+++ b/crates/telemetry/src/recorder.rs
@@ -7,7 +7,7 @@
 
 use crate::{EventCode, EventLevel, HybridClock, Stamp};
 
-/// Number of events that a process keeps in memory; older ones are dropped.
+/// Number of events that a process retains in memory; older ones are dropped.
 pub const RING_CAPACITY: usize = 8_192;
 
 /// An event in one process.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Stamps events, keeps the newest of them and writes them to the log.
+/// Stamps events, retains the newest of them and writes them to the log.
 #[derive(Debug)]
 pub struct EventRecorder {
     host: String,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sets the number of events that are kept, at least 1.
+    /// Sets the number of events that are retained, at least 1.
     pub fn with_capacity(mut self, capacity: usize) -> Self {
         self.capacity = capacity.max(1);
         self
@@ -113,7 +113,7 @@
         ring.push_back(event);
     }
 
-    /// Returns the kept events that match, oldest first.
+    /// Returns the retained events that match, oldest first.
     pub fn select(&self, query: &EventQuery) -> Vec<Event> {
         let ring = self.lock();
         ring.iter()
--- a/crates/telemetry/src/timeline.rs
+++ b/crates/telemetry/src/timeline.rs
@@ -4,7 +4,8 @@
 
 /// Merges the rings of several processes into one list in causal order.
 ///
-/// Stamps define the order of cause and effect; the host name only makes the order of equal stamps stable.
+/// Stamps define the order of cause and effect; the host name only makes the order of equal stamps
+/// stable.
 pub fn merge_events(rings: Vec<Vec<Event>>) -> Vec<Event> {
     let mut merged: Vec<Event> = rings.into_iter().flatten().collect();
     merged.sort_by(|a, b| (a.stamp, &a.host).cmp(&(b.stamp, &b.host)));
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -31,8 +31,8 @@
     /// The peer did not complete the handshake within its timeout.
     #[display("handshake timed out")]
     TimedOut,
-    /// No byte was transferred for the silence timeout. The number of bytes transferred before tells
-    /// an interrupted link (none) from an overloaded one.
+    /// No byte was transferred for the silence timeout. The number of bytes transferred before
+    /// distinguishes an interrupted link (none) from an overloaded one.
     #[display(
         "no byte transferred for {} ms, after {transferred_bytes} of {message_bytes} bytes of a message",
         timeout.as_millis()
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,4 +1,5 @@
-//! The handshake: both ends prove possession of the shared key over fresh nonces and exchange names.
+//! The handshake: both ends prove possession of the shared key over fresh nonces and exchange
+//! names.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -271,9 +272,9 @@
     postcard::from_bytes(&body).map_err(|error| handshake_error(peer, WireCause::Malformed(error)))
 }
 
-/// Reads a message and the message version that follows it; `None` for builds that announce no version.
-/// The proof does not cover the version: with a wrong one messages fail to decode, which ends the
-/// connection, and frames are authenticated in any version.
+/// Reads a message and the message version that follows it; `None` for builds that announce no
+/// version. The proof does not cover the version: with a wrong one messages fail to decode, which
+/// ends the connection, and frames are authenticated in any version.
 async fn read_with_version<M: DeserializeOwned>(
     socket: &mut TcpStream,
     peer: &str,
--- a/crates/wire/src/handshake/tests.rs
+++ b/crates/wire/src/handshake/tests.rs
@@ -10,8 +10,8 @@
     }
 }
 
-/// Performs the handshake as a build that appends `suffix` to its hello; returns the version that the
-/// other end announces.
+/// Performs the handshake as a build that appends `suffix` to its hello; returns the version that
+/// the other end announces.
 async fn call_with_suffix(
     socket: &mut TcpStream,
     suffix: &[u8],
@@ -38,7 +38,8 @@
     Ok(version)
 }
 
-/// Returns the version of the connection on the accepting end, and the one announced to the calling end.
+/// Returns the version of the connection on the accepting end, and the one announced to the calling
+/// end.
 async fn join(
     suffix: &[u8],
 ) -> (
@@ -94,8 +95,8 @@
     }
 }
 
-/// The encoded handshake must stay as it was shipped; the last byte of hello and welcome is the announced
-/// message version.
+/// The encoded handshake must stay as it was shipped; the last byte of hello and welcome is the
+/// announced message version.
 #[test]
 fn handshake_encoding_is_unchanged() {
     let hex = |bytes: Vec<u8>| -> String { bytes.iter().map(|one| format!("{one:02x}")).collect() };
--- a/crates/wire/src/message_version.rs
+++ b/crates/wire/src/message_version.rs
@@ -1,9 +1,10 @@
 //! Negotiation of the message version between two builds.
 //!
-//! Messages are encoded without field names, so each change of a message needs a new version. A build
-//! announces the newest version that it supports in the handshake, after the part that earlier builds
-//! decode; both ends use the older one of the two announced versions. Builds that predate the announcement
-//! use version 1 or 2, which is detected from their first messages, see [`MessageVersion::detect`].
+//! Messages are encoded without field names, so each change of a message needs a new version. A
+//! build announces the newest version that it supports in the handshake, after the part that
+//! earlier builds decode; both ends use the older one of the two announced versions. Builds that
+//! predate the announcement use version 1 or 2, which is detected from their first messages, see
+//! [`MessageVersion::detect`].
 
 use derive_more::Display;
 use serde::Serialize;
@@ -18,11 +19,12 @@
     /// Adds start times of targets and reports of requests that crash targets.
     #[display("2")]
     V2,
-    /// Adds roll-outs to the log and tails after some messages; the messages are those of version 2.
+    /// Adds roll-outs to the log and tails after some messages; the messages are those of version
+    /// 2.
     #[display("3")]
     V3,
-    /// Adds send permits between entry hosts for targets with a rate limit, and reports of rate limits by control
-    /// hosts; otherwise the same as version 3.
+    /// Adds send permits between entry hosts for targets with a rate limit, and reports of rate
+    /// limits by control hosts; otherwise the same as version 3.
     #[display("4")]
     V4,
 }
@@ -41,8 +43,8 @@
         }
     }
 
-    /// Returns the version to use with a peer that announces `number`: the newest one if the peer supports that
-    /// or a later one.
+    /// Returns the version to use with a peer that announces `number`: the newest one if the peer
+    /// supports that or a later one.
     pub fn negotiate(number: u16) -> Self {
         match number {
             0 | 1 => Self::V1,
@@ -52,9 +54,10 @@
         }
     }
 
-    /// Decodes a message of a peer that announced no version and detects the version from it: a message decodes
-    /// without remaining bytes in the version in which it was written. `N` is its type as of version 2, `F` that of
-    /// version 1. Returns no version if both encode the message to the same bytes.
+    /// Decodes a message of a peer that announced no version and detects the version from it: a
+    /// message decodes without remaining bytes in the version in which it was written. `N` is its
+    /// type as of version 2, `F` that of version 1. Returns no version if both encode the message
+    /// to the same bytes.
     ///
     /// # Errors
     ///
@@ -76,7 +79,8 @@
     }
 }
 
-/// Decodes a message and rejects remaining bytes: a prefix of one message may decode as another type.
+/// Decodes a message and rejects remaining bytes: a prefix of one message may decode as another
+/// type.
 fn decode_complete<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, postcard::Error> {
     match postcard::take_from_bytes(bytes)? {
         (message, []) => Ok(message),
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -1,8 +1,8 @@
 //! Messages over an authenticated TCP connection.
 //!
 //! A frame is: length (4, little endian), body, keyed hash (16). The body is the sender's clock
-//! stamp (8) and a `postcard` message. The hash covers direction and sequence number, so a frame that
-//! is repeated, omitted or reflected to its sender is rejected.
+//! stamp (8) and a `postcard` message. The hash covers direction and sequence number, so a frame
+//! that is repeated, omitted or reflected to its sender is rejected.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -21,12 +21,12 @@
 /// Maximum size of a message between peers.
 pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// Size of the read buffer of a connection. Most messages are shorter, so that reading one takes one
-/// system call instead of four: its length, its body, its hash, and an attempt at the next one. A host
-/// with connections to 300 others uses 600 KB for these buffers.
+/// Size of the read buffer of a connection. Most messages are shorter, so that reading one takes
+/// one system call instead of four: its length, its body, its hash, and an attempt at the next one.
+/// A host with connections to 300 others uses 600 KB for these buffers.
 pub(crate) const READ_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Size of the queued messages from which [`PeerWriter::queue`] asks for a flush.
+/// Size of the queued messages from which [`PeerWriter::queue`] requests a flush.
 const FLUSH_THRESHOLD_BYTES: usize = 16 * 1024;
 
 const HASH_BYTES: usize = 16;
@@ -37,7 +37,8 @@
 pub struct Session {
     pub(crate) secret: [u8; 32],
     pub(crate) peer: String,
-    /// The version in use; `None` until the peer has announced one or it was detected from a message.
+    /// The version in use; `None` until the peer has announced one or it was detected from a
+    /// message.
     pub(crate) message_version: Option<MessageVersion>,
     pub(crate) clock: Arc<HybridClock>,
 }
@@ -76,7 +77,8 @@
 }
 
 impl PeerWriter {
-    /// Makes a send fail if the socket accepts no byte for `timeout`; without it a send waits without limit.
+    /// Makes a send fail if the socket accepts no byte for `timeout`; without it a send waits
+    /// without limit.
     pub fn with_silence_timeout(mut self, timeout: Duration) -> Self {
         self.silence_timeout = Some(timeout);
         self
@@ -92,8 +94,8 @@
         self.flush().await
     }
 
-    /// Queues a message until [`PeerWriter::flush`], so that several are sent in one write; returns whether
-    /// the queue is large enough that it should be flushed now.
+    /// Queues a message until [`PeerWriter::flush`], so that several are sent in one write; returns
+    /// whether the queue is large enough that it should be flushed now.
     ///
     /// # Errors
     ///
@@ -169,18 +171,19 @@
 }
 
 impl PeerReader {
-    /// Makes a receive fail if no byte arrives for `timeout`; without it a receive waits without limit.
+    /// Makes a receive fail if no byte arrives for `timeout`; without it a receive waits without
+    /// limit.
     ///
-    /// The timeout applies between bytes, not between messages: a peer whose large message crosses a
-    /// slow link is alive, and reconnecting would restart the message. With a timeout of 1.6 s between
-    /// messages, a message of 1.0 MB at 150 KB/s never arrived.
+    /// The timeout applies between bytes, not between messages: a peer whose large message crosses
+    /// a slow link is alive, and reconnecting would restart the message. With a timeout of 1.6 s
+    /// between messages, a message of 1.0 MB at 150 KB/s never arrived.
     pub fn with_silence_timeout(mut self, timeout: Duration) -> Self {
         self.silence_timeout = Some(timeout);
         self
     }
 
-    /// Receives one message. Not cancel-safe: dropping the future in the middle of a frame leaves the
-    /// connection unusable.
+    /// Receives one message. Not cancel-safe: dropping the future in the middle of a frame leaves
+    /// the connection unusable.
     ///
     /// # Errors
     ///
@@ -189,8 +192,8 @@
         self.receive_as(|bytes| postcard::from_bytes(bytes)).await
     }
 
-    /// Receives one message whose type in version 1 is `F`. If the peer announced no version, each message is
-    /// used to detect it until one does.
+    /// Receives one message whose type in version 1 is `F`. If the peer announced no version, each
+    /// message is used to detect it until one does.
     ///
     /// # Errors
     ///
@@ -211,8 +214,9 @@
         }
     }
 
-    /// Receives a message as [`PeerReader::receive_versioned`] does, with the two optional tails that follow it.
-    /// Builds that support no tail, or only the first, omit the others and ignore them when they receive them.
+    /// Receives a message as [`PeerReader::receive_versioned`] does, with the two optional tails
+    /// that follow it. Builds that support no tail, or only the first, omit the others and ignore
+    /// them when they receive them.
     ///
     /// # Errors
     ///
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -219,7 +219,8 @@
     }
 }
 
-/// Both ends of a connection; holding both keeps either from being closed while the other is in use.
+/// Both ends of a connection; holding both keeps either from being closed while the other is in
+/// use.
 struct SlowEnds {
     near: (PeerReader, PeerWriter),
     far: (PeerReader, PeerWriter),
