--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -118,8 +118,8 @@
 }
 
 impl CallEvent {
-    /// Returns the event of a call. There is none for lease renewals and returned leases of
-    /// deferred requests, nor for queries, which are too frequent.
+    /// Returns the event of a call. There is none for renewals and releases of leases of deferred
+    /// requests, nor for queries, which are too frequent.
     fn of(request: &CallRequest) -> Option<Self> {
         let (code, detail) = match &request.call {
             ControlCall::Claim(step) => claim_event(step),
--- a/crates/directory/src/form.rs
+++ b/crates/directory/src/form.rs
@@ -84,9 +84,9 @@
     }
 }
 
-/// Returns the control host to request membership from: one that knows a leader, with the longest
-/// log. A host that was removed as well knows no leader, and two such hosts would send each other
-/// requests for ever.
+/// Returns the control host to request membership from: preferably one that knows a leader, and
+/// among these the one with the longest log. A host that was removed as well knows no leader, and
+/// two such hosts would send each other requests for ever.
 fn choose_sponsor(identities: &[Identity]) -> Option<&Identity> {
     let members = identities
         .iter()
--- a/crates/directory/src/held_requests.rs
+++ b/crates/directory/src/held_requests.rs
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Returns the records that the log lacks or has in another state.
+    /// Returns the records of held requests that the log lacks, if it has room for more, and the
+    /// records that it has in another state.
     pub(crate) fn missing(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
         let is_missing = |record: &SuspectRecord| match self.records.get(&record.subject.key) {
             Some(kept) => kept.clone().merge(record),
--- a/crates/directory/src/node/rollouts.rs
+++ b/crates/directory/src/node/rollouts.rs
@@ -24,8 +24,8 @@
 struct RolloutAges(HashMap<(String, u64), (Instant, Duration)>);
 
 impl RolloutAges {
-    /// Returns the time since a roll-out was ordered. Adjustments of the system clock do not change
-    /// it.
+    /// Returns the time since a roll-out was ordered. Adjustments of the system clock after this
+    /// host first saw the roll-out do not change it.
     fn age_of(&mut self, service: &str, record: &RolloutRecord) -> Duration {
         let key = (service.to_owned(), record.revision);
         let (seen, age) = self.0.entry(key).or_insert_with(|| {
--- a/crates/directory/src/serve.rs
+++ b/crates/directory/src/serve.rs
@@ -297,9 +297,9 @@
     }
 }
 
-/// Returns the minimum time between two updates to one of `subscribers` subscribers; parts of a
-/// configuration are not subject to it. Other control hosts get updates at once, since the
-/// withdrawal of a target waits for them.
+/// Returns the minimum time between two updates to one of `subscribers` subscribers; further parts
+/// of a configuration or of a list are not subject to it. Other control hosts get updates at once,
+/// since the withdrawal of a target waits for them.
 fn min_update_spacing(is_control: bool, subscribers: usize) -> Duration {
     if is_control {
         return Duration::ZERO;
--- a/crates/directory/tests/directory.rs
+++ b/crates/directory/tests/directory.rs
@@ -199,8 +199,8 @@
 
 /// Guards against errors to callers for a healthy target, for the rest of its lifetime. The
 /// target's host had crashed and restarted; then a heartbeat of the former incarnation arrived,
-/// delayed by a network cut. It was taken as the newest incarnation at the address and ended the
-/// real one, and a target that has ended never returns.
+/// delayed by a network fault. It was taken for one of the newest incarnation at the address and
+/// withdrew the current one, and a target that was withdrawn for good never returns.
 #[test]
 fn late_heartbeat_of_a_former_incarnation_does_not_end_the_current_one() {
     use TargetState::Ready;
--- a/crates/entry/src/control_link.rs
+++ b/crates/entry/src/control_link.rs
@@ -158,8 +158,8 @@
     }
 }
 
-// Calls queued while no control host can be reached fail at once, so that their callers do not
-// wait.
+// Calls that are still queued when a connection has ended or could not be opened were not sent.
+// `ControlLink::submit` queues them again until their time limit.
 fn refuse_queued(queue: &mut mpsc::Receiver<QueuedCall>) {
     while let Ok(queued) = queue.try_recv() {
         let _ = queued.done.send(CallReply {
--- a/crates/entry/src/deferred.rs
+++ b/crates/entry/src/deferred.rs
@@ -84,7 +84,8 @@
         }
         Ok(other) => Err(no_quorum(format!("{other:?}"))),
         // The job may still be accepted later. It then runs; the caller finds it by its request
-        // key. Without a key nobody knows its handle, so its response is never delivered twice.
+        // key. Without a key no caller knows its handle, so its response is not delivered in
+        // addition to that of a repeated request.
         Err(failure) => Err(no_quorum(failure.to_string())
             .with_ran(ran_state_after(failure))
             .with_earlier_unknown(has_key)),
@@ -281,7 +282,8 @@
     }
 }
 
-/// Records the outcome, retrying until there is a reply or the lease is lost.
+/// Records the outcome, retrying until there is a reply. If the lease was lost, the reply is that
+/// there is no such job.
 async fn record_outcome(worker: &WorkerContext, leased: &LeasedJob, outcome: DeferredOutcome) {
     let command = DeferredCommand::Finish {
         handle: leased.job.handle.clone(),
--- a/crates/quorum/src/serve.rs
+++ b/crates/quorum/src/serve.rs
@@ -95,8 +95,9 @@
     }
 }
 
-// A blank replica joins the cluster of the first leader that addresses it by its identity: only an
-// operator who read that identity can have made it a member.
+// A blank replica joins the cluster of the first leader that addresses it by its identity: a leader
+// addresses only members, which were added under their identity by an operator or on their own
+// request.
 fn accepts_cluster(shared: &ReplicaShared, message: &AddressedRequest) -> bool {
     let mut state = shared.lock();
     let from_leader = !matches!(
