--- a/crates/ctl/src/notices.rs
+++ b/crates/ctl/src/notices.rs
@@ -8,8 +8,8 @@
 use crate::settings::NoticesArgs;
 use crate::{CtlError, CtlStep};
 
-/// Prints the notices of each entry host. Hosts that do not respond are reported, and the others are still
-/// shown.
+/// Prints the notices of each entry host. Hosts that do not respond are reported, and the others
+/// are still shown.
 pub(crate) async fn show_notices(client: &OpsClient, args: &NoticesArgs) -> Result<(), CtlError> {
     let mut unreachable = Vec::new();
     for host in &args.entries {
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -154,7 +154,8 @@
         _ => fetch_table(client, "/v1/table").await?,
     };
     let diff = diff_rows(&base_rows, &rows);
-    // A repeated change is empty if it was applied before, but its outcome is still requested by its key.
+    // A repeated change is empty if it was applied before, but its outcome is still requested by
+    // its key.
     if diff.is_empty() && args.key.is_none() {
         println!("no change; version {base_version}");
         return Ok(());
