--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -118,7 +118,7 @@
 }
 
 impl CallEvent {
-    /// Returns the event of a call. There is none for lease renewals and returned leases of deferred
+    /// Returns the event of a call. There is none for renewals and releases of leases of deferred
     /// requests, nor for queries, which are too frequent.
     fn of(request: &CallRequest) -> Option<Self> {
         let (code, detail) = match &request.call {
--- a/crates/directory/src/held_requests.rs
+++ b/crates/directory/src/held_requests.rs
@@ -1,15 +1,15 @@
-//! Held requests in the replicated log, so that they are still refused after the whole fleet lost
-//! power.
+//! Held requests in the replicated log, so that they are still refused after the complete fleet
+//! lost power.
 //!
 //! Processes also send held requests to each other directly, which is faster and needs no quorum.
-//! In addition the leading control host writes those that it knows to the log.
+//! In addition, the leading control host writes the held requests that it knows to the log.
 
 use std::collections::BTreeMap;
 
 use linnet_quarantine::{RequestKey, SuspectRecord};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of requests kept on disk. A record takes some 300 bytes, so a snapshot grows by
+/// Maximum number of requests stored on disk. A record takes some 300 bytes, so a snapshot grows by
 /// 150 KB at most.
 const MAX_HELD_REQUESTS: usize = 512;
 
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Returns the records that the log lacks or has in another state.
+    /// Returns the records of held requests that the log lacks, if it has room for more, and the
+    /// records that it has in another state.
     pub(crate) fn missing(&self, known: Vec<SuspectRecord>) -> Vec<SuspectRecord> {
         let is_missing = |record: &SuspectRecord| match self.records.get(&record.subject.key) {
             Some(kept) => kept.clone().merge(record),
--- a/crates/entry/src/control_link.rs
+++ b/crates/entry/src/control_link.rs
@@ -118,7 +118,7 @@
                     ..
                 })) => return Ok(reply),
                 Ok(Ok(reply)) if reply.not_applied => sleep(RECONNECT_DELAY).await,
-                // Timed out before it was sent. Taking the token prevents that it is sent later.
+                // Timed out before it was sent. Taking the token prevents it from being sent later.
                 Err(_) if token.try_take() => {}
                 // The connection was lost or the call timed out after sending: it may be applied.
                 _ => failure = CallFailure::Unknown,
@@ -158,8 +158,8 @@
     }
 }
 
-// Calls queued while no control host can be reached fail at once, so that their callers do not
-// wait.
+// Calls that are still queued when a connection has ended or could not be opened were not sent.
+// `ControlLink::submit` queues them again until their time limit.
 fn refuse_queued(queue: &mut mpsc::Receiver<QueuedCall>) {
     while let Ok(queued) = queue.try_recv() {
         let _ = queued.done.send(CallReply {
