--- a/crates/daemon/src/ops.rs
+++ b/crates/daemon/src/ops.rs
@@ -26,7 +26,7 @@
         let digests: Option<Vec<_>> = parts.map(KeyDigest::from_hex).collect();
         match digests {
             Some(digests) if !digests.is_empty() => Ok(Self { digests }),
-            _ => Err("digests of 64 hexadecimal digits, separated by commas".to_owned()),
+            _ => Err("digests of 64 hexadecimal digits, parted by commas".to_owned()),
         }
     }
 
